--- a/crates/dewpier/benches/decision.rs
+++ b/crates/dewpier/benches/decision.rs
@@ -2,7 +2,7 @@
 //! words of sixteen other proxies on all nodes and a judgement every 250 ms, at 100 requests a second of one proxy. No I/O; the same
 //! requests and answers in both. Prints the processor time of a request in each and their ratio. `cargo bench --bench decision`.
 
-use dewpier_peers::{Carried, Name, Process};
+use dewpier_peers::{Name, Process, TopicHandler};
 use dewpier_verdicts::{End, Entry, Member, NodeId, Settings as Rules, Tally, Verdicts};
 use gannetproxy::{
     Action, BackendId, Balancer, Class, Ended, Entry as Listed, Event, ListUpdate, Outcome, Request,
@@ -45,7 +45,7 @@
                 Entry { version, node: node(BackendId(n + 1)), tally, ..Entry::default() }.write(&mut bytes);
             }
             let from = Process { name: Name(other), life: 1 };
-            black_box(self.verdicts.hear(from, Duration::from_millis(5), &bytes, now));
+            black_box(self.verdicts.receive(from, Duration::from_millis(5), &bytes, now));
         }
         self.verdicts.tick(now);
         black_box(self.verdicts.avoided(now));
--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Twelve processes of the program before eight nodes, with little traffic each, that tell each other what they
 //! see; nodes turn bad, and links between the processes fail.
 
-use dewpier_peers::{Carried, Key, Name, Peers, Process, Topic};
+use dewpier_peers::{Key, Name, Peers, Process, Topic, TopicHandler};
 use dewpier_standins::backend::Backend;
 use dewpier_standins::mesh::Way;
 use dewpier_standins::{LONG, wait_for};
@@ -158,12 +158,12 @@
 
 struct Lies(Vec<NodeId>, u32);
 
-impl Carried for Lies {
+impl TopicHandler for Lies {
     fn topic(&self) -> Topic {
         dewpier_verdicts::TOPIC
     }
 
-    fn say(&mut self, _: Name, _: usize, _: Duration) -> Vec<u8> {
+    fn write_payload(&mut self, _: Name, _: usize, _: Duration) -> Vec<u8> {
         let mut bytes = Vec::new();
         self.1 += 1;
         for node in &self.0 {
@@ -174,7 +174,7 @@
         bytes
     }
 
-    fn hear(&mut self, _: Process, _: Duration, _: &[u8], _: Duration) -> bool {
+    fn receive(&mut self, _: Process, _: Duration, _: &[u8], _: Duration) -> bool {
         true
     }
 }
@@ -203,7 +203,7 @@
             let mut buffer = [0; 300];
             while !known.load(Ordering::SeqCst) {
                 if let Ok(length) = socket.recv(&mut buffer) {
-                    let _ = peers.hear(&buffer[..length], start.elapsed(), &mut [&mut lies]);
+                    let _ = peers.receive(&buffer[..length], start.elapsed(), &mut [&mut lies]);
                     count.store(peers.counts.taken, Ordering::SeqCst);
                 }
                 if start.elapsed() >= next {
--- a/crates/peers/src/core.rs
+++ b/crates/peers/src/core.rs
@@ -1,7 +1,7 @@
 //! The core: who is there, what counts, and what is written to whom.
 
 use crate::wire::{self, Head, MOST_BYTES, ROOM};
-use crate::{Carried, Name, Now, Process, Settings, partners};
+use crate::{Name, Now, Process, Settings, TopicHandler, partners};
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 use thiserror::Error;
@@ -150,14 +150,14 @@
     }
 
     /// Writes to every partner. To be called every [`Settings::every`].
-    pub fn round(&mut self, now: Now, carried: &mut [&mut dyn Carried]) -> Vec<Out> {
+    pub fn round(&mut self, now: Now, carried: &mut [&mut dyn TopicHandler]) -> Vec<Out> {
         self.known.retain(|_, known| now.saturating_sub(known.heard) <= 2 * self.settings.stale);
         let mut outs = Vec::with_capacity(self.partners.len());
         for &to in &self.partners {
             let mut room = ROOM;
             let mut parts = Vec::new();
             for one in carried.iter_mut() {
-                let said = one.say(to, room.saturating_sub(2).min(usize::from(u8::MAX)), now);
+                let said = one.write_payload(to, room.saturating_sub(2).min(usize::from(u8::MAX)), now);
                 if !said.is_empty() && said.len() + 2 <= room {
                     room -= said.len() + 2;
                     parts.push((one.topic(), said));
@@ -179,11 +179,11 @@
     }
 
     /// A datagram has come.
-    pub fn hear(
+    pub fn receive(
         &mut self,
         bytes: &[u8],
         now: Now,
-        carried: &mut [&mut dyn Carried],
+        carried: &mut [&mut dyn TopicHandler],
     ) -> Result<Process, Refused> {
         let heard = self.take(bytes, now, carried);
         match heard {
@@ -193,7 +193,12 @@
         heard
     }
 
-    fn take(&mut self, bytes: &[u8], now: Now, carried: &mut [&mut dyn Carried]) -> Result<Process, Refused> {
+    fn take(
+        &mut self,
+        bytes: &[u8],
+        now: Now,
+        carried: &mut [&mut dyn TopicHandler],
+    ) -> Result<Process, Refused> {
         let most = f64::from(self.settings.most_taken);
         self.room = (self.room + most * now.saturating_sub(self.filled).as_secs_f64()).min(most);
         self.filled = now;
@@ -234,7 +239,7 @@
         known.proven = known.proven.max(Some(now.saturating_sub(age)));
         for (topic, part) in parts {
             for one in carried.iter_mut().filter(|one| one.topic() == topic) {
-                if !one.hear(head.from, age, part, now) {
+                if !one.receive(head.from, age, part, now) {
                     return Err(Refused::Unreadable);
                 }
             }
--- a/crates/peers/src/io/mod.rs
+++ b/crates/peers/src/io/mod.rs
@@ -4,7 +4,7 @@
 
 pub use udp::Udp;
 
-use crate::{Carried, MOST_BYTES, Now, Out, Peers, Refused};
+use crate::{MOST_BYTES, Now, Out, Peers, Refused, TopicHandler};
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
     mut way: impl Way,
     every: Duration,
     now: impl Fn() -> Now,
-    with: impl Fn(&mut dyn FnMut(&mut Peers, &mut [&mut dyn Carried])),
+    with: impl Fn(&mut dyn FnMut(&mut Peers, &mut [&mut dyn TopicHandler])),
 ) -> io::Error {
     let mut rounds = tokio::time::interval(every);
     rounds.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -49,7 +49,7 @@
                 for _ in 0..AT_ONCE {
                     let Some((length, from)) = way.take(&mut buffer) else { break };
                     let mut refused = None;
-                    with(&mut |peers, carried| refused = peers.hear(&buffer[..length], now(), carried).err());
+                    with(&mut |peers, carried| refused = peers.receive(&buffer[..length], now(), carried).err());
                     let Some(why) = refused.filter(|why| !matches!(why, Refused::Unasked | Refused::Doubled)) else {
                         continue;
                     };
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Peers`] says who is there, which partners this proxy talks with, and how old at most is whatever a
 //! datagram says. It knows nothing of what it carries: that is bytes under a [`Topic`], taken from and handed
-//! to whoever implements [`Carried`]. It has no I/O and no clock; [`io`] carries datagrams over UDP.
+//! to whoever implements [`TopicHandler`]. It has no I/O and no clock; [`io`] carries datagrams over UDP.
 //!
 //! What holds, whatever the network does:
 //!
@@ -59,16 +59,16 @@
 pub struct Topic(pub u8);
 
 /// Whoever has something to say to the others, and hears what they say.
-pub trait Carried {
+pub trait TopicHandler {
     /// What it is about.
     fn topic(&self) -> Topic;
 
     /// At most `room` bytes for that partner. Empty: nothing to say.
-    fn say(&mut self, to: Name, room: usize, now: Now) -> Vec<u8>;
+    fn write_payload(&mut self, to: Name, room: usize, now: Now) -> Vec<u8>;
 
     /// Bytes that a process wrote at most `age` ago. False where they can't be read: nothing of them may have
     /// been taken in then.
-    fn hear(&mut self, from: Process, age: Duration, bytes: &[u8], now: Now) -> bool;
+    fn receive(&mut self, from: Process, age: Duration, bytes: &[u8], now: Now) -> bool;
 }
 
 /// What a proxy is told of its fleet at its start.
--- a/crates/peers/tests/network.rs
+++ b/crates/peers/tests/network.rs
@@ -18,17 +18,17 @@
     heard: Vec<(Duration, Duration)>,
 }
 
-impl Carried for Said {
+impl TopicHandler for Said {
     fn topic(&self) -> Topic {
         Topic(7)
     }
 
-    fn say(&mut self, _: Name, room: usize, _: Now) -> Vec<u8> {
+    fn write_payload(&mut self, _: Name, room: usize, _: Now) -> Vec<u8> {
         assert!(room >= 8);
         (self.truth.as_micros() as u64).to_be_bytes().to_vec()
     }
 
-    fn hear(&mut self, _: Process, age: Duration, bytes: &[u8], _: Now) -> bool {
+    fn receive(&mut self, _: Process, age: Duration, bytes: &[u8], _: Now) -> bool {
         let Ok(bytes) = bytes.try_into() else { return false };
         let made = Duration::from_micros(u64::from_be_bytes(bytes));
         self.heard.push((self.truth - made, age));
@@ -108,7 +108,7 @@
                 due.reverse();
             }
             for (_, _, said, bytes) in due {
-                let heard = one.peers.hear(&bytes, own, &mut [&mut one.said]);
+                let heard = one.peers.receive(&bytes, own, &mut [&mut one.said]);
                 old += usize::from(heard == Err(Refused::Unasked) && now - said > STALE);
             }
             taken += one.said.heard.len();
@@ -161,12 +161,12 @@
         for out in b.peers.round(now, &mut [&mut b.said]) {
             waits.push(out.bytes.clone());
             if round < 10 {
-                let _ = a.peers.hear(&out.bytes, now, &mut [&mut a.said]);
+                let _ = a.peers.receive(&out.bytes, now, &mut [&mut a.said]);
             }
         }
         if round < 10 {
             for out in a.peers.round(now, &mut [&mut a.said]) {
-                let _ = b.peers.hear(&out.bytes, now, &mut [&mut b.said]);
+                let _ = b.peers.receive(&out.bytes, now, &mut [&mut b.said]);
             }
         }
     }
@@ -176,7 +176,7 @@
     let now = Duration::from_secs(32);
     a.said.truth = now;
     for bytes in &waits {
-        assert!(a.peers.hear(bytes, now, &mut [&mut a.said]).is_err());
+        assert!(a.peers.receive(bytes, now, &mut [&mut a.said]).is_err());
     }
     assert!(a.said.heard.is_empty(), "{:?}", a.said.heard);
     assert_eq!(a.peers.answering(now), 0);
@@ -196,16 +196,16 @@
                 let to = (0..3).find(|i| Name::of(&format!("proxy-{i}")) == out.to).unwrap();
                 let to = &mut all[to];
                 to.said.truth = now;
-                let _ = to.peers.hear(&out.bytes, now, &mut [&mut to.said]);
+                let _ = to.peers.receive(&out.bytes, now, &mut [&mut to.said]);
             }
         }
     }
     let now = EVERY * 4;
     let to = (0..3).find(|i| Name::of(&format!("proxy-{i}")) == last[0].to).unwrap();
     let one = &mut all[to];
-    assert_eq!(one.peers.hear(&last[0].bytes, now, &mut [&mut one.said]), Err(Refused::Doubled));
+    assert_eq!(one.peers.receive(&last[0].bytes, now, &mut [&mut one.said]), Err(Refused::Doubled));
     let other = &mut all[(0..2).find(|i| *i != to).unwrap()];
-    assert_eq!(other.peers.hear(&last[0].bytes, now, &mut [&mut other.said]), Err(Refused::Forged));
+    assert_eq!(other.peers.receive(&last[0].bytes, now, &mut [&mut other.said]), Err(Refused::Forged));
 }
 
 #[test]
@@ -230,7 +230,7 @@
             }
         }
         let now = Duration::from_millis(u64::from(i));
-        let refused = one.peers.hear(&bytes, now, &mut [&mut one.said]).unwrap_err();
+        let refused = one.peers.receive(&bytes, now, &mut [&mut one.said]).unwrap_err();
         assert!(matches!(refused, Refused::Unreadable | Refused::Forged), "seed {seed}, {i}: {refused:?}");
     }
     assert!(one.said.heard.is_empty());
@@ -242,7 +242,7 @@
 fn a_flood_costs_no_more_than_the_bound_a_second() {
     let mut one = One::new(0, 4, 1, Duration::ZERO);
     let refused = (0..5000).filter(|_| {
-        one.peers.hear(&[0xd7; 200], Duration::from_secs(1), &mut [&mut one.said]) == Err(Refused::TooMany)
+        one.peers.receive(&[0xd7; 200], Duration::from_secs(1), &mut [&mut one.said]) == Err(Refused::TooMany)
     });
     assert_eq!(refused.count(), 4000);
 }
@@ -259,12 +259,12 @@
             for out in
                 life.peers.round(now, &mut [&mut life.said]).iter().filter(|o| o.to == Name::of("proxy-0"))
             {
-                let _ = one.peers.hear(&out.bytes, now, &mut [&mut one.said]);
+                let _ = one.peers.receive(&out.bytes, now, &mut [&mut one.said]);
             }
         }
         for out in one.peers.round(now, &mut [&mut one.said]).iter().filter(|o| o.to == Name::of("proxy-1")) {
             for life in &mut lives[..2] {
-                let _ = life.peers.hear(&out.bytes, now, &mut [&mut life.said]);
+                let _ = life.peers.receive(&out.bytes, now, &mut [&mut life.said]);
             }
         }
     }
@@ -276,7 +276,7 @@
     let mut nothing = Said::default();
     let out = stranger.round(EVERY, &mut [&mut nothing]);
     let to_one = out.iter().find(|o| o.to == Name::of("proxy-0")).unwrap();
-    let heard = one.peers.hear(&to_one.bytes, EVERY * 12, &mut [&mut one.said]);
+    let heard = one.peers.receive(&to_one.bytes, EVERY * 12, &mut [&mut one.said]);
     assert_eq!(heard, Err(Refused::Stranger));
 }
 
@@ -285,23 +285,23 @@
     #[test]
     fn any_bytes_are_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let mut one = One::new(0, 3, 1, Duration::ZERO);
-        prop_assert!(one.peers.hear(&bytes, EVERY, &mut [&mut one.said]).is_err());
+        prop_assert!(one.peers.receive(&bytes, EVERY, &mut [&mut one.said]).is_err());
     }
 }
 
 /// Says something of another version: nobody here knows its topic.
 struct Newer;
 
-impl Carried for Newer {
+impl TopicHandler for Newer {
     fn topic(&self) -> Topic {
         Topic(200)
     }
 
-    fn say(&mut self, _: Name, _: usize, _: Now) -> Vec<u8> {
+    fn write_payload(&mut self, _: Name, _: usize, _: Now) -> Vec<u8> {
         vec![1, 2, 3]
     }
 
-    fn hear(&mut self, _: Process, _: Duration, _: &[u8], _: Now) -> bool {
+    fn receive(&mut self, _: Process, _: Duration, _: &[u8], _: Now) -> bool {
         true
     }
 }
@@ -313,10 +313,10 @@
         let now = EVERY * round;
         (a.said.truth, b.said.truth) = (now, now);
         for out in a.peers.round(now, &mut [&mut Newer, &mut a.said]) {
-            let _ = b.peers.hear(&out.bytes, now, &mut [&mut b.said]);
+            let _ = b.peers.receive(&out.bytes, now, &mut [&mut b.said]);
         }
         for out in b.peers.round(now, &mut [&mut b.said]) {
-            let _ = a.peers.hear(&out.bytes, now, &mut [&mut Newer, &mut a.said]);
+            let _ = a.peers.receive(&out.bytes, now, &mut [&mut Newer, &mut a.said]);
         }
     }
     assert!(a.said.heard.len() >= 2 && b.said.heard.len() >= 2, "{:?}", b.peers.counts);
--- a/crates/verdicts/src/pool.rs
+++ b/crates/verdicts/src/pool.rs
@@ -7,7 +7,7 @@
 use crate::judge::{Claim, Kind, Weighed, weigh};
 use crate::wire::{AGE_UNIT, ENTRY, Entry, MOST_AGE};
 use crate::{NodeId, Says, Settings, trial};
-use dewpier_peers::{Carried, Name, Process, Topic};
+use dewpier_peers::{Name, Process, Topic, TopicHandler};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::Duration;
@@ -450,13 +450,13 @@
         || verdicts.words.get(&node).is_some_and(|words| words.values().any(|w| w.entry.tally.bad() > 0))
 }
 
-impl Carried for Verdicts {
+impl TopicHandler for Verdicts {
     fn topic(&self) -> Topic {
         TOPIC
     }
 
     /// What was seen of nodes that are in question, in turns where there is more than fits.
-    fn say(&mut self, to: Name, room: usize, now: Duration) -> Vec<u8> {
+    fn write_payload(&mut self, to: Name, room: usize, now: Duration) -> Vec<u8> {
         self.version = self.version.wrapping_add(1);
         let fits = room / ENTRY;
         let seen = |node: NodeId| self.seen.get(&node).copied().unwrap_or_default();
@@ -475,7 +475,7 @@
         bytes
     }
 
-    fn hear(&mut self, from: Process, age: Duration, bytes: &[u8], now: Duration) -> bool {
+    fn receive(&mut self, from: Process, age: Duration, bytes: &[u8], now: Duration) -> bool {
         let Some(entries) = Entry::read_all(bytes) else { return false };
         let window = self.settings.window();
         if age > window {
--- a/crates/verdicts/src/ruling.rs
+++ b/crates/verdicts/src/ruling.rs
@@ -14,7 +14,7 @@
 
 use crate::snapshot::KeptRuling;
 use crate::{NodeId, Origin};
-use dewpier_peers::{Carried, Name, Process, Topic};
+use dewpier_peers::{Name, Process, Topic, TopicHandler};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -206,12 +206,12 @@
     (holds <= kept && kept <= LONGEST).then_some((node, ruling))
 }
 
-impl Carried for Rulings {
+impl TopicHandler for Rulings {
     fn topic(&self) -> Topic {
         TOPIC
     }
 
-    fn say(&mut self, to: Name, room: usize, now: Duration) -> Vec<u8> {
+    fn write_payload(&mut self, to: Name, room: usize, now: Duration) -> Vec<u8> {
         self.tick(now);
         let fits = (room / SIZE).min(MOST_AT_ONCE);
         let turn = self.turns.entry(to).or_default();
@@ -233,7 +233,7 @@
         bytes
     }
 
-    fn hear(&mut self, _from: Process, age: Duration, bytes: &[u8], now: Duration) -> bool {
+    fn receive(&mut self, _from: Process, age: Duration, bytes: &[u8], now: Duration) -> bool {
         let (rulings, rest) = bytes.as_chunks::<SIZE>();
         // What a datagram says was so after the question that it answers.
         let made = now.saturating_sub(age);
@@ -256,8 +256,8 @@
     const NODE: NodeId = NodeId(7);
 
     fn told(from: &mut Rulings, to: &mut Rulings, age: Duration, now: Duration) {
-        let bytes = from.say(Name(1), 200, now);
-        assert!(to.hear(Process::default(), age, &bytes, now));
+        let bytes = from.write_payload(Name(1), 200, now);
+        assert!(to.receive(Process::default(), age, &bytes, now));
     }
 
     #[test]
@@ -265,7 +265,7 @@
         let (mut a, mut b, mut c) =
             (Rulings::new(Origin(1)), Rulings::new(Origin(2)), Rulings::new(Origin(3)));
         a.rule(NODE, Some(Says::Avoid), s(10), s(100)).unwrap();
-        let late = a.say(Name(1), 200, s(100));
+        let late = a.write_payload(Name(1), 200, s(100));
         told(&mut a, &mut b, s(2), s(103));
         assert_eq!(b.all(s(103)).collect::<Vec<_>>(), [(NODE, Says::Avoid, s(5))]);
         told(&mut b, &mut c, s(0), s(104));
@@ -276,7 +276,7 @@
         told(&mut b, &mut a, s(0), s(105));
         told(&mut a, &mut c, s(0), s(106));
         assert_eq!((a.of(NODE, s(106)), c.of(NODE, s(106))), (None, None));
-        assert!(a.hear(Process::default(), s(5), &late, s(106)));
+        assert!(a.receive(Process::default(), s(5), &late, s(106)));
         assert_eq!(a.of(NODE, s(106)), None, "a copy that came late");
         assert_eq!(b.rule(NODE, None, s(0), s(106)), Err(RulingError::None));
     }
@@ -330,7 +330,7 @@
         // Each partner hears all of them, however many others there are.
         for _ in 0..MOST_RULINGS / MOST_AT_ONCE {
             told(&mut a, &mut b, s(0), s(1));
-            (2..17).for_each(|other| drop(a.say(Name(other), 200, s(1))));
+            (2..17).for_each(|other| drop(a.write_payload(Name(other), 200, s(1))));
         }
         assert_eq!(b.all(s(1)).count(), MOST_RULINGS);
         // One more that is heard is not taken, and takes no other's place.
@@ -345,7 +345,7 @@
         #[test]
         fn any_bytes_are_refused_whole_or_end_in_time(bytes: Vec<u8>, age in 0..5000u64) {
             let mut all = Rulings::new(Origin(1));
-            let taken = all.hear(Process::default(), Duration::from_millis(age), &bytes, s(10));
+            let taken = all.receive(Process::default(), Duration::from_millis(age), &bytes, s(10));
             prop_assert!(taken || all.known.is_empty());
             prop_assert!(all.known.values().all(|r| r.until <= s(10) + LONGEST));
         }
@@ -363,11 +363,11 @@
                         let _ = all[a].rule(NODE, Some(Says::Avoid), s(span), s(now));
                         ends = ends.max(now + span);
                     }
-                    1 => under_way.push((now, b, all[a].say(Name(1), 200, s(now)))),
+                    1 => under_way.push((now, b, all[a].write_payload(Name(1), 200, s(now)))),
                     _ => {
                         for (said, to, bytes) in &under_way {
                             // At least as old as it is.
-                            prop_assert!(all[*to].hear(Process::default(), s(now - said), bytes, s(now)));
+                            prop_assert!(all[*to].receive(Process::default(), s(now - said), bytes, s(now)));
                         }
                     }
                 }
--- a/crates/verdicts/tests/common/mod.rs
+++ b/crates/verdicts/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)] // not both need all of it
 
-use dewpier_peers::{Carried, Key, Name, Peers, Process};
+use dewpier_peers::{Key, Name, Peers, Process, TopicHandler};
 use dewpier_verdicts::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -158,7 +158,7 @@
                 self.under_way.push((at, who, bytes));
                 continue;
             }
-            let _ = proxy.peers.hear(&bytes, now, &mut [&mut proxy.verdicts]);
+            let _ = proxy.peers.receive(&bytes, now, &mut [&mut proxy.verdicts]);
         }
         let each = self.world.rate * STEP.as_secs_f64() / self.world.proxies as f64;
         for who in 0..self.world.proxies {
@@ -202,7 +202,7 @@
             proxy.verdicts.tick(now);
             let outs = if self.world.pooled {
                 let mut liar = Liar;
-                let carried: &mut dyn Carried = if proxy.lies { &mut liar } else { &mut proxy.verdicts };
+                let carried: &mut dyn TopicHandler = if proxy.lies { &mut liar } else { &mut proxy.verdicts };
                 proxy.peers.round(now, &mut [carried])
             } else {
                 Vec::new()
@@ -259,12 +259,12 @@
 /// Says that every node fails, and that it holds a verdict on each.
 pub struct Liar;
 
-impl Carried for Liar {
+impl TopicHandler for Liar {
     fn topic(&self) -> dewpier_peers::Topic {
         TOPIC
     }
 
-    fn say(&mut self, _: Name, _: usize, now: Duration) -> Vec<u8> {
+    fn write_payload(&mut self, _: Name, _: usize, now: Duration) -> Vec<u8> {
         let mut bytes = Vec::new();
         for n in 0..8u32 {
             let tally = Tally { failed: 250, ..Tally::default() };
@@ -280,7 +280,7 @@
         bytes
     }
 
-    fn hear(&mut self, _: Process, _: Duration, _: &[u8], _: Duration) -> bool {
+    fn receive(&mut self, _: Process, _: Duration, _: &[u8], _: Duration) -> bool {
         true
     }
 }
--- a/crates/verdicts/tests/kept.rs
+++ b/crates/verdicts/tests/kept.rs
@@ -137,7 +137,7 @@
             let tally = Tally { failed: 1, ..Tally::default() };
             Entry { node: node(n), tally, ..Entry::default() }.write(&mut bytes);
             let from = Process { name: name(other), life: 1 };
-            assert!(dewpier_peers::Carried::hear(&mut verdicts, from, seconds(0), &bytes, now));
+            assert!(dewpier_peers::TopicHandler::receive(&mut verdicts, from, seconds(0), &bytes, now));
         }
     }
     let mut rulings = Rulings::new(Origin(1));
