--- a/crates/dewpier/src/carried.rs
+++ b/crates/dewpier/src/carried.rs
@@ -2,8 +2,8 @@
 
 use crate::config::Carrier;
 use crate::error::ServeError;
-use dewpier_peers::io::{Udp, Way};
-use dewpier_peers::{Name, Out};
+use dewpier_peers::io::{Transport, UdpTransport};
+use dewpier_peers::{Name, OutgoingDatagram};
 use dewpier_plan::Letter;
 use dewpier_plan::io::Mail;
 use std::io;
@@ -19,7 +19,7 @@
 /// One of the two.
 pub(crate) enum Carries {
     /// Sockets.
-    Udp(Udp),
+    Udp(UdpTransport),
     /// Planners.
     Planners(ByPlanners),
 }
@@ -49,7 +49,7 @@
                 };
                 let socket = UdpSocket::bind(listen).await.map_err(said)?;
                 let at = at.iter().map(|(name, address)| (Name::of(name), *address)).collect();
-                Ok(Self::Udp(Udp { socket, at }))
+                Ok(Self::Udp(UdpTransport { socket, addresses: at }))
             }
             (Carrier::Planners, Some(planners)) => Ok(Self::Planners(planners)),
             // The configuration is refused before.
@@ -61,7 +61,7 @@
     }
 }
 
-impl Way for Carries {
+impl Transport for Carries {
     async fn ready(&mut self) -> io::Result<()> {
         match self {
             Self::Udp(udp) => udp.ready().await,
@@ -69,14 +69,14 @@
         }
     }
 
-    fn take(&mut self, buffer: &mut [u8]) -> Option<(usize, Option<SocketAddr>)> {
+    fn try_receive(&mut self, buffer: &mut [u8]) -> Option<(usize, Option<SocketAddr>)> {
         match self {
-            Self::Udp(udp) => udp.take(buffer),
-            Self::Planners(planners) => planners.take(buffer),
+            Self::Udp(udp) => udp.try_receive(buffer),
+            Self::Planners(planners) => planners.try_receive(buffer),
         }
     }
 
-    fn send(&mut self, outs: Vec<Out>) {
+    fn send(&mut self, outs: Vec<OutgoingDatagram>) {
         match self {
             Self::Udp(udp) => udp.send(outs),
             Self::Planners(planners) => planners.send(outs),
@@ -84,7 +84,7 @@
     }
 }
 
-impl Way for ByPlanners {
+impl Transport for ByPlanners {
     async fn ready(&mut self) -> io::Result<()> {
         if self.next.is_none() {
             self.next = self.into.recv().await;
@@ -96,7 +96,7 @@
         }
     }
 
-    fn take(&mut self, buffer: &mut [u8]) -> Option<(usize, Option<SocketAddr>)> {
+    fn try_receive(&mut self, buffer: &mut [u8]) -> Option<(usize, Option<SocketAddr>)> {
         let came = self.next.take().or_else(|| self.into.try_recv().ok())?;
         // What does not fit is no datagram, and its beginning is refused as such.
         let length = came.len().min(buffer.len());
@@ -104,7 +104,7 @@
         Some((length, None))
     }
 
-    fn send(&mut self, outs: Vec<Out>) {
+    fn send(&mut self, outs: Vec<OutgoingDatagram>) {
         let letters = outs.into_iter().map(|out| Letter { to: out.to.0, bytes: out.bytes }).collect();
         let _ = self.out.try_send(letters); // the next round says it again
     }
@@ -119,20 +119,20 @@
         let (mut fleet, mut mail) = by_planners(Name(7));
         assert_eq!(mail.from, 7);
         for round in 0..10 {
-            fleet.send(vec![Out { to: Name(9), bytes: vec![round] }]);
+            fleet.send(vec![OutgoingDatagram { to: Name(9), bytes: vec![round] }]);
         }
         let first = mail.out.try_recv().unwrap();
         assert_eq!(first, [Letter { to: 9, bytes: vec![0] }]);
         assert_eq!(std::iter::from_fn(|| mail.out.try_recv().ok()).count(), ROUNDS - 1, "others are dropped");
         let mut buffer = [0; 4];
-        assert_eq!(fleet.take(&mut buffer), None);
+        assert_eq!(fleet.try_receive(&mut buffer), None);
         mail.into.try_send(vec![5; 9]).unwrap();
         mail.into.try_send(vec![6; 2]).unwrap();
         let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
         runtime.block_on(fleet.ready()).unwrap();
         runtime.block_on(fleet.ready()).unwrap();
-        assert_eq!((fleet.take(&mut buffer), buffer), (Some((4, None)), [5; 4]));
-        assert_eq!(fleet.take(&mut buffer), Some((2, None)));
+        assert_eq!((fleet.try_receive(&mut buffer), buffer), (Some((4, None)), [5; 4]));
+        assert_eq!(fleet.try_receive(&mut buffer), Some((2, None)));
         drop(mail);
         assert!(runtime.block_on(fleet.ready()).is_err());
     }
--- a/crates/peers/src/core.rs
+++ b/crates/peers/src/core.rs
@@ -96,7 +96,7 @@
 
 /// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Out {
+pub struct OutgoingDatagram {
     /// To whom.
     pub to: Name,
     /// What.
@@ -150,7 +150,7 @@
     }
 
     /// Writes to every partner. To be called every [`Settings::every`].
-    pub fn round(&mut self, now: Now, carried: &mut [&mut dyn TopicHandler]) -> Vec<Out> {
+    pub fn round(&mut self, now: Now, carried: &mut [&mut dyn TopicHandler]) -> Vec<OutgoingDatagram> {
         self.known.retain(|_, known| now.saturating_sub(known.heard) <= 2 * self.settings.stale);
         let mut outs = Vec::with_capacity(self.partners.len());
         for &to in &self.partners {
@@ -173,7 +173,7 @@
             debug_assert!(bytes.len() <= MOST_BYTES);
             self.counts.sent += 1;
             self.counts.sent_bytes += bytes.len() as u64;
-            outs.push(Out { to, bytes });
+            outs.push(OutgoingDatagram { to, bytes });
         }
         outs
     }
--- a/crates/peers/src/io/mod.rs
+++ b/crates/peers/src/io/mod.rs
@@ -2,9 +2,9 @@
 
 mod udp;
 
-pub use udp::Udp;
+pub use udp::UdpTransport;
 
-use crate::{MOST_BYTES, Now, Out, Peers, Refused, TopicHandler};
+use crate::{MOST_BYTES, Now, OutgoingDatagram, Peers, Refused, TopicHandler};
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -17,21 +17,21 @@
 
 /// What carries datagrams from process to process. It promises nothing: each may be lost, late, doubled, out of order,
 /// changed or made up, and the core is what tells.
-pub trait Way {
+pub trait Transport {
     /// Waits until something may have come. Nothing is lost if it is dropped before. An error ends it for good.
     fn ready(&mut self) -> impl Future<Output = io::Result<()>>;
 
     /// Puts what has come next into the buffer: how long it is, and whence it came, where that is known.
-    fn take(&mut self, buffer: &mut [u8]) -> Option<(usize, Option<SocketAddr>)>;
+    fn try_receive(&mut self, buffer: &mut [u8]) -> Option<(usize, Option<SocketAddr>)>;
 
     /// Sends a round of datagrams. What there is no room for is lost: the next round says it again.
-    fn send(&mut self, outs: Vec<Out>);
+    fn send(&mut self, outs: Vec<OutgoingDatagram>);
 }
 
 /// Sends and receives until it is dropped. `with` lends the core and what it carries, for one step that does not
 /// wait. `now` is the clock of all cores of this process.
 pub async fn run(
-    mut way: impl Way,
+    mut way: impl Transport,
     every: Duration,
     now: impl Fn() -> Now,
     with: impl Fn(&mut dyn FnMut(&mut Peers, &mut [&mut dyn TopicHandler])),
@@ -47,7 +47,7 @@
                     return error;
                 }
                 for _ in 0..AT_ONCE {
-                    let Some((length, from)) = way.take(&mut buffer) else { break };
+                    let Some((length, from)) = way.try_receive(&mut buffer) else { break };
                     let mut refused = None;
                     with(&mut |peers, carried| refused = peers.receive(&buffer[..length], now(), carried).err());
                     let Some(why) = refused.filter(|why| !matches!(why, Refused::Unasked | Refused::Doubled)) else {
