--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -388,8 +388,8 @@
         line("partners_answering", state.peers.answering(self.now()) as u64);
         line("datagrams_sent", counts.sent);
         line("bytes_sent", counts.sent_bytes);
-        line("datagrams_taken", counts.taken);
-        for (why, count) in counts.by_reason() {
+        line("datagrams_taken", counts.accepted);
+        for (why, count) in counts.rejected_by_reason() {
             line(&format!("datagrams_refused.{}", format!("{why:?}").to_lowercase()), count);
         }
         line("snapshots_written", state.snapshots.written);
--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -204,7 +204,7 @@
             while !known.load(Ordering::SeqCst) {
                 if let Ok(length) = socket.recv(&mut buffer) {
                     let _ = peers.receive(&buffer[..length], start.elapsed(), &mut [&mut lies]);
-                    count.store(peers.counts.taken, Ordering::SeqCst);
+                    count.store(peers.counts.accepted, Ordering::SeqCst);
                 }
                 if start.elapsed() >= next {
                     next = start.elapsed() + every;
@@ -214,7 +214,7 @@
                     }
                 }
             }
-            peers.counts.taken
+            peers.counts.accepted
         });
         Self { over, thread: Some(thread), taken }
     }
--- a/crates/peers/src/core.rs
+++ b/crates/peers/src/core.rs
@@ -13,7 +13,7 @@
 
 /// Why a datagram counts for nothing.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, Hash)]
-pub enum Refused {
+pub enum DatagramRejection {
     /// More came than is looked at in a second.
     #[error("too many datagrams")]
     TooMany,
@@ -39,26 +39,26 @@
 
 /// What was refused so far, by reason, and what was taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct DatagramCounts {
     /// Datagrams written,
     pub sent: u64,
     /// and their bytes.
     pub sent_bytes: u64,
     /// Datagrams that counted.
-    pub taken: u64,
-    /// In the order of [`Refused`].
-    pub refused: [u64; 7],
+    pub accepted: u64,
+    /// In the order of [`DatagramRejection`].
+    pub rejected: [u64; 7],
 }
 
 /// A reason and how often.
-pub type Count = (Refused, u64);
+pub type RejectionCount = (DatagramRejection, u64);
 
-impl Counts {
+impl DatagramCounts {
     /// What was refused, by reason.
-    pub fn by_reason(&self) -> [Count; 7] {
-        use Refused::*;
+    pub fn rejected_by_reason(&self) -> [RejectionCount; 7] {
+        use DatagramRejection::*;
         let reasons = [TooMany, Unreadable, Forged, Version, Stranger, Doubled, Unasked];
-        std::array::from_fn(|i| (reasons[i], self.refused[i]))
+        std::array::from_fn(|i| (reasons[i], self.rejected[i]))
     }
 }
 
@@ -114,7 +114,7 @@
     room: f64,
     filled: Now,
     /// Datagrams so far.
-    pub counts: Counts,
+    pub counts: DatagramCounts,
 }
 
 impl Peers {
@@ -131,7 +131,7 @@
             count: 0,
             room,
             filled: now,
-            counts: Counts::default(),
+            counts: DatagramCounts::default(),
         }
     }
 
@@ -184,11 +184,11 @@
         bytes: &[u8],
         now: Now,
         carried: &mut [&mut dyn TopicHandler],
-    ) -> Result<Process, Refused> {
+    ) -> Result<Process, DatagramRejection> {
         let heard = self.take(bytes, now, carried);
         match heard {
-            Ok(_) => self.counts.taken += 1,
-            Err(refused) => self.counts.refused[refused as usize] += 1,
+            Ok(_) => self.counts.accepted += 1,
+            Err(refused) => self.counts.rejected[refused as usize] += 1,
         }
         heard
     }
@@ -198,18 +198,18 @@
         bytes: &[u8],
         now: Now,
         carried: &mut [&mut dyn TopicHandler],
-    ) -> Result<Process, Refused> {
+    ) -> Result<Process, DatagramRejection> {
         let most = f64::from(self.settings.most_taken);
         self.room = (self.room + most * now.saturating_sub(self.filled).as_secs_f64()).min(most);
         self.filled = now;
         if self.room < 1.0 {
-            return Err(Refused::TooMany);
+            return Err(DatagramRejection::TooMany);
         }
         self.room -= 1.0;
         let me = self.settings.me;
         let (head, parts) = wire::read(&self.settings.key, me.name, bytes)?;
         if head.from == me || !self.names.contains(&head.from.name) {
-            return Err(Refused::Stranger);
+            return Err(DatagramRejection::Stranger);
         }
         // How old its question is nobody knows: all that it can bring about is an answer to it.
         let proven = head.answers.filter(|(life, _)| *life == me.life).map(|(_, at)| since(now, at));
@@ -229,18 +229,18 @@
             }
         };
         if !known.first(head.count) {
-            return Err(Refused::Doubled);
+            return Err(DatagramRejection::Doubled);
         }
         known.heard = now;
         if head.count == known.highest {
             known.question = head.question;
         }
-        let Some(age) = fresh else { return Err(Refused::Unasked) };
+        let Some(age) = fresh else { return Err(DatagramRejection::Unasked) };
         known.proven = known.proven.max(Some(now.saturating_sub(age)));
         for (topic, part) in parts {
             for one in carried.iter_mut().filter(|one| one.topic() == topic) {
                 if !one.receive(head.from, age, part, now) {
-                    return Err(Refused::Unreadable);
+                    return Err(DatagramRejection::Unreadable);
                 }
             }
         }
--- a/crates/peers/src/io/mod.rs
+++ b/crates/peers/src/io/mod.rs
@@ -4,7 +4,7 @@
 
 pub use udp::UdpTransport;
 
-use crate::{MOST_BYTES, Now, OutgoingDatagram, Peers, Refused, TopicHandler};
+use crate::{DatagramRejection, MOST_BYTES, Now, OutgoingDatagram, Peers, TopicHandler};
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
                     let Some((length, from)) = way.try_receive(&mut buffer) else { break };
                     let mut refused = None;
                     with(&mut |peers, carried| refused = peers.receive(&buffer[..length], now(), carried).err());
-                    let Some(why) = refused.filter(|why| !matches!(why, Refused::Unasked | Refused::Doubled)) else {
+                    let Some(why) = refused.filter(|why| !matches!(why, DatagramRejection::Unasked | DatagramRejection::Doubled)) else {
                         continue;
                     };
                     if told.is_none_or(|at| at.elapsed() >= TOLD_EVERY) {
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -24,7 +24,7 @@
 mod seal;
 mod wire;
 
-pub use crate::core::{Count, Counts, OutgoingDatagram, Peers, Refused};
+pub use crate::core::{DatagramCounts, DatagramRejection, OutgoingDatagram, Peers, RejectionCount};
 pub use partners::partners;
 pub use seal::SEAL;
 pub use wire::{Key, MOST_BYTES, ROOM};
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -14,7 +14,7 @@
 //! A version whose number is higher may add topics, which are passed over where they are not known; what comes
 //! before them stays.
 
-use crate::{Name, Process, Refused, Topic};
+use crate::{DatagramRejection, Name, Process, Topic};
 
 /// Bytes of the longest datagram: what fits everywhere, and what the platform allows.
 pub const MOST_BYTES: usize = 256;
@@ -94,9 +94,9 @@
 pub(crate) type Parts<'a> = Vec<(Topic, &'a [u8])>;
 
 /// Reads a datagram that came to `me`, whole or not at all.
-pub(crate) fn read<'a>(key: &Key, me: Name, bytes: &'a [u8]) -> Result<(Head, Parts<'a>), Refused> {
+pub(crate) fn read<'a>(key: &Key, me: Name, bytes: &'a [u8]) -> Result<(Head, Parts<'a>), DatagramRejection> {
     if bytes.len() > MOST_BYTES || bytes.len() < HEAD + HASH || bytes[0] != MAGIC {
-        return Err(Refused::Unreadable);
+        return Err(DatagramRejection::Unreadable);
     }
     let (said, told) = bytes.split_at(bytes.len() - HASH);
     // In constant time: how far a forged one was right must not be measurable.
@@ -105,13 +105,13 @@
     let mut padded = expected;
     padded[..HASH].copy_from_slice(told);
     if blake3::Hash::from(expected) != blake3::Hash::from(padded) {
-        return Err(Refused::Forged);
+        return Err(DatagramRejection::Forged);
     }
     if said[1] < VERSION {
-        return Err(Refused::Version);
+        return Err(DatagramRejection::Version);
     }
     let mut rest = &said[2..];
-    let unreadable = Refused::Unreadable;
+    let unreadable = DatagramRejection::Unreadable;
     let name = Name(u64::from_be_bytes(number(&mut rest).ok_or(unreadable)?));
     let mut next = || number(&mut rest).map(u32::from_be_bytes).ok_or(unreadable);
     let [life, count, question, answered, at] = [next()?, next()?, next()?, next()?, next()?];
--- a/crates/peers/tests/network.rs
+++ b/crates/peers/tests/network.rs
@@ -109,7 +109,7 @@
             }
             for (_, _, said, bytes) in due {
                 let heard = one.peers.receive(&bytes, own, &mut [&mut one.said]);
-                old += usize::from(heard == Err(Refused::Unasked) && now - said > STALE);
+                old += usize::from(heard == Err(DatagramRejection::Unasked) && now - said > STALE);
             }
             taken += one.said.heard.len();
             for (true_age, bound) in one.said.heard.drain(..) {
@@ -203,9 +203,12 @@
     let now = EVERY * 4;
     let to = (0..3).find(|i| Name::of(&format!("proxy-{i}")) == last[0].to).unwrap();
     let one = &mut all[to];
-    assert_eq!(one.peers.receive(&last[0].bytes, now, &mut [&mut one.said]), Err(Refused::Doubled));
+    assert_eq!(one.peers.receive(&last[0].bytes, now, &mut [&mut one.said]), Err(DatagramRejection::Doubled));
     let other = &mut all[(0..2).find(|i| *i != to).unwrap()];
-    assert_eq!(other.peers.receive(&last[0].bytes, now, &mut [&mut other.said]), Err(Refused::Forged));
+    assert_eq!(
+        other.peers.receive(&last[0].bytes, now, &mut [&mut other.said]),
+        Err(DatagramRejection::Forged)
+    );
 }
 
 #[test]
@@ -231,18 +234,22 @@
         }
         let now = Duration::from_millis(u64::from(i));
         let refused = one.peers.receive(&bytes, now, &mut [&mut one.said]).unwrap_err();
-        assert!(matches!(refused, Refused::Unreadable | Refused::Forged), "seed {seed}, {i}: {refused:?}");
+        assert!(
+            matches!(refused, DatagramRejection::Unreadable | DatagramRejection::Forged),
+            "seed {seed}, {i}: {refused:?}"
+        );
     }
     assert!(one.said.heard.is_empty());
     assert_eq!(one.peers.answering(Duration::from_secs(200)), 0);
-    assert_eq!(one.peers.counts.taken, 0);
+    assert_eq!(one.peers.counts.accepted, 0);
 }
 
 #[test]
 fn a_flood_costs_no_more_than_the_bound_a_second() {
     let mut one = One::new(0, 4, 1, Duration::ZERO);
     let refused = (0..5000).filter(|_| {
-        one.peers.receive(&[0xd7; 200], Duration::from_secs(1), &mut [&mut one.said]) == Err(Refused::TooMany)
+        one.peers.receive(&[0xd7; 200], Duration::from_secs(1), &mut [&mut one.said])
+            == Err(DatagramRejection::TooMany)
     });
     assert_eq!(refused.count(), 4000);
 }
@@ -277,7 +284,7 @@
     let out = stranger.round(EVERY, &mut [&mut nothing]);
     let to_one = out.iter().find(|o| o.to == Name::of("proxy-0")).unwrap();
     let heard = one.peers.receive(&to_one.bytes, EVERY * 12, &mut [&mut one.said]);
-    assert_eq!(heard, Err(Refused::Stranger));
+    assert_eq!(heard, Err(DatagramRejection::Stranger));
 }
 
 proptest! {
@@ -320,5 +327,5 @@
         }
     }
     assert!(a.said.heard.len() >= 2 && b.said.heard.len() >= 2, "{:?}", b.peers.counts);
-    assert_eq!(b.peers.counts.refused.iter().sum::<u64>(), 1, "the first, which answers nothing");
+    assert_eq!(b.peers.counts.rejected.iter().sum::<u64>(), 1, "the first, which answers nothing");
 }
