--- a/crates/dewpier/benches/decision.rs
+++ b/crates/dewpier/benches/decision.rs
@@ -2,7 +2,7 @@
 //! words of sixteen other proxies on all nodes and a judgement every 250 ms, at 100 requests a second of one proxy. No I/O; the same
 //! requests and answers in both. Prints the processor time of a request in each and their ratio. `cargo bench --bench decision`.
 
-use dewpier_peers::{Name, Process, TopicHandler};
+use dewpier_peers::{Process, ProxyId, TopicHandler};
 use dewpier_verdicts::{End, Entry, Member, NodeId, Settings as Rules, Tally, Verdicts};
 use gannetproxy::{
     Action, BackendId, Balancer, Class, Ended, Entry as Listed, Event, ListUpdate, Outcome, Request,
@@ -31,7 +31,8 @@
     fn new() -> Self {
         let now = Duration::from_secs(60);
         let rules = Rules { proxies: 17, ..Rules::default() };
-        let mut verdicts = Verdicts::new(rules, Process { name: Name(1), life: 1 }, "a", 1, 16, now);
+        let mut verdicts =
+            Verdicts::new(rules, Process { proxy: ProxyId(1), incarnation: 1 }, "a", 1, 16, now);
         verdicts.list((0..NODES).map(|n| Member { node: node(BackendId(n + 1)), cell: 0 }).collect(), now);
         Self { verdicts, judged: now }
     }
@@ -44,7 +45,7 @@
                 let version = now.as_millis() as u32;
                 Entry { version, node: node(BackendId(n + 1)), tally, ..Entry::default() }.write(&mut bytes);
             }
-            let from = Process { name: Name(other), life: 1 };
+            let from = Process { proxy: ProxyId(other), incarnation: 1 };
             black_box(self.verdicts.receive(from, Duration::from_millis(5), &bytes, now));
         }
         self.verdicts.tick(now);
--- a/crates/dewpier/src/carried.rs
+++ b/crates/dewpier/src/carried.rs
@@ -3,7 +3,7 @@
 use crate::config::Carrier;
 use crate::error::ServeError;
 use dewpier_peers::io::{Transport, UdpTransport};
-use dewpier_peers::{Name, OutgoingDatagram};
+use dewpier_peers::{OutgoingDatagram, ProxyId};
 use dewpier_plan::Letter;
 use dewpier_plan::io::Mail;
 use std::io;
@@ -33,7 +33,7 @@
 }
 
 /// The two ends of what planners carry for a proxy of that name: the fleet's, and the one for who follows planners.
-pub(crate) fn by_planners(me: Name) -> (ByPlanners, Mail) {
+pub(crate) fn by_planners(me: ProxyId) -> (ByPlanners, Mail) {
     let (out, written) = mpsc::channel(ROUNDS);
     let (came, into) = mpsc::channel(WAITING);
     (ByPlanners { out, into, next: None }, Mail { from: me.0, out: written, into: came })
@@ -48,7 +48,7 @@
                     io::Error::new(error.kind(), format!("fleet.listen {listen}: {error}"))
                 };
                 let socket = UdpSocket::bind(listen).await.map_err(said)?;
-                let at = at.iter().map(|(name, address)| (Name::of(name), *address)).collect();
+                let at = at.iter().map(|(name, address)| (ProxyId::from_name(name), *address)).collect();
                 Ok(Self::Udp(UdpTransport { socket, addresses: at }))
             }
             (Carrier::Planners, Some(planners)) => Ok(Self::Planners(planners)),
@@ -116,10 +116,10 @@
 
     #[test]
     fn rounds_go_out_by_number_and_what_comes_is_cut_where_it_is_too_long() {
-        let (mut fleet, mut mail) = by_planners(Name(7));
+        let (mut fleet, mut mail) = by_planners(ProxyId(7));
         assert_eq!(mail.from, 7);
         for round in 0..10 {
-            fleet.send(vec![OutgoingDatagram { to: Name(9), bytes: vec![round] }]);
+            fleet.send(vec![OutgoingDatagram { to: ProxyId(9), bytes: vec![round] }]);
         }
         let first = mail.out.try_recv().unwrap();
         assert_eq!(first, [Letter { to: 9, bytes: vec![0] }]);
--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::error::ServeError;
 use crate::kept;
 use dewpier_operate::calls::{self, Call};
-use dewpier_peers::{Name, Peers, Process};
+use dewpier_peers::{Peers, Process, ProxyId};
 use dewpier_verdicts::{
     End, Kind, Known, Member, NodeId, Origin, Report, Rulings, Says, Snapshot, SnapshotError, Verdicts, When,
 };
@@ -66,7 +66,7 @@
     state: RefCell<State>,
     told: Told,
     start: Instant,
-    me: Name,
+    me: ProxyId,
     classes: Vec<String>,
 }
 
@@ -89,9 +89,9 @@
         let now = lead(&told);
         // Not zero, which stands for nobody.
         let life = (crate::feed::seed() as u32).max(1);
-        let me = Process { name: Name::of(&told.name), life };
-        let others: Vec<Name> = told.peers.iter().map(|name| Name::of(name)).collect();
-        let partners = dewpier_peers::partners(me.name, &others).len();
+        let me = Process { proxy: ProxyId::from_name(&told.name), incarnation: life };
+        let others: Vec<ProxyId> = told.peers.iter().map(|name| ProxyId::from_name(name)).collect();
+        let partners = dewpier_peers::partners(me.proxy, &others).len();
         let due = partners.max(1) as f64 / told.every.as_secs_f64();
         let peers = Peers::new(
             dewpier_peers::Settings {
@@ -107,7 +107,7 @@
         let verdicts = Verdicts::new(told.verdicts.clone(), me, zone, classes.len(), partners, now);
         let rulings = Rulings::new(Origin::of(me));
         let (nodes, names, believed) = (HashMap::new(), HashMap::new(), HashMap::new());
-        let before = told.snapshot.as_deref().and_then(|path| match read(path, &told, me.name) {
+        let before = told.snapshot.as_deref().and_then(|path| match read(path, &told, me.proxy) {
             Ok(before) => before,
             Err(error) => {
                 tracing::warn!(file = %path.display(), error, "no snapshot is taken up");
@@ -116,7 +116,7 @@
         });
         let snapshots = Snapshots::default();
         let state = State { peers, verdicts, rulings, nodes, names, believed, before, snapshots };
-        Rc::new(Self { state: RefCell::new(state), told, start, me: me.name, classes })
+        Rc::new(Self { state: RefCell::new(state), told, start, me: me.proxy, classes })
     }
 
     fn now(&self) -> Duration {
@@ -133,7 +133,7 @@
             Err(error) => return tracing::warn!(%error, "no snapshot is taken up"),
         };
         let State { verdicts, rulings, .. } = state;
-        let others: HashSet<Name> = self.told.peers.iter().map(|name| Name::of(name)).collect();
+        let others: HashSet<ProxyId> = self.told.peers.iter().map(|name| ProxyId::from_name(name)).collect();
         let mut known = Known { verdicts, rulings, classes: &self.classes };
         let taken = snapshot.take_up(&mut known, |name| others.contains(&name), age, now);
         tracing::info!(
@@ -407,7 +407,7 @@
 }
 
 /// What a process before this one knew, how long ago, and when that was read. None where nothing was kept.
-fn read(path: &Path, told: &Told, me: Name) -> Result<Option<(Snapshot, Duration, When)>, String> {
+fn read(path: &Path, told: &Told, me: ProxyId) -> Result<Option<(Snapshot, Duration, When)>, String> {
     let Some(bytes) = kept::read(path).map_err(|error| error.to_string())? else { return Ok(None) };
     let now = kept::now().map_err(|error| error.to_string())?;
     let (snapshot, age) =
--- a/crates/dewpier/src/run.rs
+++ b/crates/dewpier/src/run.rs
@@ -14,7 +14,7 @@
 use dewpier_http::server::{self, Server};
 use dewpier_operate::figures::Figures;
 use dewpier_operate::io as operators;
-use dewpier_peers::Name;
+use dewpier_peers::ProxyId;
 use gannetproxy::engine::Engine;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -52,7 +52,7 @@
         config;
     let (by_planners, mail) = match &fleet {
         Some(told) if told.carrier == Carrier::Planners => {
-            let (fleet, mail) = carried::by_planners(Name::of(&told.name));
+            let (fleet, mail) = carried::by_planners(ProxyId::from_name(&told.name));
             (Some(fleet), Some(mail))
         }
         _ => (None, None),
--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Twelve processes of the program before eight nodes, with little traffic each, that tell each other what they
 //! see; nodes turn bad, and links between the processes fail.
 
-use dewpier_peers::{Key, Name, Peers, Process, Topic, TopicHandler};
+use dewpier_peers::{Key, Peers, Process, ProxyId, Topic, TopicHandler};
 use dewpier_standins::backend::Backend;
 use dewpier_standins::mesh::Way;
 use dewpier_standins::{LONG, wait_for};
@@ -163,7 +163,7 @@
         dewpier_verdicts::TOPIC
     }
 
-    fn write_payload(&mut self, _: Name, _: usize, _: Duration) -> Vec<u8> {
+    fn write_payload(&mut self, _: ProxyId, _: usize, _: Duration) -> Vec<u8> {
         let mut bytes = Vec::new();
         self.1 += 1;
         for node in &self.0 {
@@ -181,10 +181,10 @@
 
 impl Liar {
     fn start(world: &World) -> Self {
-        let name = |i: usize| Name::of(&format!("proxy-{i}"));
+        let name = |i: usize| ProxyId::from_name(&format!("proxy-{i}"));
         let socket = UdpSocket::bind(world.0.mesh.listen[PROXIES]).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
-        let to: Vec<(Name, SocketAddr)> =
+        let to: Vec<(ProxyId, SocketAddr)> =
             (0..PROXIES).map(|i| (name(i), world.0.mesh.inlet(PROXIES, i))).collect();
         let id = |(i, b): (usize, &Backend)| NodeId::of(&format!("pricing-{i:02}"), &b.address.to_string());
         let nodes: Vec<NodeId> = world.0.nodes.iter().enumerate().map(id).collect();
@@ -194,7 +194,7 @@
         let thread = std::thread::spawn(move || {
             let start = Instant::now();
             let (every, stale) = (Duration::from_millis(EVERY), Duration::from_secs(4));
-            let me = Process { name: name(PROXIES), life: 1 };
+            let me = Process { proxy: name(PROXIES), incarnation: 1 };
             let key = Key::from_secret(SECRET);
             let others = (0..PROXIES).map(name).collect();
             let settings = dewpier_peers::Settings { me, others, every, stale, most_taken: 10_000, key };
--- a/crates/dewpier/tests/snapshot.rs
+++ b/crates/dewpier/tests/snapshot.rs
@@ -1,7 +1,7 @@
 //! Processes of a fleet that are killed all at once and go on from what they knew, and what becomes of a file that can't
 //! be gone by; and a node that is another process, of which what is known must not count.
 
-use dewpier_peers::{Key, Name};
+use dewpier_peers::{Key, ProxyId};
 use dewpier_standins::wait_for;
 use dewpier_trials::schedule::Size;
 use dewpier_trials::stage::{SECRET, Settings, Stage};
@@ -116,7 +116,7 @@
     let mut said = said.to_vec();
     let at = u64::from_be_bytes(said[26..34].try_into().unwrap()) + by.as_millis() as u64;
     said[26..34].copy_from_slice(&at.to_be_bytes());
-    let seal = Key::from_secret(SECRET).seal(Name::of(&format!("proxy-{proxy}")), &said);
+    let seal = Key::from_secret(SECRET).seal(ProxyId::from_name(&format!("proxy-{proxy}")), &said);
     said.extend(seal);
     said
 }
--- a/crates/peers/src/core.rs
+++ b/crates/peers/src/core.rs
@@ -1,7 +1,7 @@
 //! The core: who is there, what counts, and what is written to whom.
 
 use crate::wire::{self, Head, MOST_BYTES, ROOM};
-use crate::{Name, Now, Process, Settings, TopicHandler, partners};
+use crate::{MonotonicTime, Process, ProxyId, Settings, TopicHandler, partners};
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 use thiserror::Error;
@@ -71,8 +71,8 @@
     highest: u32,
     window: u64,
     /// When it last proved to have heard this process: when the question was asked that it answered.
-    proven: Option<Now>,
-    heard: Now,
+    proven: Option<MonotonicTime>,
+    heard: MonotonicTime,
 }
 
 impl Known {
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
     /// To whom.
-    pub to: Name,
+    pub to: ProxyId,
     /// What.
     pub bytes: Vec<u8>,
 }
@@ -106,22 +106,22 @@
 /// One process among others. What it keeps is bounded by the names that it was told.
 pub struct Peers {
     settings: Settings,
-    partners: Vec<Name>,
+    partners: Vec<ProxyId>,
     known: BTreeMap<Process, Known>,
-    names: HashSet<Name>,
+    names: HashSet<ProxyId>,
     count: u32,
     /// Datagrams that may be looked at, and since when that was counted.
     room: f64,
-    filled: Now,
+    filled: MonotonicTime,
     /// Datagrams so far.
     pub counts: DatagramCounts,
 }
 
 impl Peers {
     /// One that has heard of nobody.
-    pub fn new(settings: Settings, now: Now) -> Self {
-        let partners = partners(settings.me.name, &settings.others);
-        let names = settings.others.iter().copied().chain([settings.me.name]).collect();
+    pub fn new(settings: Settings, now: MonotonicTime) -> Self {
+        let partners = partners(settings.me.proxy, &settings.others);
+        let names = settings.others.iter().copied().chain([settings.me.proxy]).collect();
         let room = f64::from(settings.most_taken);
         Self {
             settings,
@@ -136,21 +136,25 @@
     }
 
     /// Whom it writes to.
-    pub fn partners(&self) -> &[Name] {
+    pub fn partners(&self) -> &[ProxyId] {
         &self.partners
     }
 
     /// Partners that have answered a question that is not older than the bound.
-    pub fn answering(&self, now: Now) -> usize {
+    pub fn answering(&self, now: MonotonicTime) -> usize {
         let fresh =
             |known: &Known| known.proven.is_some_and(|at| now.saturating_sub(at) <= self.settings.stale);
-        let answering: HashSet<Name> =
-            self.known.iter().filter(|(_, k)| fresh(k)).map(|(p, _)| p.name).collect();
+        let answering: HashSet<ProxyId> =
+            self.known.iter().filter(|(_, k)| fresh(k)).map(|(p, _)| p.proxy).collect();
         answering.len()
     }
 
     /// Writes to every partner. To be called every [`Settings::every`].
-    pub fn round(&mut self, now: Now, carried: &mut [&mut dyn TopicHandler]) -> Vec<OutgoingDatagram> {
+    pub fn round(
+        &mut self,
+        now: MonotonicTime,
+        carried: &mut [&mut dyn TopicHandler],
+    ) -> Vec<OutgoingDatagram> {
         self.known.retain(|_, known| now.saturating_sub(known.heard) <= 2 * self.settings.stale);
         let mut outs = Vec::with_capacity(self.partners.len());
         for &to in &self.partners {
@@ -164,9 +168,9 @@
                 }
             }
             // An old and a new process of a name may listen at one address: each is answered in turn.
-            let lives: Vec<_> = self.known.iter().filter(|(process, _)| process.name == to).collect();
+            let lives: Vec<_> = self.known.iter().filter(|(process, _)| process.proxy == to).collect();
             let turn = self.count as usize % lives.len().max(1);
-            let answers = lives.get(turn).map(|(process, known)| (process.life, known.question));
+            let answers = lives.get(turn).map(|(process, known)| (process.incarnation, known.question));
             self.count = self.count.wrapping_add(1);
             let head = Head { from: self.settings.me, count: self.count, question: millis(now), answers };
             let bytes = wire::write(&self.settings.key, to, head, &parts);
@@ -182,7 +186,7 @@
     pub fn receive(
         &mut self,
         bytes: &[u8],
-        now: Now,
+        now: MonotonicTime,
         carried: &mut [&mut dyn TopicHandler],
     ) -> Result<Process, DatagramRejection> {
         let heard = self.take(bytes, now, carried);
@@ -196,7 +200,7 @@
     fn take(
         &mut self,
         bytes: &[u8],
-        now: Now,
+        now: MonotonicTime,
         carried: &mut [&mut dyn TopicHandler],
     ) -> Result<Process, DatagramRejection> {
         let most = f64::from(self.settings.most_taken);
@@ -207,17 +211,20 @@
         }
         self.room -= 1.0;
         let me = self.settings.me;
-        let (head, parts) = wire::read(&self.settings.key, me.name, bytes)?;
-        if head.from == me || !self.names.contains(&head.from.name) {
+        let (head, parts) = wire::read(&self.settings.key, me.proxy, bytes)?;
+        if head.from == me || !self.names.contains(&head.from.proxy) {
             return Err(DatagramRejection::Stranger);
         }
         // How old its question is nobody knows: all that it can bring about is an answer to it.
-        let proven = head.answers.filter(|(life, _)| *life == me.life).map(|(_, at)| since(now, at));
+        let proven = head
+            .answers
+            .filter(|(incarnation, _)| *incarnation == me.incarnation)
+            .map(|(_, at)| since(now, at));
         let fresh = proven.filter(|age| *age <= self.settings.stale);
         let known = match self.known.get_mut(&head.from) {
             Some(known) => known,
             None => {
-                self.make_room(head.from.name);
+                self.make_room(head.from.proxy);
                 let new = Known {
                     question: head.question,
                     highest: head.count,
@@ -248,9 +255,9 @@
     }
 
     /// A third process of a name takes the place of the one that was silent for longest.
-    fn make_room(&mut self, name: Name) {
-        let of_name: Vec<(Now, Process)> =
-            self.known.iter().filter(|(p, _)| p.name == name).map(|(p, known)| (known.heard, *p)).collect();
+    fn make_room(&mut self, name: ProxyId) {
+        let of_name: Vec<(MonotonicTime, Process)> =
+            self.known.iter().filter(|(p, _)| p.proxy == name).map(|(p, known)| (known.heard, *p)).collect();
         if of_name.len() >= MOST_LIVES
             && let Some((_, oldest)) = of_name.into_iter().min()
         {
@@ -260,11 +267,11 @@
 }
 
 /// Milliseconds since the start, rounded down; they begin anew after 49 days.
-fn millis(now: Now) -> u32 {
+fn millis(now: MonotonicTime) -> u32 {
     now.as_millis() as u32
 }
 
 /// How long ago that was, rounded up. A question of the future, which nobody can answer, comes out as very old.
-fn since(now: Now, at: u32) -> Duration {
+fn since(now: MonotonicTime, at: u32) -> Duration {
     Duration::from_millis(u64::from(millis(now).wrapping_sub(at)) + 1)
 }
--- a/crates/peers/src/io/mod.rs
+++ b/crates/peers/src/io/mod.rs
@@ -4,7 +4,7 @@
 
 pub use udp::UdpTransport;
 
-use crate::{DatagramRejection, MOST_BYTES, Now, OutgoingDatagram, Peers, TopicHandler};
+use crate::{DatagramRejection, MOST_BYTES, MonotonicTime, OutgoingDatagram, Peers, TopicHandler};
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 pub async fn run(
     mut way: impl Transport,
     every: Duration,
-    now: impl Fn() -> Now,
+    now: impl Fn() -> MonotonicTime,
     with: impl Fn(&mut dyn FnMut(&mut Peers, &mut [&mut dyn TopicHandler])),
 ) -> io::Error {
     let mut rounds = tokio::time::interval(every);
--- a/crates/peers/src/io/udp.rs
+++ b/crates/peers/src/io/udp.rs
@@ -1,7 +1,7 @@
 //! Datagrams over UDP, by address.
 
 use super::Transport;
-use crate::{Name, OutgoingDatagram};
+use crate::{OutgoingDatagram, ProxyId};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
     /// Where datagrams come.
     pub socket: UdpSocket,
     /// The addresses of the others.
-    pub addresses: HashMap<Name, SocketAddr>,
+    pub addresses: HashMap<ProxyId, SocketAddr>,
 }
 
 impl Transport for UdpTransport {
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -32,15 +32,15 @@
 use std::time::Duration;
 
 /// A point in time, since the process's own start.
-pub type Now = Duration;
+pub type MonotonicTime = Duration;
 
 /// A proxy, by the hash of its name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Name(pub u64);
+pub struct ProxyId(pub u64);
 
-impl Name {
+impl ProxyId {
     /// That of a proxy with this name.
-    pub fn of(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
     }
 }
@@ -49,9 +49,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Process {
     /// Its proxy's name.
-    pub name: Name,
+    pub proxy: ProxyId,
     /// Drawn at its start.
-    pub life: u32,
+    pub incarnation: u32,
 }
 
 /// What a part of a datagram is about.
@@ -64,11 +64,11 @@
     fn topic(&self) -> Topic;
 
     /// At most `room` bytes for that partner. Empty: nothing to say.
-    fn write_payload(&mut self, to: Name, room: usize, now: Now) -> Vec<u8>;
+    fn write_payload(&mut self, to: ProxyId, room: usize, now: MonotonicTime) -> Vec<u8>;
 
     /// Bytes that a process wrote at most `age` ago. False where they can't be read: nothing of them may have
     /// been taken in then.
-    fn receive(&mut self, from: Process, age: Duration, bytes: &[u8], now: Now) -> bool;
+    fn receive(&mut self, from: Process, age: Duration, bytes: &[u8], now: MonotonicTime) -> bool;
 }
 
 /// What a proxy is told of its fleet at its start.
@@ -77,7 +77,7 @@
     /// This process.
     pub me: Process,
     /// All proxies by name, this one or not.
-    pub others: Vec<Name>,
+    pub others: Vec<ProxyId>,
     /// How often each partner is written to.
     pub every: Duration,
     /// What answers an older question than that counts for nothing.
--- a/crates/peers/src/partners.rs
+++ b/crates/peers/src/partners.rs
@@ -1,7 +1,7 @@
 //! With whom a proxy talks: with all in a small fleet, in a larger one with those at doubling distances round a
 //! ring of all names.
 
-use crate::Name;
+use crate::ProxyId;
 use std::collections::BTreeSet;
 
 /// Up to so many others there is a datagram from each to each.
@@ -14,8 +14,8 @@
 ///
 /// Names are put in the order of their hashes, so that neighbours in the list of an operator, who often fail
 /// together, are not neighbours here.
-pub fn partners(me: Name, all: &[Name]) -> Vec<Name> {
-    let ring: Vec<Name> = all.iter().copied().chain([me]).collect::<BTreeSet<_>>().into_iter().collect();
+pub fn partners(me: ProxyId, all: &[ProxyId]) -> Vec<ProxyId> {
+    let ring: Vec<ProxyId> = all.iter().copied().chain([me]).collect::<BTreeSet<_>>().into_iter().collect();
     let Ok(place) = ring.binary_search(&me) else { return Vec::new() };
     let count = ring.len();
     if count <= ALL_TO_ALL + 1 {
@@ -36,8 +36,8 @@
     use super::*;
     use std::collections::{HashMap, VecDeque};
 
-    fn names(count: u64) -> Vec<Name> {
-        (0..count).map(|i| Name::of(&format!("proxy-{i}"))).collect()
+    fn names(count: u64) -> Vec<ProxyId> {
+        (0..count).map(|i| ProxyId::from_name(&format!("proxy-{i}"))).collect()
     }
 
     #[test]
@@ -46,7 +46,7 @@
             [(1, 0, 0), (2, 1, 1), (17, 16, 1), (18, 8, 5), (300, 17, 9), (1000, 19, 10)]
         {
             let all = names(count);
-            let of: HashMap<Name, Vec<Name>> = all.iter().map(|n| (*n, partners(*n, &all))).collect();
+            let of: HashMap<ProxyId, Vec<ProxyId>> = all.iter().map(|n| (*n, partners(*n, &all))).collect();
             for (name, theirs) in &of {
                 assert!(theirs.len() <= most, "{count}: {}", theirs.len());
                 assert!(theirs.iter().all(|other| of[other].contains(name)), "{count}: a pair of one side");
@@ -71,7 +71,7 @@
     fn it_is_found_among_names_that_do_not_hold_it_and_doubled_ones() {
         let mut all = names(5);
         all.extend(names(5));
-        let others = partners(Name::of("new"), &all);
+        let others = partners(ProxyId::from_name("new"), &all);
         assert_eq!(others.len(), 5);
     }
 }
--- a/crates/peers/src/seal.rs
+++ b/crates/peers/src/seal.rs
@@ -1,7 +1,7 @@
 //! What a proxy keeps for itself, sealed with the fleet's key: who comes after it at the same place knows that it is
 //! whole, and whose it is.
 
-use crate::{Key, Name};
+use crate::{Key, ProxyId};
 
 /// Bytes of a seal.
 pub const SEAL: usize = 16;
@@ -9,7 +9,7 @@
 const CONTEXT: &str = "dewpier-peers kept state 1";
 
 impl Key {
-    fn kept(&self, of: Name, bytes: &[u8]) -> blake3::Hash {
+    fn kept(&self, of: ProxyId, bytes: &[u8]) -> blake3::Hash {
         let key = blake3::derive_key(CONTEXT, self.bytes());
         let mut hasher = blake3::Hasher::new_keyed(&key);
         hasher.update(&of.0.to_be_bytes()).update(bytes);
@@ -17,14 +17,14 @@
     }
 
     /// The seal of a proxy on bytes.
-    pub fn seal(&self, of: Name, bytes: &[u8]) -> [u8; SEAL] {
+    pub fn seal(&self, of: ProxyId, bytes: &[u8]) -> [u8; SEAL] {
         let mut seal = [0; SEAL];
         seal.copy_from_slice(&self.kept(of, bytes).as_bytes()[..SEAL]);
         seal
     }
 
     /// Whether that proxy sealed these bytes with this key.
-    pub fn sealed(&self, of: Name, bytes: &[u8], seal: &[u8]) -> bool {
+    pub fn sealed(&self, of: ProxyId, bytes: &[u8], seal: &[u8]) -> bool {
         let Ok(seal) = <[u8; SEAL]>::try_from(seal) else { return false };
         let expected = self.kept(of, bytes);
         let mut told = *expected.as_bytes();
@@ -40,7 +40,7 @@
     #[test]
     fn a_seal_is_of_one_proxy_one_key_and_all_bytes() {
         let (key, other) = (Key::from_secret(b"a secret of a fleet"), Key::from_secret(b"another one's"));
-        let (me, you) = (Name::of("me"), Name::of("you"));
+        let (me, you) = (ProxyId::from_name("me"), ProxyId::from_name("you"));
         let seal = key.seal(me, b"what is kept");
         assert!(key.sealed(me, b"what is kept", &seal));
         assert!(!key.sealed(you, b"what is kept", &seal) && !other.sealed(me, b"what is kept", &seal));
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -4,17 +4,17 @@
 //! | --- | --- |
 //! | 1 | `0xd7` |
 //! | 1 | version, 1 |
-//! | 8, 4 | the sender: hash of its name, life |
+//! | 8, 4 | the sender: hash of its name, incarnation |
 //! | 4 | its counter |
 //! | 4 | its question: milliseconds since its start |
-//! | 4, 4 | what it answers: life and question of the receiver; zeros for none |
+//! | 4, 4 | what it answers: incarnation and question of the receiver; zeros for none |
 //! | 1, 1, n | a topic, a length and as many bytes; any number of these |
 //! | 16 | BLAKE3 of all before, and of the receiver's name, keyed |
 //!
 //! A version whose number is higher may add topics, which are passed over where they are not known; what comes
 //! before them stays.
 
-use crate::{DatagramRejection, Name, Process, Topic};
+use crate::{DatagramRejection, Process, ProxyId, Topic};
 
 /// Bytes of the longest datagram: what fits everywhere, and what the platform allows.
 pub const MOST_BYTES: usize = 256;
@@ -56,19 +56,19 @@
     pub answers: Option<(u32, u32)>,
 }
 
-fn hash(key: &Key, to: Name, bytes: &[u8]) -> blake3::Hash {
+fn hash(key: &Key, to: ProxyId, bytes: &[u8]) -> blake3::Hash {
     let mut hasher = blake3::Hasher::new_keyed(&key.0);
     hasher.update(&to.0.to_be_bytes()).update(bytes);
     hasher.finalize()
 }
 
 /// The bytes of a datagram. What does not fit is left out whole.
-pub(crate) fn write(key: &Key, to: Name, head: Head, parts: &[(Topic, Vec<u8>)]) -> Vec<u8> {
+pub(crate) fn write(key: &Key, to: ProxyId, head: Head, parts: &[(Topic, Vec<u8>)]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(MOST_BYTES);
     bytes.extend([MAGIC, VERSION]);
-    bytes.extend(head.from.name.0.to_be_bytes());
-    let (life, question) = head.answers.unwrap_or_default();
-    for number in [head.from.life, head.count, head.question, life, question] {
+    bytes.extend(head.from.proxy.0.to_be_bytes());
+    let (incarnation, question) = head.answers.unwrap_or_default();
+    for number in [head.from.incarnation, head.count, head.question, incarnation, question] {
         bytes.extend(number.to_be_bytes());
     }
     for (topic, part) in parts {
@@ -94,7 +94,11 @@
 pub(crate) type Parts<'a> = Vec<(Topic, &'a [u8])>;
 
 /// Reads a datagram that came to `me`, whole or not at all.
-pub(crate) fn read<'a>(key: &Key, me: Name, bytes: &'a [u8]) -> Result<(Head, Parts<'a>), DatagramRejection> {
+pub(crate) fn read<'a>(
+    key: &Key,
+    me: ProxyId,
+    bytes: &'a [u8],
+) -> Result<(Head, Parts<'a>), DatagramRejection> {
     if bytes.len() > MOST_BYTES || bytes.len() < HEAD + HASH || bytes[0] != MAGIC {
         return Err(DatagramRejection::Unreadable);
     }
@@ -112,9 +116,9 @@
     }
     let mut rest = &said[2..];
     let unreadable = DatagramRejection::Unreadable;
-    let name = Name(u64::from_be_bytes(number(&mut rest).ok_or(unreadable)?));
+    let name = ProxyId(u64::from_be_bytes(number(&mut rest).ok_or(unreadable)?));
     let mut next = || number(&mut rest).map(u32::from_be_bytes).ok_or(unreadable);
-    let [life, count, question, answered, at] = [next()?, next()?, next()?, next()?, next()?];
+    let [incarnation, count, question, answered, at] = [next()?, next()?, next()?, next()?, next()?];
     let mut parts = Vec::new();
     while let Some([topic, length]) = number(&mut rest) {
         let part = rest.split_at_checked(usize::from(length)).ok_or(unreadable)?;
@@ -125,5 +129,5 @@
         return Err(unreadable);
     }
     let answers = (answered != 0).then_some((answered, at));
-    Ok((Head { from: Process { name, life }, count, question, answers }, parts))
+    Ok((Head { from: Process { proxy: name, incarnation }, count, question, answers }, parts))
 }
--- a/crates/peers/tests/network.rs
+++ b/crates/peers/tests/network.rs
@@ -23,12 +23,12 @@
         Topic(7)
     }
 
-    fn write_payload(&mut self, _: Name, room: usize, _: Now) -> Vec<u8> {
+    fn write_payload(&mut self, _: ProxyId, room: usize, _: MonotonicTime) -> Vec<u8> {
         assert!(room >= 8);
         (self.truth.as_micros() as u64).to_be_bytes().to_vec()
     }
 
-    fn receive(&mut self, _: Process, age: Duration, bytes: &[u8], _: Now) -> bool {
+    fn receive(&mut self, _: Process, age: Duration, bytes: &[u8], _: MonotonicTime) -> bool {
         let Ok(bytes) = bytes.try_into() else { return false };
         let made = Duration::from_micros(u64::from_be_bytes(bytes));
         self.heard.push((self.truth - made, age));
@@ -36,10 +36,10 @@
     }
 }
 
-fn settings(number: usize, count: usize, life: u32) -> Settings {
-    let name = |i: usize| Name::of(&format!("proxy-{i}"));
+fn settings(number: usize, count: usize, incarnation: u32) -> Settings {
+    let name = |i: usize| ProxyId::from_name(&format!("proxy-{i}"));
     Settings {
-        me: Process { name: name(number), life },
+        me: Process { proxy: name(number), incarnation },
         others: (0..count).map(name).collect(),
         every: EVERY,
         stale: STALE,
@@ -57,8 +57,8 @@
 }
 
 impl One {
-    fn new(number: usize, count: usize, life: u32, ahead: Duration) -> Self {
-        let peers = Peers::new(settings(number, count, life), ahead);
+    fn new(number: usize, count: usize, incarnation: u32, ahead: Duration) -> Self {
+        let peers = Peers::new(settings(number, count, incarnation), ahead);
         Self { peers, said: Said::default(), start: ahead, stands_until: Duration::ZERO }
     }
 }
@@ -69,7 +69,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let ahead = |rng: &mut SmallRng| Duration::from_millis(rng.random_range(0..u64::from(u32::MAX) * 2));
     let mut all: Vec<One> = (0..count).map(|i| One::new(i, count, i as u32 + 1, ahead(&mut rng))).collect();
-    let mut life = 1000;
+    let mut incarnation = 1000;
     // When they come, to whom, when they were said, what. Kept for long, as those are that wait in the socket of one that stands.
     let mut under_way: Vec<(Duration, usize, Duration, Vec<u8>)> = Vec::new();
     let mut cut = vec![vec![Duration::ZERO; count]; count];
@@ -83,9 +83,9 @@
                     now + Duration::from_secs(rng.random_range(1..12))
             }
             1 => {
-                life += 1;
+                incarnation += 1;
                 let who = rng.random_range(0..count);
-                all[who] = One::new(who, count, life, ahead(&mut rng) + now);
+                all[who] = One::new(who, count, incarnation, ahead(&mut rng) + now);
                 all[who].start -= now;
             }
             // One way alone.
@@ -122,7 +122,7 @@
                 continue;
             }
             for out in one.peers.round(own, &mut [&mut one.said]) {
-                let to = (0..count).find(|i| Name::of(&format!("proxy-{i}")) == out.to).unwrap();
+                let to = (0..count).find(|i| ProxyId::from_name(&format!("proxy-{i}")) == out.to).unwrap();
                 for _ in 0..if rng.random_bool(0.1) { 2 } else { 1 } {
                     // Now and then one comes again long after.
                     let wait = if rng.random_bool(0.02) { 20_000 } else { rng.random_range(0..400) };
@@ -193,7 +193,7 @@
             one.said.truth = now;
             last = one.peers.round(now, &mut [&mut one.said]);
             for out in &last {
-                let to = (0..3).find(|i| Name::of(&format!("proxy-{i}")) == out.to).unwrap();
+                let to = (0..3).find(|i| ProxyId::from_name(&format!("proxy-{i}")) == out.to).unwrap();
                 let to = &mut all[to];
                 to.said.truth = now;
                 let _ = to.peers.receive(&out.bytes, now, &mut [&mut to.said]);
@@ -201,7 +201,7 @@
         }
     }
     let now = EVERY * 4;
-    let to = (0..3).find(|i| Name::of(&format!("proxy-{i}")) == last[0].to).unwrap();
+    let to = (0..3).find(|i| ProxyId::from_name(&format!("proxy-{i}")) == last[0].to).unwrap();
     let one = &mut all[to];
     assert_eq!(one.peers.receive(&last[0].bytes, now, &mut [&mut one.said]), Err(DatagramRejection::Doubled));
     let other = &mut all[(0..2).find(|i| *i != to).unwrap()];
@@ -257,32 +257,41 @@
 #[test]
 fn an_old_and_a_new_process_of_one_name_both_count_and_strangers_do_not() {
     let mut one = One::new(0, 3, 1, Duration::ZERO);
-    let mut lives: Vec<One> = (10..13).map(|life| One::new(1, 3, life, Duration::ZERO)).collect();
+    let mut lives: Vec<One> =
+        (10..13).map(|incarnation| One::new(1, 3, incarnation, Duration::ZERO)).collect();
     for round in 1..12 {
         let now = EVERY * round;
         one.said.truth = now;
-        for life in &mut lives[..2] {
-            life.said.truth = now;
-            for out in
-                life.peers.round(now, &mut [&mut life.said]).iter().filter(|o| o.to == Name::of("proxy-0"))
+        for incarnation in &mut lives[..2] {
+            incarnation.said.truth = now;
+            for out in incarnation
+                .peers
+                .round(now, &mut [&mut incarnation.said])
+                .iter()
+                .filter(|o| o.to == ProxyId::from_name("proxy-0"))
             {
                 let _ = one.peers.receive(&out.bytes, now, &mut [&mut one.said]);
             }
         }
-        for out in one.peers.round(now, &mut [&mut one.said]).iter().filter(|o| o.to == Name::of("proxy-1")) {
-            for life in &mut lives[..2] {
-                let _ = life.peers.receive(&out.bytes, now, &mut [&mut life.said]);
+        for out in one
+            .peers
+            .round(now, &mut [&mut one.said])
+            .iter()
+            .filter(|o| o.to == ProxyId::from_name("proxy-1"))
+        {
+            for incarnation in &mut lives[..2] {
+                let _ = incarnation.peers.receive(&out.bytes, now, &mut [&mut incarnation.said]);
             }
         }
     }
     assert!(one.said.heard.len() >= 8, "{}", one.said.heard.len());
     let mut stranger = Peers::new(
-        Settings { me: Process { name: Name::of("nobody"), life: 5 }, ..settings(1, 3, 5) },
+        Settings { me: Process { proxy: ProxyId::from_name("nobody"), incarnation: 5 }, ..settings(1, 3, 5) },
         Duration::ZERO,
     );
     let mut nothing = Said::default();
     let out = stranger.round(EVERY, &mut [&mut nothing]);
-    let to_one = out.iter().find(|o| o.to == Name::of("proxy-0")).unwrap();
+    let to_one = out.iter().find(|o| o.to == ProxyId::from_name("proxy-0")).unwrap();
     let heard = one.peers.receive(&to_one.bytes, EVERY * 12, &mut [&mut one.said]);
     assert_eq!(heard, Err(DatagramRejection::Stranger));
 }
@@ -304,11 +313,11 @@
         Topic(200)
     }
 
-    fn write_payload(&mut self, _: Name, _: usize, _: Now) -> Vec<u8> {
+    fn write_payload(&mut self, _: ProxyId, _: usize, _: MonotonicTime) -> Vec<u8> {
         vec![1, 2, 3]
     }
 
-    fn receive(&mut self, _: Process, _: Duration, _: &[u8], _: Now) -> bool {
+    fn receive(&mut self, _: Process, _: Duration, _: &[u8], _: MonotonicTime) -> bool {
         true
     }
 }
--- a/crates/verdicts/src/pool.rs
+++ b/crates/verdicts/src/pool.rs
@@ -7,7 +7,7 @@
 use crate::judge::{Claim, Kind, Weighed, weigh};
 use crate::wire::{AGE_UNIT, ENTRY, Entry, MOST_AGE};
 use crate::{NodeId, Says, Settings, trial};
-use dewpier_peers::{Name, Process, Topic, TopicHandler};
+use dewpier_peers::{Process, ProxyId, Topic, TopicHandler};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::Duration;
@@ -25,8 +25,8 @@
 impl Origin {
     /// That of a process.
     pub fn of(process: Process) -> Self {
-        let mut bytes = process.name.0.to_be_bytes().to_vec();
-        bytes.extend(process.life.to_be_bytes());
+        let mut bytes = process.proxy.0.to_be_bytes().to_vec();
+        bytes.extend(process.incarnation.to_be_bytes());
         Self(xxhash_rust::xxh3::xxh3_64(&bytes) as u32)
     }
 }
@@ -43,7 +43,7 @@
 /// A word of another proxy.
 #[derive(Clone, Copy, Debug)]
 struct Word {
-    life: u32,
+    incarnation: u32,
     entry: Entry,
     /// It was said no earlier, on this clock.
     made: Duration,
@@ -56,7 +56,7 @@
 struct Standing {
     /// Who has sent there since it began, or shortly before: others do not, as the node is not among those that they
     /// draw from, and can't try it. At most as many as there are words.
-    met: BTreeSet<Name>,
+    met: BTreeSet<ProxyId>,
     /// This proxy is one of them.
     mine: bool,
     kind: Kind,
@@ -115,7 +115,7 @@
     known: HashSet<NodeId>,
     came: came::Came,
     /// By node, by who saw it.
-    words: HashMap<NodeId, BTreeMap<Name, Word>>,
+    words: HashMap<NodeId, BTreeMap<ProxyId, Word>>,
     standing: HashMap<NodeId, Standing>,
     out: HashSet<NodeId>,
     /// Those that an operator keeps out.
@@ -134,7 +134,7 @@
     partners: usize,
     answering: usize,
     /// Where the next datagram to each partner begins among what there is to say.
-    turns: BTreeMap<Name, usize>,
+    turns: BTreeMap<ProxyId, usize>,
 }
 
 impl Verdicts {
@@ -456,7 +456,7 @@
     }
 
     /// What was seen of nodes that are in question, in turns where there is more than fits.
-    fn write_payload(&mut self, to: Name, room: usize, now: Duration) -> Vec<u8> {
+    fn write_payload(&mut self, to: ProxyId, room: usize, now: Duration) -> Vec<u8> {
         self.version = self.version.wrapping_add(1);
         let fits = room / ENTRY;
         let seen = |node: NodeId| self.seen.get(&node).copied().unwrap_or_default();
@@ -492,13 +492,14 @@
             let rested = entry.claim.map(rested).filter(|rested| self.sampled && *rested <= window);
             let rests = rested.map(|rested| now.saturating_sub(rested));
             let words = self.words.entry(entry.node).or_default();
-            let new = Word { life: from.life, entry, made, rests };
-            match words.get_mut(&from.name) {
+            let new = Word { incarnation: from.incarnation, entry, made, rests };
+            match words.get_mut(&from.proxy) {
                 // It came late: what is here was said after it.
-                Some(word) if word.life == from.life && older(entry.version, word.entry.version) => {}
+                Some(word)
+                    if word.incarnation == from.incarnation && older(entry.version, word.entry.version) => {}
                 Some(word) => *word = new,
                 None => {
-                    words.insert(from.name, new);
+                    words.insert(from.proxy, new);
                 }
             }
             if words.len() > MOST_WORDS {
--- a/crates/verdicts/src/pool/kept.rs
+++ b/crates/verdicts/src/pool/kept.rs
@@ -5,7 +5,7 @@
 use crate::snapshot::{KeptStanding, KeptWord, millis_up};
 use crate::wire::{ENTRY, Entry};
 use crate::{NodeId, Settings};
-use dewpier_peers::Name;
+use dewpier_peers::ProxyId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -22,13 +22,13 @@
     /// Words of others, the youngest first.
     pub(crate) fn kept_words(&self, now: Duration) -> Vec<KeptWord> {
         let all = self.words.iter().flat_map(|(node, words)| words.iter().map(move |word| (node, word)));
-        let kept = |(node, (name, word)): (&NodeId, (&Name, &Word))| {
+        let kept = |(node, (name, word)): (&NodeId, (&ProxyId, &Word))| {
             let mut bytes = Vec::with_capacity(ENTRY);
             Entry { node: *node, ..word.entry }.write(&mut bytes);
             let entry = <[u8; ENTRY]>::try_from(bytes).ok()?;
             let age_ms = millis_up(now.saturating_sub(word.made));
             let rests_ms = word.rests.map(|rests| millis_up(now.saturating_sub(rests)));
-            Some(KeptWord { name: name.0, life: word.life, age_ms, rests_ms, entry })
+            Some(KeptWord { name: name.0, incarnation: word.incarnation, age_ms, rests_ms, entry })
         };
         let mut words: Vec<KeptWord> = all.filter_map(kept).collect();
         words.sort_by_key(|word| (word.age_ms, word.name));
@@ -57,22 +57,22 @@
     pub(crate) fn take_up_words(
         &mut self,
         kept: &[KeptWord],
-        others: impl Fn(Name) -> bool,
+        others: impl Fn(ProxyId) -> bool,
         since: Duration,
         now: Duration,
     ) -> usize {
         let mut taken = 0;
-        for word in kept.iter().filter(|word| others(Name(word.name))) {
+        for word in kept.iter().filter(|word| others(ProxyId(word.name))) {
             let entry = Entry::read(&word.entry);
             let Some(made) = made(&self.settings, word.age_ms, since, now) else { continue };
             if !self.known.contains(&entry.node) {
                 continue;
             }
             let rests = word.rests_ms.and_then(|age_ms| self::made(&self.settings, age_ms, since, now));
-            let words: &mut BTreeMap<Name, Word> = self.words.entry(entry.node).or_default();
+            let words: &mut BTreeMap<ProxyId, Word> = self.words.entry(entry.node).or_default();
             // What was heard since the start is younger.
-            if words.len() < MOST_WORDS && !words.contains_key(&Name(word.name)) {
-                words.insert(Name(word.name), Word { life: word.life, entry, made, rests });
+            if words.len() < MOST_WORDS && !words.contains_key(&ProxyId(word.name)) {
+                words.insert(ProxyId(word.name), Word { incarnation: word.incarnation, entry, made, rests });
                 taken += 1;
             }
         }
@@ -96,7 +96,7 @@
                 continue;
             }
             let began = now.saturating_sub(since.saturating_add(Duration::from_millis(held.since_ms)));
-            let met = held.met.iter().take(MOST_WORDS).map(|name| Name(*name)).collect();
+            let met = held.met.iter().take(MOST_WORDS).map(|name| ProxyId(*name)).collect();
             let claim = Claim { plain: held.plain, kind };
             let standing =
                 Standing { met, mine: held.mine, kind, claim, since: began, rests, odds: 0.0, observers: 0 };
--- a/crates/verdicts/src/ruling.rs
+++ b/crates/verdicts/src/ruling.rs
@@ -14,7 +14,7 @@
 
 use crate::snapshot::KeptRuling;
 use crate::{NodeId, Origin};
-use dewpier_peers::{Name, Process, Topic, TopicHandler};
+use dewpier_peers::{Process, ProxyId, Topic, TopicHandler};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -74,7 +74,7 @@
     origin: Origin,
     known: BTreeMap<NodeId, Ruling>,
     /// Where the next datagram to each partner begins.
-    turns: BTreeMap<Name, usize>,
+    turns: BTreeMap<ProxyId, usize>,
 }
 
 impl Rulings {
@@ -211,7 +211,7 @@
         TOPIC
     }
 
-    fn write_payload(&mut self, to: Name, room: usize, now: Duration) -> Vec<u8> {
+    fn write_payload(&mut self, to: ProxyId, room: usize, now: Duration) -> Vec<u8> {
         self.tick(now);
         let fits = (room / SIZE).min(MOST_AT_ONCE);
         let turn = self.turns.entry(to).or_default();
@@ -256,7 +256,7 @@
     const NODE: NodeId = NodeId(7);
 
     fn told(from: &mut Rulings, to: &mut Rulings, age: Duration, now: Duration) {
-        let bytes = from.write_payload(Name(1), 200, now);
+        let bytes = from.write_payload(ProxyId(1), 200, now);
         assert!(to.receive(Process::default(), age, &bytes, now));
     }
 
@@ -265,7 +265,7 @@
         let (mut a, mut b, mut c) =
             (Rulings::new(Origin(1)), Rulings::new(Origin(2)), Rulings::new(Origin(3)));
         a.rule(NODE, Some(Says::Avoid), s(10), s(100)).unwrap();
-        let late = a.write_payload(Name(1), 200, s(100));
+        let late = a.write_payload(ProxyId(1), 200, s(100));
         told(&mut a, &mut b, s(2), s(103));
         assert_eq!(b.all(s(103)).collect::<Vec<_>>(), [(NODE, Says::Avoid, s(5))]);
         told(&mut b, &mut c, s(0), s(104));
@@ -330,7 +330,7 @@
         // Each partner hears all of them, however many others there are.
         for _ in 0..MOST_RULINGS / MOST_AT_ONCE {
             told(&mut a, &mut b, s(0), s(1));
-            (2..17).for_each(|other| drop(a.write_payload(Name(other), 200, s(1))));
+            (2..17).for_each(|other| drop(a.write_payload(ProxyId(other), 200, s(1))));
         }
         assert_eq!(b.all(s(1)).count(), MOST_RULINGS);
         // One more that is heard is not taken, and takes no other's place.
@@ -363,7 +363,7 @@
                         let _ = all[a].rule(NODE, Some(Says::Avoid), s(span), s(now));
                         ends = ends.max(now + span);
                     }
-                    1 => under_way.push((now, b, all[a].write_payload(Name(1), 200, s(now)))),
+                    1 => under_way.push((now, b, all[a].write_payload(ProxyId(1), 200, s(now)))),
                     _ => {
                         for (said, to, bytes) in &under_way {
                             // At least as old as it is.
--- a/crates/verdicts/src/snapshot.rs
+++ b/crates/verdicts/src/snapshot.rs
@@ -15,7 +15,7 @@
 
 use crate::wire::ENTRY;
 use crate::{Rulings, Tally, Verdicts};
-use dewpier_peers::{Key, Name, SEAL};
+use dewpier_peers::{Key, ProxyId, SEAL};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use thiserror::Error;
@@ -100,7 +100,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct KeptWord {
     pub name: u64,
-    pub life: u32,
+    #[serde(rename = "life")]
+    pub incarnation: u32,
     pub age_ms: u64,
     pub rests_ms: Option<u64>,
     pub entry: [u8; ENTRY],
@@ -178,7 +179,7 @@
     pub fn take_up(
         &self,
         known: &mut Known,
-        others: impl Fn(Name) -> bool,
+        others: impl Fn(ProxyId) -> bool,
         since: Duration,
         now: Duration,
     ) -> TakenUp {
@@ -194,7 +195,7 @@
 
     /// The bytes that are kept, sealed for that proxy. `when` has to be read before [`Snapshot::of`], so that no age
     /// comes out smaller.
-    pub fn write(mut self, key: &Key, me: Name, when: When) -> Result<Vec<u8>, SnapshotError> {
+    pub fn write(mut self, key: &Key, me: ProxyId, when: When) -> Result<Vec<u8>, SnapshotError> {
         let fits = |bytes: &Vec<u8>| bytes.len() <= MOST_SNAPSHOT;
         let mut bytes = self.bytes(key, me, when)?;
         if !fits(&bytes) {
@@ -209,7 +210,7 @@
         Some(bytes).filter(fits).ok_or(SnapshotError::Size(MOST_SNAPSHOT + 1))
     }
 
-    fn bytes(&self, key: &Key, me: Name, when: When) -> Result<Vec<u8>, SnapshotError> {
+    fn bytes(&self, key: &Key, me: ProxyId, when: When) -> Result<Vec<u8>, SnapshotError> {
         let mut bytes = MAGIC.to_vec();
         bytes.extend(VERSION.to_be_bytes());
         bytes.extend(when.boot.to_be_bytes());
@@ -223,7 +224,7 @@
     }
 
     /// Reads what was kept, whole or not at all, and how long ago that was at `now`.
-    pub fn read(bytes: &[u8], key: &Key, me: Name, now: When) -> Result<(Self, Duration), SnapshotError> {
+    pub fn read(bytes: &[u8], key: &Key, me: ProxyId, now: When) -> Result<(Self, Duration), SnapshotError> {
         let size = SnapshotError::Size(bytes.len());
         if bytes.len() > MOST_SNAPSHOT {
             return Err(size);
--- a/crates/verdicts/tests/common/mod.rs
+++ b/crates/verdicts/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)] // not both need all of it
 
-use dewpier_peers::{Key, Name, Peers, Process, TopicHandler};
+use dewpier_peers::{Key, Peers, Process, ProxyId, TopicHandler};
 use dewpier_verdicts::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -54,7 +54,7 @@
 
 pub struct Played {
     pub proxies: Vec<Proxy>,
-    pub names: HashMap<Name, usize>,
+    pub names: HashMap<ProxyId, usize>,
     pub rng: SmallRng,
     pub now: Duration,
     pub world: World,
@@ -78,10 +78,11 @@
 
 impl Played {
     pub fn new(world: World) -> Self {
-        let all: Vec<Name> = (0..world.proxies).map(|i| Name::of(&format!("proxy-{i}"))).collect();
+        let all: Vec<ProxyId> =
+            (0..world.proxies).map(|i| ProxyId::from_name(&format!("proxy-{i}"))).collect();
         let proxies: Vec<Proxy> = (0..world.proxies)
             .map(|i| {
-                let me = Process { name: all[i], life: 7 };
+                let me = Process { proxy: all[i], incarnation: 7 };
                 let mut settings = world.settings.clone();
                 settings.proxies = world.proxies;
                 let key = Key::from_secret(b"x");
@@ -264,7 +265,7 @@
         TOPIC
     }
 
-    fn write_payload(&mut self, _: Name, _: usize, now: Duration) -> Vec<u8> {
+    fn write_payload(&mut self, _: ProxyId, _: usize, now: Duration) -> Vec<u8> {
         let mut bytes = Vec::new();
         for n in 0..8u32 {
             let tally = Tally { failed: 250, ..Tally::default() };
@@ -291,8 +292,8 @@
     Key::from_secret(b"x")
 }
 
-pub fn name(proxy: usize) -> Name {
-    Name::of(&format!("proxy-{proxy}"))
+pub fn name(proxy: usize) -> ProxyId {
+    ProxyId::from_name(&format!("proxy-{proxy}"))
 }
 
 /// What a proxy of a played fleet keeps.
@@ -322,7 +323,7 @@
             let mut rulings = Rulings::new(Origin(1));
             let classes = ["read".to_string()];
             let mut known = Known { verdicts: &mut proxy.verdicts, rulings: &mut rulings, classes: &classes };
-            let others = |other: Name| other != name(p);
+            let others = |other: ProxyId| other != name(p);
             taken = snapshot.take_up(&mut known, others, since, played.now);
         }
     }
--- a/crates/verdicts/tests/fleet.rs
+++ b/crates/verdicts/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use dewpier_peers::{Name, TopicHandler};
+use dewpier_peers::{ProxyId, TopicHandler};
 use dewpier_verdicts::*;
 use std::time::Duration;
 
@@ -260,7 +260,7 @@
     let mut told: Vec<std::collections::HashSet<NodeId>> = vec![Default::default(); 8];
     for _ in 0..3 {
         for (partner, told) in told.iter_mut().enumerate() {
-            let bytes = TopicHandler::write_payload(verdicts, Name(partner as u64), 3 * ENTRY, now);
+            let bytes = TopicHandler::write_payload(verdicts, ProxyId(partner as u64), 3 * ENTRY, now);
             told.extend(Entry::read_all(&bytes).unwrap().iter().map(|entry| entry.node));
         }
     }
--- a/crates/verdicts/tests/kept.rs
+++ b/crates/verdicts/tests/kept.rs
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_ruling_ends_when_it_would_have_ended() {
-    let me = Process { name: name(0), life: 3 };
+    let me = Process { proxy: name(0), incarnation: 3 };
     let settings = Settings::default;
     let mut verdicts = Verdicts::new(settings(), me, "a", 0, 3, seconds(60));
     let mut rulings = Rulings::new(Origin::of(me));
@@ -124,7 +124,7 @@
 
 #[test]
 fn more_than_fits_leaves_out_the_words_of_others_first() {
-    let me = Process { name: name(0), life: 3 };
+    let me = Process { proxy: name(0), incarnation: 3 };
     let settings = Settings { proxies: 1000, ..Settings::default() };
     let now = seconds(100);
     let mut verdicts = Verdicts::new(settings, me, "a", 0, 3, now);
@@ -136,7 +136,7 @@
             let mut bytes = Vec::new();
             let tally = Tally { failed: 1, ..Tally::default() };
             Entry { node: node(n), tally, ..Entry::default() }.write(&mut bytes);
-            let from = Process { name: name(other), life: 1 };
+            let from = Process { proxy: name(other), incarnation: 1 };
             assert!(dewpier_peers::TopicHandler::receive(&mut verdicts, from, seconds(0), &bytes, now));
         }
     }
