--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -95,11 +95,11 @@
         let due = partners.max(1) as f64 / told.every.as_secs_f64();
         let peers = Peers::new(
             dewpier_peers::Settings {
-                me,
-                others,
-                every: told.every,
-                stale: told.verdicts.window(),
-                most_taken: (TAKEN * due).ceil() as u32,
+                own_process: me,
+                fleet: others,
+                send_interval: told.every,
+                max_echo_age: told.verdicts.window(),
+                max_datagrams_per_second: (TAKEN * due).ceil() as u32,
                 key: told.key.clone(),
             },
             now,
@@ -268,7 +268,7 @@
     fn judge(&self) -> Vec<(BackendId, f64)> {
         let now = self.now();
         let state = &mut *self.state.borrow_mut();
-        state.verdicts.answering(state.peers.answering(now));
+        state.verdicts.answering(state.peers.count_answering_partners(now));
         state.rulings.tick(now);
         state.verdicts.ruled(state.rulings.all(now), now);
         state.verdicts.tick(now);
@@ -385,7 +385,7 @@
             let _ = writeln!(text, "edge_relay.fleet.{name}={value}");
         };
         line("partners", state.peers.partners().len() as u64);
-        line("partners_answering", state.peers.answering(self.now()) as u64);
+        line("partners_answering", state.peers.count_answering_partners(self.now()) as u64);
         line("datagrams_sent", counts.sent);
         line("bytes_sent", counts.sent_bytes);
         line("datagrams_taken", counts.accepted);
--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -197,7 +197,14 @@
             let me = Process { proxy: name(PROXIES), incarnation: 1 };
             let key = Key::from_secret(SECRET);
             let others = (0..PROXIES).map(name).collect();
-            let settings = dewpier_peers::Settings { me, others, every, stale, most_taken: 10_000, key };
+            let settings = dewpier_peers::Settings {
+                own_process: me,
+                fleet: others,
+                send_interval: every,
+                max_echo_age: stale,
+                max_datagrams_per_second: 10_000,
+                key,
+            };
             let (mut peers, mut lies) = (Peers::new(settings, Duration::ZERO), Lies(nodes, 0));
             let mut next = Duration::ZERO;
             let mut buffer = [0; 300];
@@ -208,7 +215,7 @@
                 }
                 if start.elapsed() >= next {
                     next = start.elapsed() + every;
-                    for out in peers.round(start.elapsed(), &mut [&mut lies]) {
+                    for out in peers.write_round(start.elapsed(), &mut [&mut lies]) {
                         let at = to.iter().find(|(name, _)| *name == out.to).unwrap().1;
                         let _ = socket.send_to(&out.bytes, at);
                     }
--- a/crates/dewpier/tests/snapshot.rs
+++ b/crates/dewpier/tests/snapshot.rs
@@ -112,11 +112,11 @@
 
 /// What was kept, as if it had been kept so much later: what a process would go by that does not count the time between.
 fn younger(kept: &[u8], proxy: usize, by: Duration) -> Vec<u8> {
-    let (said, _) = kept.split_at(kept.len() - dewpier_peers::SEAL);
+    let (said, _) = kept.split_at(kept.len() - dewpier_peers::TAG_BYTES);
     let mut said = said.to_vec();
     let at = u64::from_be_bytes(said[26..34].try_into().unwrap()) + by.as_millis() as u64;
     said[26..34].copy_from_slice(&at.to_be_bytes());
-    let seal = Key::from_secret(SECRET).seal(ProxyId::from_name(&format!("proxy-{proxy}")), &said);
+    let seal = Key::from_secret(SECRET).compute_tag(ProxyId::from_name(&format!("proxy-{proxy}")), &said);
     said.extend(seal);
     said
 }
--- a/crates/peers/src/core.rs
+++ b/crates/peers/src/core.rs
@@ -1,6 +1,6 @@
 //! The core: who is there, what counts, and what is written to whom.
 
-use crate::wire::{self, Head, MOST_BYTES, ROOM};
+use crate::wire::{self, Head, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES};
 use crate::{MonotonicTime, Process, ProxyId, Settings, TopicHandler, partners};
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -120,9 +120,9 @@
 impl Peers {
     /// One that has heard of nobody.
     pub fn new(settings: Settings, now: MonotonicTime) -> Self {
-        let partners = partners(settings.me.proxy, &settings.others);
-        let names = settings.others.iter().copied().chain([settings.me.proxy]).collect();
-        let room = f64::from(settings.most_taken);
+        let partners = partners(settings.own_process.proxy, &settings.fleet);
+        let names = settings.fleet.iter().copied().chain([settings.own_process.proxy]).collect();
+        let room = f64::from(settings.max_datagrams_per_second);
         Self {
             settings,
             partners,
@@ -141,24 +141,25 @@
     }
 
     /// Partners that have answered a question that is not older than the bound.
-    pub fn answering(&self, now: MonotonicTime) -> usize {
-        let fresh =
-            |known: &Known| known.proven.is_some_and(|at| now.saturating_sub(at) <= self.settings.stale);
+    pub fn count_answering_partners(&self, now: MonotonicTime) -> usize {
+        let fresh = |known: &Known| {
+            known.proven.is_some_and(|at| now.saturating_sub(at) <= self.settings.max_echo_age)
+        };
         let answering: HashSet<ProxyId> =
             self.known.iter().filter(|(_, k)| fresh(k)).map(|(p, _)| p.proxy).collect();
         answering.len()
     }
 
-    /// Writes to every partner. To be called every [`Settings::every`].
-    pub fn round(
+    /// Writes to every partner. To be called every [`Settings::send_interval`].
+    pub fn write_round(
         &mut self,
         now: MonotonicTime,
         carried: &mut [&mut dyn TopicHandler],
     ) -> Vec<OutgoingDatagram> {
-        self.known.retain(|_, known| now.saturating_sub(known.heard) <= 2 * self.settings.stale);
+        self.known.retain(|_, known| now.saturating_sub(known.heard) <= 2 * self.settings.max_echo_age);
         let mut outs = Vec::with_capacity(self.partners.len());
         for &to in &self.partners {
-            let mut room = ROOM;
+            let mut room = MAX_PAYLOAD_BYTES;
             let mut parts = Vec::new();
             for one in carried.iter_mut() {
                 let said = one.write_payload(to, room.saturating_sub(2).min(usize::from(u8::MAX)), now);
@@ -172,9 +173,10 @@
             let turn = self.count as usize % lives.len().max(1);
             let answers = lives.get(turn).map(|(process, known)| (process.incarnation, known.question));
             self.count = self.count.wrapping_add(1);
-            let head = Head { from: self.settings.me, count: self.count, question: millis(now), answers };
+            let head =
+                Head { from: self.settings.own_process, count: self.count, question: millis(now), answers };
             let bytes = wire::write(&self.settings.key, to, head, &parts);
-            debug_assert!(bytes.len() <= MOST_BYTES);
+            debug_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             self.counts.sent += 1;
             self.counts.sent_bytes += bytes.len() as u64;
             outs.push(OutgoingDatagram { to, bytes });
@@ -203,14 +205,14 @@
         now: MonotonicTime,
         carried: &mut [&mut dyn TopicHandler],
     ) -> Result<Process, DatagramRejection> {
-        let most = f64::from(self.settings.most_taken);
+        let most = f64::from(self.settings.max_datagrams_per_second);
         self.room = (self.room + most * now.saturating_sub(self.filled).as_secs_f64()).min(most);
         self.filled = now;
         if self.room < 1.0 {
             return Err(DatagramRejection::TooMany);
         }
         self.room -= 1.0;
-        let me = self.settings.me;
+        let me = self.settings.own_process;
         let (head, parts) = wire::read(&self.settings.key, me.proxy, bytes)?;
         if head.from == me || !self.names.contains(&head.from.proxy) {
             return Err(DatagramRejection::Stranger);
@@ -220,7 +222,7 @@
             .answers
             .filter(|(incarnation, _)| *incarnation == me.incarnation)
             .map(|(_, at)| since(now, at));
-        let fresh = proven.filter(|age| *age <= self.settings.stale);
+        let fresh = proven.filter(|age| *age <= self.settings.max_echo_age);
         let known = match self.known.get_mut(&head.from) {
             Some(known) => known,
             None => {
--- a/crates/peers/src/io/mod.rs
+++ b/crates/peers/src/io/mod.rs
@@ -4,7 +4,7 @@
 
 pub use udp::UdpTransport;
 
-use crate::{DatagramRejection, MOST_BYTES, MonotonicTime, OutgoingDatagram, Peers, TopicHandler};
+use crate::{DatagramRejection, MAX_DATAGRAM_BYTES, MonotonicTime, OutgoingDatagram, Peers, TopicHandler};
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
     let mut rounds = tokio::time::interval(every);
     rounds.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut told: Option<Instant> = None;
-    let mut buffer = [0; MOST_BYTES + 1];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         tokio::select! {
             ready = way.ready() => {
@@ -61,7 +61,7 @@
             }
             _ = rounds.tick() => {
                 let mut outs = Vec::new();
-                with(&mut |peers, carried| outs = peers.round(now(), carried));
+                with(&mut |peers, carried| outs = peers.write_round(now(), carried));
                 way.send(outs);
             }
         }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,4 +1,4 @@
-//! What proxies of a fleet carry to each other, in datagrams of at most [`MOST_BYTES`] bytes.
+//! What proxies of a fleet carry to each other, in datagrams of at most [`MAX_DATAGRAM_BYTES`] bytes.
 //!
 //! [`Peers`] says who is there, which partners this proxy talks with, and how old at most is whatever a
 //! datagram says. It knows nothing of what it carries: that is bytes under a [`Topic`], taken from and handed
@@ -7,14 +7,14 @@
 //! What holds, whatever the network does:
 //!
 //! - *Age.* A datagram counts only if it answers a question that this process asked, and the question is not
-//!   older than [`Settings::stale`]. What it says was so after that question was sent, so that its age is at
+//!   older than [`Settings::max_echo_age`]. What it says was so after that question was sent, so that its age is at
 //!   most the time since, on this process's own monotonic clock. Nobody else's clock counts, and a process that
 //!   stood still finds all that waits in its socket as old as it is.
 //! - *Once.* A datagram that comes doubled, or out of order behind a window of 64, changes nothing.
 //! - *Whole.* A datagram is refused whole where its keyed hash, its version, its sender or any length in it is
 //!   not as it must be.
 //! - *Bounds.* Names are those of the configuration, with at most two processes for each; datagrams taken in a
-//!   second are at most [`Settings::most_taken`], of which the hash is computed, all others are dropped unread.
+//!   second are at most [`Settings::max_datagrams_per_second`], of which the hash is computed, all others are dropped unread.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -26,8 +26,8 @@
 
 pub use crate::core::{DatagramCounts, DatagramRejection, OutgoingDatagram, Peers, RejectionCount};
 pub use partners::partners;
-pub use seal::SEAL;
-pub use wire::{Key, MOST_BYTES, ROOM};
+pub use seal::TAG_BYTES;
+pub use wire::{Key, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES};
 
 use std::time::Duration;
 
@@ -75,15 +75,15 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This process.
-    pub me: Process,
+    pub own_process: Process,
     /// All proxies by name, this one or not.
-    pub others: Vec<ProxyId>,
+    pub fleet: Vec<ProxyId>,
     /// How often each partner is written to.
-    pub every: Duration,
+    pub send_interval: Duration,
     /// What answers an older question than that counts for nothing.
-    pub stale: Duration,
+    pub max_echo_age: Duration,
     /// Datagrams that are looked at in a second.
-    pub most_taken: u32,
+    pub max_datagrams_per_second: u32,
     /// What all proxies of the fleet share, and nobody else.
     pub key: Key,
 }
--- a/crates/peers/src/seal.rs
+++ b/crates/peers/src/seal.rs
@@ -4,7 +4,7 @@
 use crate::{Key, ProxyId};
 
 /// Bytes of a seal.
-pub const SEAL: usize = 16;
+pub const TAG_BYTES: usize = 16;
 /// Told apart from datagrams, so that none of them passes for what was kept.
 const CONTEXT: &str = "dewpier-peers kept state 1";
 
@@ -17,18 +17,18 @@
     }
 
     /// The seal of a proxy on bytes.
-    pub fn seal(&self, of: ProxyId, bytes: &[u8]) -> [u8; SEAL] {
-        let mut seal = [0; SEAL];
-        seal.copy_from_slice(&self.kept(of, bytes).as_bytes()[..SEAL]);
+    pub fn compute_tag(&self, of: ProxyId, bytes: &[u8]) -> [u8; TAG_BYTES] {
+        let mut seal = [0; TAG_BYTES];
+        seal.copy_from_slice(&self.kept(of, bytes).as_bytes()[..TAG_BYTES]);
         seal
     }
 
     /// Whether that proxy sealed these bytes with this key.
-    pub fn sealed(&self, of: ProxyId, bytes: &[u8], seal: &[u8]) -> bool {
-        let Ok(seal) = <[u8; SEAL]>::try_from(seal) else { return false };
+    pub fn is_valid_tag(&self, of: ProxyId, bytes: &[u8], seal: &[u8]) -> bool {
+        let Ok(seal) = <[u8; TAG_BYTES]>::try_from(seal) else { return false };
         let expected = self.kept(of, bytes);
         let mut told = *expected.as_bytes();
-        told[..SEAL].copy_from_slice(&seal);
+        told[..TAG_BYTES].copy_from_slice(&seal);
         expected == blake3::Hash::from(told)
     }
 }
@@ -41,14 +41,19 @@
     fn a_seal_is_of_one_proxy_one_key_and_all_bytes() {
         let (key, other) = (Key::from_secret(b"a secret of a fleet"), Key::from_secret(b"another one's"));
         let (me, you) = (ProxyId::from_name("me"), ProxyId::from_name("you"));
-        let seal = key.seal(me, b"what is kept");
-        assert!(key.sealed(me, b"what is kept", &seal));
-        assert!(!key.sealed(you, b"what is kept", &seal) && !other.sealed(me, b"what is kept", &seal));
-        assert!(!key.sealed(me, b"what is kepT", &seal) && !key.sealed(me, b"what is kept", &seal[1..]));
-        for bit in 0..8 * SEAL {
+        let seal = key.compute_tag(me, b"what is kept");
+        assert!(key.is_valid_tag(me, b"what is kept", &seal));
+        assert!(
+            !key.is_valid_tag(you, b"what is kept", &seal) && !other.is_valid_tag(me, b"what is kept", &seal)
+        );
+        assert!(
+            !key.is_valid_tag(me, b"what is kepT", &seal)
+                && !key.is_valid_tag(me, b"what is kept", &seal[1..])
+        );
+        for bit in 0..8 * TAG_BYTES {
             let mut spoilt = seal;
             spoilt[bit / 8] ^= 1 << (bit % 8);
-            assert!(!key.sealed(me, b"what is kept", &spoilt), "bit {bit}");
+            assert!(!key.is_valid_tag(me, b"what is kept", &spoilt), "bit {bit}");
         }
     }
 }
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -17,13 +17,13 @@
 use crate::{DatagramRejection, Process, ProxyId, Topic};
 
 /// Bytes of the longest datagram: what fits everywhere, and what the platform allows.
-pub const MOST_BYTES: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 const MAGIC: u8 = 0xd7;
 const VERSION: u8 = 1;
 const HEAD: usize = 30;
 const HASH: usize = 16;
 /// Bytes that all topics of one datagram have together, with two for each of them.
-pub const ROOM: usize = MOST_BYTES - HEAD - HASH;
+pub const MAX_PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - HEAD - HASH;
 
 /// What all proxies of a fleet share.
 #[derive(Clone, PartialEq, Eq)]
@@ -64,7 +64,7 @@
 
 /// The bytes of a datagram. What does not fit is left out whole.
 pub(crate) fn write(key: &Key, to: ProxyId, head: Head, parts: &[(Topic, Vec<u8>)]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(MOST_BYTES);
+    let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     bytes.extend([MAGIC, VERSION]);
     bytes.extend(head.from.proxy.0.to_be_bytes());
     let (incarnation, question) = head.answers.unwrap_or_default();
@@ -73,7 +73,7 @@
     }
     for (topic, part) in parts {
         if let Ok(length) = u8::try_from(part.len())
-            && bytes.len() + 2 + part.len() + HASH <= MOST_BYTES
+            && bytes.len() + 2 + part.len() + HASH <= MAX_DATAGRAM_BYTES
         {
             bytes.extend([topic.0, length]);
             bytes.extend(part);
@@ -99,7 +99,7 @@
     me: ProxyId,
     bytes: &'a [u8],
 ) -> Result<(Head, Parts<'a>), DatagramRejection> {
-    if bytes.len() > MOST_BYTES || bytes.len() < HEAD + HASH || bytes[0] != MAGIC {
+    if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() < HEAD + HASH || bytes[0] != MAGIC {
         return Err(DatagramRejection::Unreadable);
     }
     let (said, told) = bytes.split_at(bytes.len() - HASH);
--- a/crates/peers/tests/network.rs
+++ b/crates/peers/tests/network.rs
@@ -39,11 +39,11 @@
 fn settings(number: usize, count: usize, incarnation: u32) -> Settings {
     let name = |i: usize| ProxyId::from_name(&format!("proxy-{i}"));
     Settings {
-        me: Process { proxy: name(number), incarnation },
-        others: (0..count).map(name).collect(),
-        every: EVERY,
-        stale: STALE,
-        most_taken: 1000,
+        own_process: Process { proxy: name(number), incarnation },
+        fleet: (0..count).map(name).collect(),
+        send_interval: EVERY,
+        max_echo_age: STALE,
+        max_datagrams_per_second: 1000,
         key: Key::from_secret(b"of the fleet"),
     }
 }
@@ -121,7 +121,7 @@
             if !now.as_millis().is_multiple_of(EVERY.as_millis()) {
                 continue;
             }
-            for out in one.peers.round(own, &mut [&mut one.said]) {
+            for out in one.peers.write_round(own, &mut [&mut one.said]) {
                 let to = (0..count).find(|i| ProxyId::from_name(&format!("proxy-{i}")) == out.to).unwrap();
                 for _ in 0..if rng.random_bool(0.1) { 2 } else { 1 } {
                     // Now and then one comes again long after.
@@ -158,19 +158,19 @@
     for round in 0..40 {
         let now = EVERY * round;
         (a.said.truth, b.said.truth) = (now, now);
-        for out in b.peers.round(now, &mut [&mut b.said]) {
+        for out in b.peers.write_round(now, &mut [&mut b.said]) {
             waits.push(out.bytes.clone());
             if round < 10 {
                 let _ = a.peers.receive(&out.bytes, now, &mut [&mut a.said]);
             }
         }
         if round < 10 {
-            for out in a.peers.round(now, &mut [&mut a.said]) {
+            for out in a.peers.write_round(now, &mut [&mut a.said]) {
                 let _ = b.peers.receive(&out.bytes, now, &mut [&mut b.said]);
             }
         }
     }
-    assert_eq!(a.peers.answering(EVERY * 10), 1);
+    assert_eq!(a.peers.count_answering_partners(EVERY * 10), 1);
     a.said.heard.clear();
     // It goes on after half a minute, and reads what is there.
     let now = Duration::from_secs(32);
@@ -179,7 +179,7 @@
         assert!(a.peers.receive(bytes, now, &mut [&mut a.said]).is_err());
     }
     assert!(a.said.heard.is_empty(), "{:?}", a.said.heard);
-    assert_eq!(a.peers.answering(now), 0);
+    assert_eq!(a.peers.count_answering_partners(now), 0);
 }
 
 #[test]
@@ -191,7 +191,7 @@
         for who in 0..3 {
             let one = &mut all[who];
             one.said.truth = now;
-            last = one.peers.round(now, &mut [&mut one.said]);
+            last = one.peers.write_round(now, &mut [&mut one.said]);
             for out in &last {
                 let to = (0..3).find(|i| ProxyId::from_name(&format!("proxy-{i}")) == out.to).unwrap();
                 let to = &mut all[to];
@@ -218,7 +218,7 @@
     let mut one = One::new(0, 4, 1, Duration::ZERO);
     let mut other = One::new(1, 4, 2, Duration::ZERO);
     let good: Vec<Vec<u8>> = (0..8)
-        .flat_map(|i| other.peers.round(EVERY * i, &mut [&mut other.said]))
+        .flat_map(|i| other.peers.write_round(EVERY * i, &mut [&mut other.said]))
         .map(|out| out.bytes)
         .collect();
     for i in 0..200_000u32 {
@@ -240,7 +240,7 @@
         );
     }
     assert!(one.said.heard.is_empty());
-    assert_eq!(one.peers.answering(Duration::from_secs(200)), 0);
+    assert_eq!(one.peers.count_answering_partners(Duration::from_secs(200)), 0);
     assert_eq!(one.peers.counts.accepted, 0);
 }
 
@@ -266,7 +266,7 @@
             incarnation.said.truth = now;
             for out in incarnation
                 .peers
-                .round(now, &mut [&mut incarnation.said])
+                .write_round(now, &mut [&mut incarnation.said])
                 .iter()
                 .filter(|o| o.to == ProxyId::from_name("proxy-0"))
             {
@@ -275,7 +275,7 @@
         }
         for out in one
             .peers
-            .round(now, &mut [&mut one.said])
+            .write_round(now, &mut [&mut one.said])
             .iter()
             .filter(|o| o.to == ProxyId::from_name("proxy-1"))
         {
@@ -286,11 +286,14 @@
     }
     assert!(one.said.heard.len() >= 8, "{}", one.said.heard.len());
     let mut stranger = Peers::new(
-        Settings { me: Process { proxy: ProxyId::from_name("nobody"), incarnation: 5 }, ..settings(1, 3, 5) },
+        Settings {
+            own_process: Process { proxy: ProxyId::from_name("nobody"), incarnation: 5 },
+            ..settings(1, 3, 5)
+        },
         Duration::ZERO,
     );
     let mut nothing = Said::default();
-    let out = stranger.round(EVERY, &mut [&mut nothing]);
+    let out = stranger.write_round(EVERY, &mut [&mut nothing]);
     let to_one = out.iter().find(|o| o.to == ProxyId::from_name("proxy-0")).unwrap();
     let heard = one.peers.receive(&to_one.bytes, EVERY * 12, &mut [&mut one.said]);
     assert_eq!(heard, Err(DatagramRejection::Stranger));
@@ -328,10 +331,10 @@
     for round in 1..4 {
         let now = EVERY * round;
         (a.said.truth, b.said.truth) = (now, now);
-        for out in a.peers.round(now, &mut [&mut Newer, &mut a.said]) {
+        for out in a.peers.write_round(now, &mut [&mut Newer, &mut a.said]) {
             let _ = b.peers.receive(&out.bytes, now, &mut [&mut b.said]);
         }
-        for out in b.peers.round(now, &mut [&mut b.said]) {
+        for out in b.peers.write_round(now, &mut [&mut b.said]) {
             let _ = a.peers.receive(&out.bytes, now, &mut [&mut Newer, &mut a.said]);
         }
     }
--- a/crates/verdicts/src/snapshot.rs
+++ b/crates/verdicts/src/snapshot.rs
@@ -15,7 +15,7 @@
 
 use crate::wire::ENTRY;
 use crate::{Rulings, Tally, Verdicts};
-use dewpier_peers::{Key, ProxyId, SEAL};
+use dewpier_peers::{Key, ProxyId, TAG_BYTES};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use thiserror::Error;
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SnapshotError {
     /// Too long, or too short to be one.
-    #[error("{0} bytes: expected {least} to {MOST_SNAPSHOT}", least = HEAD + SEAL)]
+    #[error("{0} bytes: expected {least} to {MOST_SNAPSHOT}", least = HEAD + TAG_BYTES)]
     Size(usize),
     /// It begins with something else.
     #[error("byte 0: expected a snapshot of verdicts, which begins with 'dewpknow'")]
@@ -218,7 +218,7 @@
         bytes.extend(u64::try_from(when.at.as_millis()).unwrap_or(u64::MAX).to_be_bytes());
         let said = |error: postcard::Error| SnapshotError::Body(error.to_string());
         bytes.extend(postcard::to_stdvec(self).map_err(said)?);
-        let seal = key.seal(me, &bytes);
+        let seal = key.compute_tag(me, &bytes);
         bytes.extend(seal);
         Ok(bytes)
     }
@@ -229,7 +229,7 @@
         if bytes.len() > MOST_SNAPSHOT {
             return Err(size);
         }
-        let Some((said, seal)) = bytes.split_last_chunk::<SEAL>() else { return Err(size) };
+        let Some((said, seal)) = bytes.split_last_chunk::<TAG_BYTES>() else { return Err(size) };
         let Some((head, body)) = said.split_first_chunk::<HEAD>() else { return Err(size) };
         let number = |from: usize, to: usize| {
             head[from..to].iter().fold(0u128, |number, byte| number << 8 | u128::from(*byte))
@@ -241,7 +241,7 @@
         if version != VERSION {
             return Err(SnapshotError::Version(version));
         }
-        if !key.sealed(me, said, seal) {
+        if !key.is_valid_tag(me, said, seal) {
             return Err(SnapshotError::Seal);
         }
         if number(10, 26) != now.boot {
--- a/crates/verdicts/tests/common/mod.rs
+++ b/crates/verdicts/tests/common/mod.rs
@@ -88,11 +88,11 @@
                 let key = Key::from_secret(b"x");
                 let (every, stale) = (STEP, settings.stale);
                 let told = dewpier_peers::Settings {
-                    me,
-                    others: all.clone(),
-                    every,
-                    stale,
-                    most_taken: 100_000,
+                    own_process: me,
+                    fleet: all.clone(),
+                    send_interval: every,
+                    max_echo_age: stale,
+                    max_datagrams_per_second: 100_000,
                     key,
                 };
                 let peers = Peers::new(told, Duration::ZERO);
@@ -199,12 +199,12 @@
                 continue;
             }
             let proxy = &mut self.proxies[who];
-            proxy.verdicts.answering(proxy.peers.answering(now));
+            proxy.verdicts.answering(proxy.peers.count_answering_partners(now));
             proxy.verdicts.tick(now);
             let outs = if self.world.pooled {
                 let mut liar = Liar;
                 let carried: &mut dyn TopicHandler = if proxy.lies { &mut liar } else { &mut proxy.verdicts };
-                proxy.peers.round(now, &mut [carried])
+                proxy.peers.write_round(now, &mut [carried])
             } else {
                 Vec::new()
             };
--- a/crates/verdicts/tests/kept.rs
+++ b/crates/verdicts/tests/kept.rs
@@ -118,7 +118,7 @@
     // Sealed with the right key by somebody who writes something else.
     let mut other = bytes[..34].to_vec();
     other.extend([0xff; 40]);
-    other.extend(key().seal(name(3), &other));
+    other.extend(key().compute_tag(name(3), &other));
     assert!(refused(&other, &key(), 3, when).starts_with("byte 34"));
 }
 
@@ -163,7 +163,7 @@
         sealed.extend(BOOT.to_be_bytes());
         sealed.extend(0u64.to_be_bytes());
         sealed.extend(&body);
-        sealed.extend(key().seal(name(3), &sealed));
+        sealed.extend(key().compute_tag(name(3), &sealed));
         if let Ok((snapshot, since)) = Snapshot::read(&sealed, &key(), name(3), when) {
             let mut verdicts = Verdicts::new(Settings::default(), Process::default(), "a", 1, 3, seconds(60));
             verdicts.list(vec![Member { node: node(1), cell: 0 }], seconds(60));
