--- a/crates/dewpier/benches/decision.rs
+++ b/crates/dewpier/benches/decision.rs
@@ -3,7 +3,9 @@
 //! requests and answers in both. Prints the processor time of a request in each and their ratio. `cargo bench --bench decision`.
 
 use dewpier_peers::{Process, ProxyId, TopicHandler};
-use dewpier_verdicts::{End, Entry, Member, NodeId, Settings as Rules, Tally, Verdicts};
+use dewpier_verdicts::{
+    AttemptCounts, AttemptEnd, EvidenceEntry, Member, NodeId, Settings as Rules, Verdicts,
+};
 use gannetproxy::{
     Action, BackendId, Balancer, Class, Ended, Entry as Listed, Event, ListUpdate, Outcome, Request,
     RequestId, Settings,
@@ -41,9 +43,19 @@
         for other in 2..18 {
             let mut bytes = Vec::new();
             for n in 0..NODES {
-                let tally = Tally { good: 9, failed: u32::from(n.is_multiple_of(7)), ..Tally::default() };
+                let tally = AttemptCounts {
+                    good: 9,
+                    failed: u32::from(n.is_multiple_of(7)),
+                    ..AttemptCounts::default()
+                };
                 let version = now.as_millis() as u32;
-                Entry { version, node: node(BackendId(n + 1)), tally, ..Entry::default() }.write(&mut bytes);
+                EvidenceEntry {
+                    version,
+                    node: node(BackendId(n + 1)),
+                    counts: tally,
+                    ..EvidenceEntry::default()
+                }
+                .write(&mut bytes);
             }
             let from = Process { proxy: ProxyId(other), incarnation: 1 };
             black_box(self.verdicts.receive(from, Duration::from_millis(5), &bytes, now));
@@ -74,7 +86,7 @@
         });
         let Some(backend) = sent else { continue };
         if let Some(beside) = &mut beside {
-            beside.verdicts.began((n, 0), node(backend), 0, now);
+            beside.verdicts.record_start((n, 0), node(backend), 0, now);
         }
         actions.clear();
         let ended = Ended {
@@ -88,7 +100,7 @@
         };
         balancer.handle(at + 0.004, Event::Outcome(ended), &mut actions);
         if let Some(beside) = &mut beside {
-            beside.verdicts.ended((n, 0), End::Served, now + Duration::from_millis(4));
+            beside.verdicts.record_end((n, 0), AttemptEnd::Served, now + Duration::from_millis(4));
             if now - beside.judged >= Duration::from_millis(250) {
                 beside.round(now);
             }
--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -8,7 +8,8 @@
 use dewpier_operate::calls::{self, Call};
 use dewpier_peers::{Peers, Process, ProxyId};
 use dewpier_verdicts::{
-    End, Kind, Known, Member, NodeId, Origin, Report, Rulings, Says, Snapshot, SnapshotError, Verdicts, When,
+    AttemptEnd, Kind, Known, Member, NodeId, Origin, Report, Rulings, Says, Snapshot, SnapshotError,
+    Verdicts, When,
 };
 use gannetproxy::engine::{Engine, Seen, Upstream};
 use gannetproxy::{BackendId, Outcome};
@@ -210,19 +211,19 @@
             match seen {
                 Seen::Began(backend, class) => {
                     if let Some(node) = state.nodes.get(&backend).copied() {
-                        state.verdicts.began((id.0, attempt), node, class, now);
+                        state.verdicts.record_start((id.0, attempt), node, class, now);
                     }
                 }
                 Seen::Ended(outcome) => {
                     let end = match outcome {
-                        Outcome::Served => End::Served,
-                        Outcome::Error | Outcome::Reset => End::Failed,
-                        Outcome::NoConnection => End::Unreached,
-                        Outcome::Timeout => End::Silent,
-                        Outcome::Cancelled => End::GivenUp,
-                        Outcome::Full | Outcome::NeverSent => End::Untold,
+                        Outcome::Served => AttemptEnd::Served,
+                        Outcome::Error | Outcome::Reset => AttemptEnd::Failed,
+                        Outcome::NoConnection => AttemptEnd::Unreached,
+                        Outcome::Timeout => AttemptEnd::Silent,
+                        Outcome::Cancelled => AttemptEnd::Cancelled,
+                        Outcome::Full | Outcome::NeverSent => AttemptEnd::Inconclusive,
                     };
-                    state.verdicts.ended((id.0, attempt), end, now);
+                    state.verdicts.record_end((id.0, attempt), end, now);
                 }
             }
         });
--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -8,7 +8,7 @@
 use dewpier_trials::record::Held;
 use dewpier_trials::schedule::Size;
 use dewpier_trials::stage::{SECRET, Settings, Stage};
-use dewpier_verdicts::{Claim, Entry, Kind, NodeId, Tally};
+use dewpier_verdicts::{AttemptCounts, Claim, EvidenceEntry, Kind, NodeId};
 use std::collections::HashSet;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -167,9 +167,10 @@
         let mut bytes = Vec::new();
         self.1 += 1;
         for node in &self.0 {
-            let tally = Tally { failed: 200, ..Tally::default() };
+            let tally = AttemptCounts { failed: 200, ..AttemptCounts::default() };
             let claim = Some((Claim { plain: true, kind: Kind::Gone }, 0));
-            Entry { version: self.1, node: *node, tally, claim, ..Entry::default() }.write(&mut bytes);
+            EvidenceEntry { version: self.1, node: *node, counts: tally, claim, ..EvidenceEntry::default() }
+                .write(&mut bytes);
         }
         bytes
     }
--- a/crates/verdicts/src/evidence.rs
+++ b/crates/verdicts/src/evidence.rs
@@ -19,7 +19,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// It was answered.
     Served,
     /// It was answered with an error, or its connection broke.
@@ -31,14 +31,14 @@
     /// It was cancelled, as another attempt was answered or its client left: it tells something only where it had
     /// gone on for too long, or one that was sent later was answered before. The latter is what most tell of a node
     /// that hangs where requests are repeated after a few milliseconds.
-    GivenUp,
+    Cancelled,
     /// It tells nothing: it was turned away for want of room, or never left.
-    Untold,
+    Inconclusive,
 }
 
 /// Attempts at a node by how they went.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct AttemptCounts {
     /// Answered in a usual time.
     pub good: u32,
     /// Never connected.
@@ -51,14 +51,14 @@
     pub slow: u32,
 }
 
-impl Tally {
+impl AttemptCounts {
     /// Those that went badly.
     pub fn bad(&self) -> u32 {
         self.unreached.saturating_add(self.failed).saturating_add(self.silent).saturating_add(self.slow)
     }
 
     /// All.
-    pub fn all(&self) -> u32 {
+    pub fn total(&self) -> u32 {
         self.good.saturating_add(self.bad())
     }
 
@@ -77,11 +77,11 @@
 }
 
 /// Parts of the window, of two slots each, in which what is recent is told.
-pub const PARTS: usize = 8;
+pub const WINDOW_PARTS: usize = 8;
 
 /// Attempts at a node in one part of the window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct WindowPart {
     /// Those that went well,
     pub good: u32,
     /// and those that did not.
@@ -120,12 +120,12 @@
     overtaken: bool,
 }
 
-/// Counts attempts. Bounds: one tally for each node and slot in which it was sent to, and what is out, of which
+/// Counts attempts. Bounds: one counts for each node and slot in which it was sent to, and what is out, of which
 /// there is as much as the caller has.
 #[derive(Debug)]
 pub struct Observer {
     settings: Settings,
-    slots: VecDeque<(u64, HashMap<NodeId, Tally>)>,
+    slots: VecDeque<(u64, HashMap<NodeId, AttemptCounts>)>,
     out: HashMap<(u64, usize), Out>,
     usual: Vec<Usual>,
     ticked: Duration,
@@ -153,8 +153,8 @@
         u64::try_from(now.as_millis() / self.each().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// The tally of a node, of now.
-    fn tally(&mut self, node: NodeId, now: Duration) -> &mut Tally {
+    /// The counts of a node, of now.
+    fn counts_mut(&mut self, node: NodeId, now: Duration) -> &mut AttemptCounts {
         let slot = self.slot(now);
         if self.slots.back().is_none_or(|(last, _)| *last != slot) {
             self.slots.push_back((slot, HashMap::new()));
@@ -179,16 +179,16 @@
     }
 
     /// An attempt begins.
-    pub fn began(&mut self, attempt: (u64, usize), node: NodeId, class: usize, now: Duration) {
+    pub fn record_start(&mut self, attempt: (u64, usize), node: NodeId, class: usize, now: Duration) {
         self.out.insert(attempt, Out { node, class, at: now, counted: None, overtaken: false });
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, attempt: (u64, usize), end: End, now: Duration) {
+    pub fn record_end(&mut self, attempt: (u64, usize), end: AttemptEnd, now: Duration) {
         let Some(out) = self.out.remove(&attempt) else { return };
         let took = now.saturating_sub(out.at);
         let slow = self.usual.get(out.class).and_then(|usual| usual.times(self.settings.slow_factor));
-        if end == End::Served
+        if end == AttemptEnd::Served
             && let Some(usual) = self.usual.get_mut(out.class)
         {
             usual.add(took);
@@ -199,27 +199,27 @@
         }
         if let Some(counted) = out.counted {
             // It was silent, and so it stays, unless it is known better now.
-            if end != End::Served {
+            if end != AttemptEnd::Served {
                 return;
             }
             let then = self.slots.iter_mut().find(|(slot, _)| *slot == counted);
-            if let Some(tally) = then.and_then(|(_, tallies)| tallies.get_mut(&out.node)) {
-                tally.silent = tally.silent.saturating_sub(1);
+            if let Some(counts) = then.and_then(|(_, tallies)| tallies.get_mut(&out.node)) {
+                counts.silent = counts.silent.saturating_sub(1);
             }
         }
         let late = out.overtaken || took > self.limit(out.class);
-        if end == End::Untold || end == End::GivenUp && !late {
+        if end == AttemptEnd::Inconclusive || end == AttemptEnd::Cancelled && !late {
             return;
         }
-        let tally = self.tally(out.node, now);
+        let counts = self.counts_mut(out.node, now);
         let count = match end {
-            End::GivenUp => &mut tally.silent,
-            End::Served if slow.is_some_and(|slow| took > slow) => &mut tally.slow,
-            End::Served => &mut tally.good,
-            End::Failed => &mut tally.failed,
-            End::Unreached => &mut tally.unreached,
-            End::Silent => &mut tally.silent,
-            End::Untold => return,
+            AttemptEnd::Cancelled => &mut counts.silent,
+            AttemptEnd::Served if slow.is_some_and(|slow| took > slow) => &mut counts.slow,
+            AttemptEnd::Served => &mut counts.good,
+            AttemptEnd::Failed => &mut counts.failed,
+            AttemptEnd::Unreached => &mut counts.unreached,
+            AttemptEnd::Silent => &mut counts.silent,
+            AttemptEnd::Inconclusive => return,
         };
         *count = count.saturating_add(1);
     }
@@ -241,8 +241,8 @@
         }
         let slot = self.slot(now);
         for (attempt, node) in late {
-            let tally = self.tally(node, now);
-            tally.silent = tally.silent.saturating_add(1);
+            let counts = self.counts_mut(node, now);
+            counts.silent = counts.silent.saturating_add(1);
             if let Some(out) = self.out.get_mut(&attempt) {
                 out.counted = Some(slot);
             }
@@ -259,12 +259,12 @@
     /// told: nobody will hear how it ends.
     pub(crate) fn kept(&self, now: Duration) -> Vec<KeptSeen> {
         let each = self.each();
-        let of_slot = |(slot, tallies): &(u64, HashMap<NodeId, Tally>)| {
+        let of_slot = |(slot, tallies): &(u64, HashMap<NodeId, AttemptCounts>)| {
             let began = each.saturating_mul(u32::try_from(*slot).unwrap_or(u32::MAX));
             let age_ms = millis_up(now.saturating_sub(began));
             tallies
                 .iter()
-                .map(move |(node, tally)| KeptSeen { node: node.0, age_ms, tally: *tally })
+                .map(move |(node, counts)| KeptSeen { node: node.0, age_ms, counts: *counts })
                 .collect()
         };
         self.slots.iter().flat_map(|slot| -> Vec<KeptSeen> { of_slot(slot) }).collect()
@@ -278,7 +278,7 @@
 
     /// Goes on from what a process before this one saw, `since` after it said so. Adds up with what is known here.
     pub(crate) fn take_up(&mut self, seen: &[KeptSeen], since: Duration, now: Duration) -> usize {
-        let mut slots: BTreeMap<u64, HashMap<NodeId, Tally>> =
+        let mut slots: BTreeMap<u64, HashMap<NodeId, AttemptCounts>> =
             std::mem::take(&mut self.slots).into_iter().collect();
         let oldest = self.slot(now).saturating_sub(u64::from(SLOTS) - 1);
         let mut taken = 0;
@@ -289,7 +289,7 @@
             };
             let slot = self.slot(at);
             if slot >= oldest {
-                slots.entry(slot).or_default().entry(NodeId(kept.node)).or_default().add(&kept.tally);
+                slots.entry(slot).or_default().entry(NodeId(kept.node)).or_default().add(&kept.counts);
                 taken += 1;
             }
         }
@@ -309,15 +309,15 @@
     }
 
     /// The same by parts of the window, the youngest first.
-    pub fn parts(&self, now: Duration) -> HashMap<NodeId, [Part; PARTS]> {
-        let mut parts: HashMap<NodeId, [Part; PARTS]> = HashMap::new();
-        let each = SLOTS as usize / PARTS;
+    pub fn parts_by_node(&self, now: Duration) -> HashMap<NodeId, [WindowPart; WINDOW_PARTS]> {
+        let mut parts: HashMap<NodeId, [WindowPart; WINDOW_PARTS]> = HashMap::new();
+        let each = SLOTS as usize / WINDOW_PARTS;
         for (slot, tallies) in &self.slots {
             let age = usize::try_from(self.slot(now).saturating_sub(*slot)).unwrap_or(usize::MAX) / each;
-            for (node, tally) in tallies {
+            for (node, counts) in tallies {
                 if let Some(part) = parts.entry(*node).or_default().get_mut(age) {
-                    part.good = part.good.saturating_add(tally.good);
-                    part.bad = part.bad.saturating_add(tally.bad());
+                    part.good = part.good.saturating_add(counts.good);
+                    part.bad = part.bad.saturating_add(counts.bad());
                 }
             }
         }
@@ -325,10 +325,10 @@
     }
 
     /// What was seen of each node in the window.
-    pub fn seen(&self) -> HashMap<NodeId, Tally> {
-        let mut seen: HashMap<NodeId, Tally> = HashMap::new();
-        for (node, tally) in self.slots.iter().flat_map(|(_, tallies)| tallies) {
-            seen.entry(*node).or_default().add(tally);
+    pub fn counts_by_node(&self) -> HashMap<NodeId, AttemptCounts> {
+        let mut seen: HashMap<NodeId, AttemptCounts> = HashMap::new();
+        for (node, counts) in self.slots.iter().flat_map(|(_, tallies)| tallies) {
+            seen.entry(*node).or_default().add(counts);
         }
         seen
     }
@@ -346,8 +346,8 @@
     fn learnt() -> Observer {
         let mut observer = Observer::new(Settings::default(), 1, ms(0));
         for i in 0..20 {
-            observer.began((i, 0), NodeId(1), 0, ms(0));
-            observer.ended((i, 0), End::Served, ms(10));
+            observer.record_start((i, 0), NodeId(1), 0, ms(0));
+            observer.record_end((i, 0), AttemptEnd::Served, ms(10));
         }
         observer
     }
@@ -355,39 +355,58 @@
     #[test]
     fn each_end_is_counted_once_and_a_late_answer_is_slow_and_no_longer_silent() {
         let mut observer = learnt();
-        for (i, end) in [End::Failed, End::Unreached, End::Silent, End::Untold].into_iter().enumerate() {
-            observer.began((100, i), NodeId(2), 0, ms(20));
-            observer.ended((100, i), end, ms(30));
-            observer.ended((100, i), end, ms(30));
+        for (i, end) in
+            [AttemptEnd::Failed, AttemptEnd::Unreached, AttemptEnd::Silent, AttemptEnd::Inconclusive]
+                .into_iter()
+                .enumerate()
+        {
+            observer.record_start((100, i), NodeId(2), 0, ms(20));
+            observer.record_end((100, i), end, ms(30));
+            observer.record_end((100, i), end, ms(30));
         }
-        let tally = Tally { failed: 1, unreached: 1, silent: 1, ..Tally::default() };
-        assert_eq!(observer.seen()[&NodeId(2)], tally);
-        assert_eq!(observer.seen()[&NodeId(1)], Tally { good: 20, ..Tally::default() });
-        observer.began((200, 0), NodeId(3), 0, ms(30));
+        let counts = AttemptCounts { failed: 1, unreached: 1, silent: 1, ..AttemptCounts::default() };
+        assert_eq!(observer.counts_by_node()[&NodeId(2)], counts);
+        assert_eq!(
+            observer.counts_by_node()[&NodeId(1)],
+            AttemptCounts { good: 20, ..AttemptCounts::default() }
+        );
+        observer.record_start((200, 0), NodeId(3), 0, ms(30));
         observer.tick(ms(100));
-        assert!(!observer.seen().contains_key(&NodeId(3)));
+        assert!(!observer.counts_by_node().contains_key(&NodeId(3)));
         observer.tick(ms(150));
         observer.tick(ms(160));
-        assert_eq!(observer.seen()[&NodeId(3)], Tally { silent: 1, ..Tally::default() });
-        observer.ended((200, 0), End::Served, ms(170));
-        assert_eq!(observer.seen()[&NodeId(3)], Tally { slow: 1, ..Tally::default() });
+        assert_eq!(
+            observer.counts_by_node()[&NodeId(3)],
+            AttemptCounts { silent: 1, ..AttemptCounts::default() }
+        );
+        observer.record_end((200, 0), AttemptEnd::Served, ms(170));
+        assert_eq!(
+            observer.counts_by_node()[&NodeId(3)],
+            AttemptCounts { slow: 1, ..AttemptCounts::default() }
+        );
     }
 
     #[test]
     fn what_is_given_up_tells_something_only_where_it_was_late() {
         let mut observer = learnt();
         for (i, took) in [70, 90].into_iter().enumerate() {
-            observer.began((400, i), NodeId(4), 0, ms(20));
-            observer.ended((400, i), End::GivenUp, ms(20 + took));
+            observer.record_start((400, i), NodeId(4), 0, ms(20));
+            observer.record_end((400, i), AttemptEnd::Cancelled, ms(20 + took));
         }
-        assert_eq!(observer.seen()[&NodeId(4)], Tally { silent: 1, ..Tally::default() });
+        assert_eq!(
+            observer.counts_by_node()[&NodeId(4)],
+            AttemptCounts { silent: 1, ..AttemptCounts::default() }
+        );
         // The first of three is overtaken by the second; the third was sent after that.
-        (0..3).for_each(|i| observer.began((500, i), NodeId(5 + i as u64), 0, ms(200)));
-        observer.ended((500, 1), End::Served, ms(203));
-        observer.ended((500, 0), End::GivenUp, ms(203));
-        observer.ended((500, 2), End::GivenUp, ms(203));
-        assert_eq!(observer.seen()[&NodeId(5)], Tally { silent: 1, ..Tally::default() });
-        assert!(!observer.seen().contains_key(&NodeId(7)));
+        (0..3).for_each(|i| observer.record_start((500, i), NodeId(5 + i as u64), 0, ms(200)));
+        observer.record_end((500, 1), AttemptEnd::Served, ms(203));
+        observer.record_end((500, 0), AttemptEnd::Cancelled, ms(203));
+        observer.record_end((500, 2), AttemptEnd::Cancelled, ms(203));
+        assert_eq!(
+            observer.counts_by_node()[&NodeId(5)],
+            AttemptCounts { silent: 1, ..AttemptCounts::default() }
+        );
+        assert!(!observer.counts_by_node().contains_key(&NodeId(7)));
     }
 
     #[test]
@@ -397,31 +416,34 @@
         for step in 0..=70u32 {
             observer.tick(window / 64 * step);
         }
-        assert!(observer.seen().is_empty());
+        assert!(observer.counts_by_node().is_empty());
     }
 
     #[test]
     fn parts_are_what_was_seen_the_youngest_first() {
         let mut observer = learnt();
-        let each = Settings::default().window() / PARTS as u32;
-        for (id, at, end) in [(1, each, End::Served), (2, 4 * each, End::Failed), (3, 4 * each, End::Served)]
-        {
-            observer.began((600 + id, 0), NodeId(9), 0, at);
-            observer.ended((600 + id, 0), end, at);
+        let each = Settings::default().window() / WINDOW_PARTS as u32;
+        for (id, at, end) in [
+            (1, each, AttemptEnd::Served),
+            (2, 4 * each, AttemptEnd::Failed),
+            (3, 4 * each, AttemptEnd::Served),
+        ] {
+            observer.record_start((600 + id, 0), NodeId(9), 0, at);
+            observer.record_end((600 + id, 0), end, at);
         }
-        let parts = observer.parts(each * 5)[&NodeId(9)];
-        let (good, both) = (Part { good: 1, bad: 0 }, Part { good: 1, bad: 1 });
+        let parts = observer.parts_by_node(each * 5)[&NodeId(9)];
+        let (good, both) = (WindowPart { good: 1, bad: 0 }, WindowPart { good: 1, bad: 1 });
         assert_eq!((parts[1], parts[4]), (both, good), "{parts:?}");
-        assert_eq!(parts.iter().filter(|p| **p == Part::default()).count(), PARTS - 2);
+        assert_eq!(parts.iter().filter(|p| **p == WindowPart::default()).count(), WINDOW_PARTS - 2);
     }
 
     #[test]
     fn who_stood_still_has_seen_nothing() {
         let mut observer = learnt();
-        observer.began((300, 0), NodeId(2), 0, ms(20));
+        observer.record_start((300, 0), NodeId(2), 0, ms(20));
         observer.tick(ms(20));
         observer.tick(ms(9000));
-        observer.ended((300, 0), End::Silent, ms(9001));
-        assert!(observer.seen().is_empty());
+        observer.record_end((300, 0), AttemptEnd::Silent, ms(9001));
+        assert!(observer.counts_by_node().is_empty());
     }
 }
--- a/crates/verdicts/src/judge.rs
+++ b/crates/verdicts/src/judge.rs
@@ -8,7 +8,7 @@
 //! from some moment of the window up to now, and goes by the one that tells most (a change point, as in Page 1954, but
 //! the same one for all proxies, so that whoever sees the node do well since then is heard).
 
-use crate::{PARTS, Part, Settings, Tally};
+use crate::{AttemptCounts, Settings, WINDOW_PARTS, WindowPart};
 use serde::Serialize;
 
 /// Parts of the attempts that go wrong at a node that is bad: plainly so, or now and then.
@@ -60,9 +60,9 @@
     /// It is in this proxy's zone.
     pub near: bool,
     /// What it saw.
-    pub tally: Tally,
+    pub counts: AttemptCounts,
     /// The same by parts of the window, the youngest first.
-    pub parts: [Part; PARTS],
+    pub parts: [WindowPart; WINDOW_PARTS],
     /// The part that went wrong for it at all other nodes.
     pub others: f64,
 }
@@ -83,10 +83,10 @@
 /// Judges a node. `stood` says whether a verdict on it stands.
 pub fn weigh(settings: &Settings, seen: &[Weighed], stood: bool) -> Judgement {
     let trusted: Vec<&Weighed> =
-        seen.iter().filter(|w| w.others <= DOUBT && (w.tally.all() > 0 || w.claims.is_some())).collect();
+        seen.iter().filter(|w| w.others <= DOUBT && (w.counts.total() > 0 || w.claims.is_some())).collect();
     let usual = median(trusted.iter().map(|w| w.others).collect()).max(LEAST_USUAL);
     let needed = settings.needed() * if stood { KEPT } else { 1.0 };
-    let observers = trusted.iter().filter(|w| w.tally.bad() > 0 || w.claims.is_some()).count();
+    let observers = trusted.iter().filter(|w| w.counts.bad() > 0 || w.claims.is_some()).count();
     let most = settings.most_each();
     let mut best = Judgement { kind: None, plain: false, odds: f64::NEG_INFINITY, observers };
     for (plain, bad) in [(true, BAD[0]), (false, BAD[1])] {
@@ -95,7 +95,7 @@
         }
         let (failure, success) = ((bad / usual).ln(), ((1.0 - bad) / (1.0 - usual)).ln());
         // Bounded on both sides, so that nobody outweighs others whatever it says.
-        let each = |w: &Weighed, seen: Part| match w.claims {
+        let each = |w: &Weighed, seen: WindowPart| match w.claims {
             Some(claim) if !plain || claim.plain => most,
             _ => (f64::from(seen.bad) * failure + f64::from(seen.good) * success).clamp(-most, most),
         };
@@ -104,7 +104,7 @@
             of.map(|w| each(w, w.since(span))).sum::<f64>()
         };
         let whole = (sum(true, None), sum(false, None));
-        for span in [None].into_iter().chain((0..PARTS).map(Some)) {
+        for span in [None].into_iter().chain((0..WINDOW_PARTS).map(Some)) {
             let (near, far) = (sum(true, span), sum(false, span));
             if plain {
                 // Where near and far say opposite things it is the way there, and that is each side's own matter. Who saw
@@ -126,21 +126,21 @@
 
 impl Weighed {
     /// What it saw in so many parts of the window and one, up to now; in all of it where none is named.
-    fn since(&self, span: Option<usize>) -> Part {
-        let whole = Part { good: self.tally.good, bad: self.tally.bad() };
+    fn since(&self, span: Option<usize>) -> WindowPart {
+        let whole = WindowPart { good: self.counts.good, bad: self.counts.bad() };
         let Some(span) = span else { return whole };
-        let add = |a: Part, b: &Part| Part {
+        let add = |a: WindowPart, b: &WindowPart| WindowPart {
             good: a.good.saturating_add(b.good),
             bad: a.bad.saturating_add(b.bad),
         };
-        self.parts[..=span].iter().fold(Part::default(), add)
+        self.parts[..=span].iter().fold(WindowPart::default(), add)
     }
 }
 
 /// In which way it mostly goes wrong: by what was seen, or else by what is held.
 fn kind(trusted: &[&Weighed]) -> Kind {
-    let mut sum = Tally::default();
-    trusted.iter().for_each(|w| sum.add(&w.tally));
+    let mut sum = AttemptCounts::default();
+    trusted.iter().for_each(|w| sum.add(&w.counts));
     let seen = [
         (sum.unreached, Kind::Gone),
         (sum.failed, Kind::Failing),
@@ -166,8 +166,8 @@
         Weighed {
             claims: None,
             near: true,
-            tally: Tally { good, failed, ..Tally::default() },
-            parts: [Part::default(); PARTS],
+            counts: AttemptCounts { good, failed, ..AttemptCounts::default() },
+            parts: [WindowPart::default(); WINDOW_PARTS],
             others: 0.0,
         }
     }
@@ -187,7 +187,8 @@
     fn what_went_well_before_it_turned_bad_does_not_speak_for_it_and_what_goes_well_since_does() {
         let turned = |good_since| {
             let mut w = one(20 + good_since, 1);
-            (w.parts[0], w.parts[4]) = (Part { good: good_since, bad: 1 }, Part { good: 20, bad: 0 });
+            (w.parts[0], w.parts[4]) =
+                (WindowPart { good: good_since, bad: 1 }, WindowPart { good: 20, bad: 0 });
             w
         };
         assert_eq!(judged(&[turned(0); 3]), Some(Kind::Failing));
@@ -195,7 +196,7 @@
         let mixed = Weighed { parts: turned(1).parts, ..one(1, 1) };
         assert_eq!((judged(&[mixed; 3]), judged(&[mixed; 4])), (None, Some(Kind::Failing)));
         // Without the parts twenty that went well hide it.
-        let blind = Weighed { parts: [Part::default(); PARTS], ..turned(0) };
+        let blind = Weighed { parts: [WindowPart::default(); WINDOW_PARTS], ..turned(0) };
         assert_eq!(judged(&[blind; 3]), None);
         assert_eq!(judged(&[turned(0), turned(0), turned(2)]), None);
         // Others who see it do well since then are heard.
--- a/crates/verdicts/src/lib.rs
+++ b/crates/verdicts/src/lib.rs
@@ -28,12 +28,12 @@
 mod trial;
 mod wire;
 
-pub use evidence::{End, Observer, PARTS, Part, Tally};
+pub use evidence::{AttemptCounts, AttemptEnd, Observer, WINDOW_PARTS, WindowPart};
 pub use judge::{Claim, Judgement, Kind, Weighed, weigh};
 pub use pool::{Member, Origin, Report, TOPIC, Verdicts};
 pub use ruling::{LONGEST, MOST_RULINGS, Ruling, RulingError, Rulings, Says};
 pub use snapshot::{Known, MOST_SNAPSHOT, Snapshot, SnapshotError, TakenUp, When};
-pub use wire::{ENTRY, Entry};
+pub use wire::{ENTRY_BYTES, EvidenceEntry};
 
 use std::time::Duration;
 
@@ -95,9 +95,9 @@
     }
 
     /// Logarithm of the odds that a verdict needs (Wald 1945, with as many missed as false ones). As it may come of any
-    /// of the [`PARTS`] spans up to now, each may be wrong as seldom as all together.
+    /// of the [`WINDOW_PARTS`] spans up to now, each may be wrong as seldom as all together.
     pub fn needed(&self) -> f64 {
-        let each = self.false_rate / PARTS as f64;
+        let each = self.false_rate / WINDOW_PARTS as f64;
         ((1.0 - each) / each).ln()
     }
 
--- a/crates/verdicts/src/pool.rs
+++ b/crates/verdicts/src/pool.rs
@@ -3,9 +3,9 @@
 mod came;
 mod kept;
 
-use crate::evidence::{End, Observer, PARTS, Part, Tally};
+use crate::evidence::{AttemptCounts, AttemptEnd, Observer, WINDOW_PARTS, WindowPart};
 use crate::judge::{Claim, Kind, Weighed, weigh};
-use crate::wire::{AGE_UNIT, ENTRY, Entry, MOST_AGE};
+use crate::wire::{AGE_UNIT, ENTRY_BYTES, EvidenceEntry, MOST_AGE};
 use crate::{NodeId, Says, Settings, trial};
 use dewpier_peers::{Process, ProxyId, Topic, TopicHandler};
 use serde::Serialize;
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Word {
     incarnation: u32,
-    entry: Entry,
+    entry: EvidenceEntry,
     /// It was said no earlier, on this clock.
     made: Duration,
     /// What its verdict rests on was said no earlier, if it holds one.
@@ -120,10 +120,10 @@
     out: HashSet<NodeId>,
     /// Those that an operator keeps out.
     ruled: HashSet<NodeId>,
-    seen: HashMap<NodeId, Tally>,
-    parts: HashMap<NodeId, [Part; PARTS]>,
+    seen: HashMap<NodeId, AttemptCounts>,
+    parts: HashMap<NodeId, [WindowPart; WINDOW_PARTS]>,
     /// All of that together, but for nodes that verdicts stand on.
-    sum: [Part; PARTS],
+    sum: [WindowPart; WINDOW_PARTS],
     /// What this proxy sees.
     pub observer: Observer,
     /// What operators say, and until when: it goes before what is seen.
@@ -192,13 +192,13 @@
     }
 
     /// An attempt begins.
-    pub fn began(&mut self, attempt: (u64, usize), node: NodeId, class: usize, now: Duration) {
-        self.observer.began(attempt, node, class, now);
+    pub fn record_start(&mut self, attempt: (u64, usize), node: NodeId, class: usize, now: Duration) {
+        self.observer.record_start(attempt, node, class, now);
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, attempt: (u64, usize), end: End, now: Duration) {
-        self.observer.ended(attempt, end, now);
+    pub fn record_end(&mut self, attempt: (u64, usize), end: AttemptEnd, now: Duration) {
+        self.observer.record_end(attempt, end, now);
     }
 
     /// What operators say of nodes and for how long still, all of it. Counts from the next judgement on, as long as that.
@@ -234,8 +234,8 @@
     /// [`Verdicts::avoided`].
     pub fn tick(&mut self, now: Duration) {
         self.observer.tick(now);
-        self.seen = self.observer.seen();
-        self.parts = self.observer.parts(now);
+        self.seen = self.observer.counts_by_node();
+        self.parts = self.observer.parts_by_node(now);
         self.sum = Default::default();
         for (_, parts) in self.parts.iter().filter(|(node, _)| !self.standing.contains_key(node)) {
             for (sum, part) in self.sum.iter_mut().zip(parts) {
@@ -259,9 +259,9 @@
                 let since = stood.map_or(now, |s| s.since);
                 let mut met = stood.map(|s| s.met.clone()).unwrap_or_default();
                 let words = self.words.get(&member.node).into_iter().flatten();
-                let told = words.filter(|(_, word)| word.entry.tally.all() > 0).map(|(name, _)| *name);
+                let told = words.filter(|(_, word)| word.entry.counts.total() > 0).map(|(name, _)| *name);
                 met.extend(told.take(MOST_WORDS.saturating_sub(met.len())));
-                let own = self.seen.get(&member.node).is_some_and(|tally| tally.all() > 0);
+                let own = self.seen.get(&member.node).is_some_and(|counts| counts.total() > 0);
                 let mine = own || stood.is_some_and(|s| s.mine);
                 let rests = self.rests(member.node, now);
                 let claim = Claim { plain: judged.plain, kind };
@@ -277,22 +277,22 @@
 
     /// What each proxy brings.
     fn weighed(&self, node: NodeId, now: Duration) -> Vec<Weighed> {
-        let each = self.settings.window() / PARTS as u32;
-        let own = self.seen.get(&node).map(|tally| Weighed {
+        let each = self.settings.window() / WINDOW_PARTS as u32;
+        let own = self.seen.get(&node).map(|counts| Weighed {
             claims: None,
             near: true,
-            tally: *tally,
+            counts: *counts,
             parts: self.parts.get(&node).copied().unwrap_or_default(),
             others: self.others(node),
         });
         let lately = self.came.lately(node, now, self.settings.window());
         let words = self.words.get(&node).into_iter().flat_map(BTreeMap::values).map(|word| {
             let parts = older_by(word.entry.parts, now.saturating_sub(word.made), each);
-            let (tally, parts) = self.came.since(&self.settings, node, word.entry.tally, parts, now);
+            let (counts, parts) = self.came.since(&self.settings, node, word.entry.counts, parts, now);
             Weighed {
                 claims: word.rests.and(word.entry.claim).filter(|_| !lately).map(|(claim, _)| claim),
                 near: word.entry.zone == self.zone,
-                tally,
+                counts,
                 parts,
                 others: f64::from(word.entry.others) / 255.0,
             }
@@ -303,9 +303,10 @@
     /// When the youngest word was said that speaks for a verdict. For a claim that is when what it rests on was, so
     /// that proxies can't keep a verdict alive by telling each other: nothing here is younger than what somebody saw.
     fn rests(&self, node: NodeId, now: Duration) -> Duration {
-        let own = self.seen.get(&node).filter(|tally| tally.bad() > 0).map(|_| now);
+        let own = self.seen.get(&node).filter(|counts| counts.bad() > 0).map(|_| now);
         let words = self.words.get(&node).into_iter().flat_map(BTreeMap::values);
-        let words = words.filter_map(|word| word.rests.or((word.entry.tally.bad() > 0).then_some(word.made)));
+        let words =
+            words.filter_map(|word| word.rests.or((word.entry.counts.bad() > 0).then_some(word.made)));
         own.into_iter().chain(words).max().unwrap_or_default()
     }
 
@@ -342,7 +343,7 @@
 
     /// Attempts a second that this proxy would send to each node that it uses.
     fn each(&self) -> f64 {
-        let all: u32 = self.seen.values().map(Tally::all).sum();
+        let all: u32 = self.seen.values().map(AttemptCounts::total).sum();
         f64::from(all) / self.settings.window().as_secs_f64() / self.seen.len().max(1) as f64
     }
 
@@ -403,8 +404,8 @@
             .standing
             .iter()
             .map(|(node, standing)| {
-                let mut sum = Tally::default();
-                self.weighed(*node, now).iter().for_each(|w| sum.add(&w.tally));
+                let mut sum = AttemptCounts::default();
+                self.weighed(*node, now).iter().for_each(|w| sum.add(&w.counts));
                 let words = self.words.get(node).into_iter().flat_map(BTreeMap::values);
                 let ages = words.map(|word| now.saturating_sub(word.rests.unwrap_or(word.made)));
                 let oldest = ages.max().unwrap_or_default();
@@ -431,7 +432,7 @@
     }
 
     /// What this proxy has seen of a node, and what it holds of it, as it says so.
-    fn own(&self, node: NodeId, tally: Tally, now: Duration) -> Entry {
+    fn own(&self, node: NodeId, counts: AttemptCounts, now: Duration) -> EvidenceEntry {
         let others = (self.others(node) * 255.0).round() as u8;
         let held = self.standing.get(&node).filter(|s| self.sampled && s.kind != Kind::Link);
         let age = |s: &Standing| {
@@ -439,15 +440,15 @@
         };
         let claim = held.and_then(|s| Some((s.claim, age(s).ok().filter(|age| *age <= MOST_AGE)?)));
         let parts = self.parts.get(&node).copied().unwrap_or_default();
-        Entry { version: self.version, zone: self.zone, node, tally, parts, others, claim }
+        EvidenceEntry { version: self.version, zone: self.zone, node, counts, parts, others, claim }
     }
 }
 
 /// A verdict or something that went wrong makes a node one that all are asked of.
 fn in_question(verdicts: &Verdicts, node: NodeId) -> bool {
     verdicts.standing.contains_key(&node)
-        || verdicts.seen.get(&node).is_some_and(|tally| tally.bad() > 0)
-        || verdicts.words.get(&node).is_some_and(|words| words.values().any(|w| w.entry.tally.bad() > 0))
+        || verdicts.seen.get(&node).is_some_and(|counts| counts.bad() > 0)
+        || verdicts.words.get(&node).is_some_and(|words| words.values().any(|w| w.entry.counts.bad() > 0))
 }
 
 impl TopicHandler for Verdicts {
@@ -458,11 +459,11 @@
     /// What was seen of nodes that are in question, in turns where there is more than fits.
     fn write_payload(&mut self, to: ProxyId, room: usize, now: Duration) -> Vec<u8> {
         self.version = self.version.wrapping_add(1);
-        let fits = room / ENTRY;
+        let fits = room / ENTRY_BYTES;
         let seen = |node: NodeId| self.seen.get(&node).copied().unwrap_or_default();
         let all = self.listed.iter().map(|m| m.node).filter(|node| in_question(self, *node));
-        let mut own: Vec<Entry> = all.map(|node| self.own(node, seen(node), now)).collect();
-        own.retain(|entry| entry.tally.all() > 0 || entry.claim.is_some());
+        let mut own: Vec<EvidenceEntry> = all.map(|node| self.own(node, seen(node), now)).collect();
+        own.retain(|entry| entry.counts.total() > 0 || entry.claim.is_some());
         if own.len() > fits {
             // For each partner by itself: a count over all would show each always the same part, where their number fits.
             let turn = self.turns.entry(to).or_default();
@@ -476,7 +477,7 @@
     }
 
     fn receive(&mut self, from: Process, age: Duration, bytes: &[u8], now: Duration) -> bool {
-        let Some(entries) = Entry::read_all(bytes) else { return false };
+        let Some(entries) = EvidenceEntry::read_all(bytes) else { return false };
         let window = self.settings.window();
         if age > window {
             return true;
@@ -512,10 +513,11 @@
 }
 
 /// What was seen, by parts, once it is so much older: what leaves the window is in none.
-fn older_by(parts: [Part; PARTS], age: Duration, each: Duration) -> [Part; PARTS] {
-    let by = usize::try_from(age.as_nanos() / each.as_nanos().max(1)).unwrap_or(PARTS).min(PARTS);
-    let mut older = [Part::default(); PARTS];
-    older[by..].copy_from_slice(&parts[..PARTS - by]);
+fn older_by(parts: [WindowPart; WINDOW_PARTS], age: Duration, each: Duration) -> [WindowPart; WINDOW_PARTS] {
+    let by =
+        usize::try_from(age.as_nanos() / each.as_nanos().max(1)).unwrap_or(WINDOW_PARTS).min(WINDOW_PARTS);
+    let mut older = [WindowPart::default(); WINDOW_PARTS];
+    older[by..].copy_from_slice(&parts[..WINDOW_PARTS - by]);
     older
 }
 
--- a/crates/verdicts/src/pool/came.rs
+++ b/crates/verdicts/src/pool/came.rs
@@ -1,7 +1,7 @@
 //! Nodes that were gone from the list and are back: another process may be at the same address, and what was seen of the
 //! one before speaks against nobody.
 
-use crate::{NodeId, PARTS, Part, Settings, Tally};
+use crate::{AttemptCounts, NodeId, Settings, WINDOW_PARTS, WindowPart};
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
@@ -61,26 +61,27 @@
         &self,
         settings: &Settings,
         node: NodeId,
-        tally: Tally,
-        parts: [Part; PARTS],
+        counts: AttemptCounts,
+        parts: [WindowPart; WINDOW_PARTS],
         now: Duration,
-    ) -> (Tally, [Part; PARTS]) {
-        let Some(at) = self.back.get(&node) else { return (tally, parts) };
-        let each = settings.window() / PARTS as u32;
+    ) -> (AttemptCounts, [WindowPart; WINDOW_PARTS]) {
+        let Some(at) = self.back.get(&node) else { return (counts, parts) };
+        let each = settings.window() / WINDOW_PARTS as u32;
         let whole = now.saturating_sub(*at).as_nanos() / each.as_nanos().max(1);
-        let fresh = usize::try_from(whole).unwrap_or(PARTS + LATER).saturating_sub(LATER).min(PARTS);
-        let mut kept = [Part::default(); PARTS];
+        let fresh =
+            usize::try_from(whole).unwrap_or(WINDOW_PARTS + LATER).saturating_sub(LATER).min(WINDOW_PARTS);
+        let mut kept = [WindowPart::default(); WINDOW_PARTS];
         kept[..fresh].copy_from_slice(&parts[..fresh]);
-        (shrunk(tally, &kept), kept)
+        (shrunk(counts, &kept), kept)
     }
 }
 
-/// As much of a tally as parts of it hold, what went wrong in the way that most of it did.
-fn shrunk(tally: Tally, parts: &[Part]) -> Tally {
+/// As much of a counts as parts of it hold, what went wrong in the way that most of it did.
+fn shrunk(counts: AttemptCounts, parts: &[WindowPart]) -> AttemptCounts {
     let good = parts.iter().map(|p| p.good).fold(0, u32::saturating_add);
     let bad = parts.iter().map(|p| p.bad).fold(0, u32::saturating_add);
-    let mut left = Tally { good, ..Tally::default() };
-    let ways = [tally.unreached, tally.failed, tally.silent, tally.slow];
+    let mut left = AttemptCounts { good, ..AttemptCounts::default() };
+    let ways = [counts.unreached, counts.failed, counts.silent, counts.slow];
     let most = ways.iter().max().copied().unwrap_or_default();
     match ways.iter().position(|count| *count == most) {
         Some(0) => left.unreached = bad,
@@ -104,8 +105,11 @@
         let mut came = Came::default();
         came.list(&HashSet::new(), &first, s(100), stale);
         came.list(&first, &both, s(101), stale);
-        let (tally, parts) = (Tally { silent: 8, ..Tally::default() }, [Part { good: 0, bad: 1 }; PARTS]);
-        let seen = |came: &Came, now| came.since(&settings, two, tally, parts, s(now)).0.silent;
+        let (counts, parts) = (
+            AttemptCounts { silent: 8, ..AttemptCounts::default() },
+            [WindowPart { good: 0, bad: 1 }; WINDOW_PARTS],
+        );
+        let seen = |came: &Came, now| came.since(&settings, two, counts, parts, s(now)).0.silent;
         assert_eq!(seen(&came, 101), 8, "it is new");
         came.list(&both, &first, s(110), stale);
         came.list(&first, &both, s(111), stale);
@@ -113,7 +117,7 @@
         assert_eq!([111, 113, 114, 116, 121].map(|now| seen(&came, now)), [0, 0, 1, 3, 8]);
         assert_eq!([111, 119, 120].map(|now| came.lately(two, s(now), stale / 2)), [true, true, false]);
         assert!(!came.lately(one, s(111), stale / 2));
-        assert_eq!(came.since(&settings, one, tally, parts, s(111)).0, tally, "it was here all the time");
+        assert_eq!(came.since(&settings, one, counts, parts, s(111)).0, counts, "it was here all the time");
         // Lists that are new each time fill nothing without end.
         let many = |from: u64| -> HashSet<NodeId> { (from..from + 15_000).map(NodeId).collect() };
         let mut filled = Came::default();
--- a/crates/verdicts/src/pool/kept.rs
+++ b/crates/verdicts/src/pool/kept.rs
@@ -3,7 +3,7 @@
 use super::{MOST_WORDS, Standing, Verdicts, Word};
 use crate::judge::{Claim, Kind};
 use crate::snapshot::{KeptStanding, KeptWord, millis_up};
-use crate::wire::{ENTRY, Entry};
+use crate::wire::{ENTRY_BYTES, EvidenceEntry};
 use crate::{NodeId, Settings};
 use dewpier_peers::ProxyId;
 use std::collections::BTreeMap;
@@ -23,9 +23,9 @@
     pub(crate) fn kept_words(&self, now: Duration) -> Vec<KeptWord> {
         let all = self.words.iter().flat_map(|(node, words)| words.iter().map(move |word| (node, word)));
         let kept = |(node, (name, word)): (&NodeId, (&ProxyId, &Word))| {
-            let mut bytes = Vec::with_capacity(ENTRY);
-            Entry { node: *node, ..word.entry }.write(&mut bytes);
-            let entry = <[u8; ENTRY]>::try_from(bytes).ok()?;
+            let mut bytes = Vec::with_capacity(ENTRY_BYTES);
+            EvidenceEntry { node: *node, ..word.entry }.write(&mut bytes);
+            let entry = <[u8; ENTRY_BYTES]>::try_from(bytes).ok()?;
             let age_ms = millis_up(now.saturating_sub(word.made));
             let rests_ms = word.rests.map(|rests| millis_up(now.saturating_sub(rests)));
             Some(KeptWord { name: name.0, incarnation: word.incarnation, age_ms, rests_ms, entry })
@@ -63,7 +63,7 @@
     ) -> usize {
         let mut taken = 0;
         for word in kept.iter().filter(|word| others(ProxyId(word.name))) {
-            let entry = Entry::read(&word.entry);
+            let entry = EvidenceEntry::read(&word.entry);
             let Some(made) = made(&self.settings, word.age_ms, since, now) else { continue };
             if !self.known.contains(&entry.node) {
                 continue;
--- a/crates/verdicts/src/snapshot.rs
+++ b/crates/verdicts/src/snapshot.rs
@@ -13,8 +13,8 @@
 //!   told anew.
 //! - *Nothing by itself.* A verdict that was held is weighed anew on what is left of its evidence.
 
-use crate::wire::ENTRY;
-use crate::{Rulings, Tally, Verdicts};
+use crate::wire::ENTRY_BYTES;
+use crate::{AttemptCounts, Rulings, Verdicts};
 use dewpier_peers::{Key, ProxyId, TAG_BYTES};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -74,7 +74,8 @@
 pub(crate) struct KeptSeen {
     pub node: u64,
     pub age_ms: u64,
-    pub tally: Tally,
+    #[serde(rename = "tally")]
+    pub counts: AttemptCounts,
 }
 
 /// What is usual for a class.
@@ -104,7 +105,7 @@
     pub incarnation: u32,
     pub age_ms: u64,
     pub rests_ms: Option<u64>,
-    pub entry: [u8; ENTRY],
+    pub entry: [u8; ENTRY_BYTES],
 }
 
 /// A verdict that stands.
--- a/crates/verdicts/src/wire.rs
+++ b/crates/verdicts/src/wire.rs
@@ -1,13 +1,13 @@
 //! What one proxy saw of one node, as bytes. All numbers are big-endian; counts stop at 255.
 
-use crate::{Claim, Kind, NodeId, PARTS, Part, Tally};
+use crate::{AttemptCounts, Claim, Kind, NodeId, WINDOW_PARTS, WindowPart};
 
 /// Bytes of an entry.
-pub const ENTRY: usize = 22 + PARTS;
+pub const ENTRY_BYTES: usize = 22 + WINDOW_PARTS;
 
 /// What one proxy says of one node. It says it of itself alone: nobody passes on what others saw.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Entry {
+pub struct EvidenceEntry {
     /// Counts up at whoever says it.
     pub version: u32,
     /// Hash of the zone that it was seen from.
@@ -15,9 +15,9 @@
     /// Of which node.
     pub node: NodeId,
     /// Attempts by how they went.
-    pub tally: Tally,
+    pub counts: AttemptCounts,
     /// The same by parts of the window, the youngest first.
-    pub parts: [Part; PARTS],
+    pub parts: [WindowPart; WINDOW_PARTS],
     /// The part of the attempts at all other nodes that went badly, in 255ths.
     pub others: u8,
     /// It holds a verdict on the node: which, and how long ago at most the youngest word was said that speaks for it,
@@ -48,7 +48,7 @@
 }
 
 /// Half a byte for each; where one is larger both are made smaller together, and what was seen at all stays seen.
-fn part_byte(part: Part) -> u8 {
+fn part_byte(part: WindowPart) -> u8 {
     let most = u64::from(part.good.max(part.bad).max(15));
     let half = |count: u32| (u64::from(count) * 15 / most).max(u64::from(count > 0)) as u8;
     half(part.good) << 4 | half(part.bad)
@@ -58,10 +58,10 @@
     u8::try_from(count).unwrap_or(u8::MAX)
 }
 
-impl Entry {
+impl EvidenceEntry {
     /// Where counts are too large for a byte they are made smaller together: what counts is their relation.
     pub fn write(&self, bytes: &mut Vec<u8>) {
-        let Tally { good, unreached, failed, silent, slow } = self.tally;
+        let AttemptCounts { good, unreached, failed, silent, slow } = self.counts;
         let counts = [good, unreached, failed, silent, slow];
         let most = counts.into_iter().max().unwrap_or_default().max(255);
         let scaled = |count: u32| match most {
@@ -83,11 +83,11 @@
 
     /// All entries of a text, or None where it has another length than entries have.
     pub fn read_all(bytes: &[u8]) -> Option<Vec<Self>> {
-        let (entries, rest) = bytes.as_chunks::<ENTRY>();
+        let (entries, rest) = bytes.as_chunks::<ENTRY_BYTES>();
         rest.is_empty().then(|| entries.iter().map(Self::read).collect())
     }
 
-    pub(crate) fn read(bytes: &[u8; ENTRY]) -> Self {
+    pub(crate) fn read(bytes: &[u8; ENTRY_BYTES]) -> Self {
         let number = |at: usize, length: usize| {
             bytes[at..at + length].iter().fold(0u64, |number, byte| number << 8 | u64::from(*byte))
         };
@@ -98,12 +98,12 @@
             version: number(0, 4) as u32,
             zone: number(4, 2) as u16,
             node: NodeId(number(6, 8)),
-            tally: Tally { good, unreached, failed, silent, slow },
+            counts: AttemptCounts { good, unreached, failed, silent, slow },
             others: bytes[19],
             claim: claimed(claim),
             parts: std::array::from_fn(|i| {
                 let byte = u32::from(bytes[22 + i]);
-                Part { good: byte >> 4, bad: byte & 15 }
+                WindowPart { good: byte >> 4, bad: byte & 15 }
             }),
         }
     }
@@ -118,28 +118,28 @@
         #[test]
         fn what_is_written_is_read(version: u32, zone: u16, node: u64, counts: [u8; 5], others: u8, claim in 0..=MOST_AGE, plain: bool, part in 0..16u32) {
             let [good, unreached, failed, silent, slow] = counts.map(u32::from);
-            let tally = Tally { good, unreached, failed, silent, slow };
+            let counts = AttemptCounts { good, unreached, failed, silent, slow };
             let kind = KINDS[version as usize % 4];
             let claim = Some((Claim { plain, kind }, claim)).filter(|_| version % 3 > 0);
-            let parts = std::array::from_fn(|i| Part { good: part ^ i as u32, bad: part });
-            let entry = Entry { version, zone, node: NodeId(node), tally, others, claim, parts };
+            let parts = std::array::from_fn(|i| WindowPart { good: part ^ i as u32, bad: part });
+            let entry = EvidenceEntry { version, zone, node: NodeId(node), counts, others, claim, parts };
             let mut bytes = Vec::new();
             entry.write(&mut bytes);
             entry.write(&mut bytes);
-            prop_assert_eq!(bytes.len(), 2 * ENTRY);
-            prop_assert_eq!(Entry::read_all(&bytes), Some(vec![entry, entry]));
+            prop_assert_eq!(bytes.len(), 2 * ENTRY_BYTES);
+            prop_assert_eq!(EvidenceEntry::read_all(&bytes), Some(vec![entry, entry]));
             bytes.pop();
-            prop_assert_eq!(Entry::read_all(&bytes), None);
+            prop_assert_eq!(EvidenceEntry::read_all(&bytes), None);
         }
 
         #[test]
         fn large_counts_keep_their_relation(good in 256..1_000_000u32, failed in 1..1_000_000u32) {
-            let tally = Tally { good, failed, ..Tally::default() };
+            let counts = AttemptCounts { good, failed, ..AttemptCounts::default() };
             let mut bytes = Vec::new();
-            Entry { tally, ..Entry::default() }.write(&mut bytes);
-            let read = Entry::read_all(&bytes).unwrap()[0].tally;
-            let part = |t: Tally| f64::from(t.bad()) / f64::from(t.all());
-            prop_assert!(read.failed > 0 && (part(read) - part(tally)).abs() < 0.01, "{:?}", read);
+            EvidenceEntry { counts, ..EvidenceEntry::default() }.write(&mut bytes);
+            let read = EvidenceEntry::read_all(&bytes).unwrap()[0].counts;
+            let part = |t: AttemptCounts| f64::from(t.bad()) / f64::from(t.total());
+            prop_assert!(read.failed > 0 && (part(read) - part(counts)).abs() < 0.01, "{:?}", read);
         }
     }
 }
--- a/crates/verdicts/tests/common/mod.rs
+++ b/crates/verdicts/tests/common/mod.rs
@@ -60,7 +60,7 @@
     pub world: World,
     pub does: Vec<Does>,
     pub under_way: Vec<(Duration, usize, Vec<u8>)>,
-    pub answers: Vec<(Duration, usize, u64, End)>,
+    pub answers: Vec<(Duration, usize, u64, AttemptEnd)>,
     pub attempts: u64,
     /// Attempts at each node by the second.
     pub at_nodes: Vec<Vec<Duration>>,
@@ -148,7 +148,7 @@
             std::mem::take(&mut self.answers).into_iter().partition(|a| a.0 <= now);
         self.answers = later;
         for (at, who, id, end) in due {
-            self.proxies[who].verdicts.ended((id, 0), end, at);
+            self.proxies[who].verdicts.record_end((id, 0), end, at);
         }
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.under_way).into_iter().partition(|a| a.0 <= now);
@@ -180,15 +180,15 @@
                 let to = open[self.rng.random_range(0..open.len())];
                 self.attempts += 1;
                 self.at_nodes[to].push(now);
-                self.proxies[who].verdicts.began((self.attempts, 0), node(to), 0, now);
-                let well = (self.rng.random_range(8..15), End::Served);
+                self.proxies[who].verdicts.record_start((self.attempts, 0), node(to), 0, now);
+                let well = (self.rng.random_range(8..15), AttemptEnd::Served);
                 let (ms, end) = match self.does[to] {
-                    Does::Fails(part) if self.rng.random_bool(part) => (1, End::Failed),
-                    Does::FailsIn(zone) if self.proxies[who].zone == zone => (1, End::Unreached),
-                    Does::IsGone => (1, End::Unreached),
-                    Does::Hangs => (10_000, End::Silent),
-                    Does::IsSlow => (self.rng.random_range(80..150), End::Served),
-                    _ if self.rng.random_bool(0.003) => (5, End::Failed),
+                    Does::Fails(part) if self.rng.random_bool(part) => (1, AttemptEnd::Failed),
+                    Does::FailsIn(zone) if self.proxies[who].zone == zone => (1, AttemptEnd::Unreached),
+                    Does::IsGone => (1, AttemptEnd::Unreached),
+                    Does::Hangs => (10_000, AttemptEnd::Silent),
+                    Does::IsSlow => (self.rng.random_range(80..150), AttemptEnd::Served),
+                    _ if self.rng.random_bool(0.003) => (5, AttemptEnd::Failed),
                     _ => well,
                 };
                 self.answers.push((now + Duration::from_millis(ms), who, self.attempts, end));
@@ -268,13 +268,13 @@
     fn write_payload(&mut self, _: ProxyId, _: usize, now: Duration) -> Vec<u8> {
         let mut bytes = Vec::new();
         for n in 0..8u32 {
-            let tally = Tally { failed: 250, ..Tally::default() };
-            let entry = Entry {
+            let counts = AttemptCounts { failed: 250, ..AttemptCounts::default() };
+            let entry = EvidenceEntry {
                 version: now.as_millis() as u32,
                 node: node(n as usize),
-                tally,
+                counts,
                 claim: Some((Claim { plain: true, kind: Kind::Gone }, 0)),
-                ..Entry::default()
+                ..EvidenceEntry::default()
             };
             entry.write(&mut bytes);
         }
--- a/crates/verdicts/tests/fleet.rs
+++ b/crates/verdicts/tests/fleet.rs
@@ -253,15 +253,15 @@
     let verdicts = &mut played.proxies[0].verdicts;
     verdicts.tick(now);
     for n in 0..8 {
-        verdicts.began((n, 0), node(n as usize), 0, now);
-        verdicts.ended((n, 0), End::Failed, now);
+        verdicts.record_start((n, 0), node(n as usize), 0, now);
+        verdicts.record_end((n, 0), AttemptEnd::Failed, now);
     }
     verdicts.tick(now);
     let mut told: Vec<std::collections::HashSet<NodeId>> = vec![Default::default(); 8];
     for _ in 0..3 {
         for (partner, told) in told.iter_mut().enumerate() {
-            let bytes = TopicHandler::write_payload(verdicts, ProxyId(partner as u64), 3 * ENTRY, now);
-            told.extend(Entry::read_all(&bytes).unwrap().iter().map(|entry| entry.node));
+            let bytes = TopicHandler::write_payload(verdicts, ProxyId(partner as u64), 3 * ENTRY_BYTES, now);
+            told.extend(EvidenceEntry::read_all(&bytes).unwrap().iter().map(|entry| entry.node));
         }
     }
     assert!(
--- a/crates/verdicts/tests/kept.rs
+++ b/crates/verdicts/tests/kept.rs
@@ -130,12 +130,12 @@
     let mut verdicts = Verdicts::new(settings, me, "a", 0, 3, now);
     verdicts.list((0..1000).map(|n| Member { node: node(n), cell: 0 }).collect(), now);
     for n in 0..1000 {
-        verdicts.began((n as u64, 0), node(n), 0, now);
-        verdicts.ended((n as u64, 0), End::Failed, now);
+        verdicts.record_start((n as u64, 0), node(n), 0, now);
+        verdicts.record_end((n as u64, 0), AttemptEnd::Failed, now);
         for other in 1..65 {
             let mut bytes = Vec::new();
-            let tally = Tally { failed: 1, ..Tally::default() };
-            Entry { node: node(n), tally, ..Entry::default() }.write(&mut bytes);
+            let counts = AttemptCounts { failed: 1, ..AttemptCounts::default() };
+            EvidenceEntry { node: node(n), counts, ..EvidenceEntry::default() }.write(&mut bytes);
             let from = Process { proxy: name(other), incarnation: 1 };
             assert!(dewpier_peers::TopicHandler::receive(&mut verdicts, from, seconds(0), &bytes, now));
         }
