--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -168,7 +168,7 @@
         self.1 += 1;
         for node in &self.0 {
             let tally = AttemptCounts { failed: 200, ..AttemptCounts::default() };
-            let claim = Some((Claim { plain: true, kind: Kind::Gone }, 0));
+            let claim = Some((Claim { severe: true, kind: Kind::Gone }, 0));
             EvidenceEntry { version: self.1, node: *node, counts: tally, claim, ..EvidenceEntry::default() }
                 .write(&mut bytes);
         }
--- a/crates/verdicts/src/judge.rs
+++ b/crates/verdicts/src/judge.rs
@@ -47,14 +47,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// Half of all goes wrong there, or more.
-    pub plain: bool,
+    pub severe: bool,
     /// In which way.
     pub kind: Kind,
 }
 
 /// What one proxy brings to a judgement.
 #[derive(Clone, Copy, Debug)]
-pub struct Weighed {
+pub struct ProxyEvidence {
     /// It holds a verdict itself.
     pub claims: Option<Claim>,
     /// It is in this proxy's zone.
@@ -73,7 +73,7 @@
     /// What holds, if it is bad.
     pub kind: Option<Kind>,
     /// Half of all goes wrong there, or more.
-    pub plain: bool,
+    pub severe: bool,
     /// Logarithm of the odds that it is bad.
     pub odds: f64,
     /// Proxies that have seen something go wrong there, but for those that doubt themselves.
@@ -81,22 +81,22 @@
 }
 
 /// Judges a node. `stood` says whether a verdict on it stands.
-pub fn weigh(settings: &Settings, seen: &[Weighed], stood: bool) -> Judgement {
-    let trusted: Vec<&Weighed> =
+pub fn judge_node(settings: &Settings, seen: &[ProxyEvidence], stood: bool) -> Judgement {
+    let trusted: Vec<&ProxyEvidence> =
         seen.iter().filter(|w| w.others <= DOUBT && (w.counts.total() > 0 || w.claims.is_some())).collect();
     let usual = median(trusted.iter().map(|w| w.others).collect()).max(LEAST_USUAL);
     let needed = settings.needed() * if stood { KEPT } else { 1.0 };
     let observers = trusted.iter().filter(|w| w.counts.bad() > 0 || w.claims.is_some()).count();
     let most = settings.most_each();
-    let mut best = Judgement { kind: None, plain: false, odds: f64::NEG_INFINITY, observers };
-    for (plain, bad) in [(true, BAD[0]), (false, BAD[1])] {
+    let mut best = Judgement { kind: None, severe: false, odds: f64::NEG_INFINITY, observers };
+    for (severe, bad) in [(true, BAD[0]), (false, BAD[1])] {
         if bad < WORSE * usual {
             continue;
         }
         let (failure, success) = ((bad / usual).ln(), ((1.0 - bad) / (1.0 - usual)).ln());
         // Bounded on both sides, so that nobody outweighs others whatever it says.
-        let each = |w: &Weighed, seen: WindowPart| match w.claims {
-            Some(claim) if !plain || claim.plain => most,
+        let each = |w: &ProxyEvidence, seen: WindowPart| match w.claims {
+            Some(claim) if !severe || claim.severe => most,
             _ => (f64::from(seen.bad) * failure + f64::from(seen.good) * success).clamp(-most, most),
         };
         let sum = |near: bool, span: Option<usize>| {
@@ -106,25 +106,25 @@
         let whole = (sum(true, None), sum(false, None));
         for span in [None].into_iter().chain((0..WINDOW_PARTS).map(Some)) {
             let (near, far) = (sum(true, span), sum(false, span));
-            if plain {
+            if severe {
                 // Where near and far say opposite things it is the way there, and that is each side's own matter. Who saw
                 // nothing in this span goes by what it saw before.
                 let well = |lately: f64, all: f64| lately <= -CLEARED || lately <= 0.0 && all <= -CLEARED;
                 let link = near >= needed && well(far, whole.1);
                 if link || well(near, whole.0) && far >= most {
-                    return Judgement { kind: link.then_some(Kind::Link), plain, odds: near, observers };
+                    return Judgement { kind: link.then_some(Kind::Link), severe, odds: near, observers };
                 }
             }
             let odds = near + far;
             if odds > best.odds && (span.is_none() || trusted.iter().any(|w| w.since(span).bad > 0)) {
-                best = Judgement { kind: (odds >= needed).then(|| kind(&trusted)), plain, odds, observers };
+                best = Judgement { kind: (odds >= needed).then(|| kind(&trusted)), severe, odds, observers };
             }
         }
     }
     best
 }
 
-impl Weighed {
+impl ProxyEvidence {
     /// What it saw in so many parts of the window and one, up to now; in all of it where none is named.
     fn since(&self, span: Option<usize>) -> WindowPart {
         let whole = WindowPart { good: self.counts.good, bad: self.counts.bad() };
@@ -138,7 +138,7 @@
 }
 
 /// In which way it mostly goes wrong: by what was seen, or else by what is held.
-fn kind(trusted: &[&Weighed]) -> Kind {
+fn kind(trusted: &[&ProxyEvidence]) -> Kind {
     let mut sum = AttemptCounts::default();
     trusted.iter().for_each(|w| sum.add(&w.counts));
     let seen = [
@@ -162,8 +162,8 @@
 mod tests {
     use super::*;
 
-    fn one(good: u32, failed: u32) -> Weighed {
-        Weighed {
+    fn one(good: u32, failed: u32) -> ProxyEvidence {
+        ProxyEvidence {
             claims: None,
             near: true,
             counts: AttemptCounts { good, failed, ..AttemptCounts::default() },
@@ -172,8 +172,8 @@
         }
     }
 
-    fn judged(seen: &[Weighed]) -> Option<Kind> {
-        weigh(&Settings::default(), seen, false).kind
+    fn judged(seen: &[ProxyEvidence]) -> Option<Kind> {
+        judge_node(&Settings::default(), seen, false).kind
     }
 
     #[test]
@@ -193,10 +193,10 @@
         };
         assert_eq!(judged(&[turned(0); 3]), Some(Kind::Failing));
         // In the part in which it turned bad what went well before counts: one more has to meet it.
-        let mixed = Weighed { parts: turned(1).parts, ..one(1, 1) };
+        let mixed = ProxyEvidence { parts: turned(1).parts, ..one(1, 1) };
         assert_eq!((judged(&[mixed; 3]), judged(&[mixed; 4])), (None, Some(Kind::Failing)));
         // Without the parts twenty that went well hide it.
-        let blind = Weighed { parts: [WindowPart::default(); WINDOW_PARTS], ..turned(0) };
+        let blind = ProxyEvidence { parts: [WindowPart::default(); WINDOW_PARTS], ..turned(0) };
         assert_eq!(judged(&[blind; 3]), None);
         assert_eq!(judged(&[turned(0), turned(0), turned(2)]), None);
         // Others who see it do well since then are heard.
@@ -207,12 +207,12 @@
 
     #[test]
     fn what_others_hold_counts_as_one_word_each_and_bad_luck_does_not_add_to_it() {
-        let claims = Weighed { claims: Some(Claim { plain: true, kind: Kind::Silent }), ..one(0, 0) };
+        let claims = ProxyEvidence { claims: Some(Claim { severe: true, kind: Kind::Silent }), ..one(0, 0) };
         assert_eq!(judged(&[claims, claims]), None);
         assert_eq!(judged(&[claims, claims, claims]), Some(Kind::Silent));
         assert_eq!(
             judged(&[
-                Weighed { claims: Some(Claim { plain: true, kind: Kind::Silent }), ..one(0, 900) },
+                ProxyEvidence { claims: Some(Claim { severe: true, kind: Kind::Silent }), ..one(0, 900) },
                 claims
             ]),
             None
@@ -229,20 +229,22 @@
 
     #[test]
     fn what_befalls_all_nodes_alike_condemns_none_and_who_sees_all_bad_doubts_itself() {
-        let all_alike: Vec<Weighed> = (0..12).map(|_| Weighed { others: 0.4, ..one(6, 4) }).collect();
+        let all_alike: Vec<ProxyEvidence> =
+            (0..12).map(|_| ProxyEvidence { others: 0.4, ..one(6, 4) }).collect();
         assert_eq!(judged(&all_alike), None);
-        let doubting: Vec<Weighed> = (0..12).map(|_| Weighed { others: 0.9, ..one(0, 9) }).collect();
+        let doubting: Vec<ProxyEvidence> =
+            (0..12).map(|_| ProxyEvidence { others: 0.9, ..one(0, 9) }).collect();
         assert_eq!(judged(&doubting), None);
         // Three that are well off are enough beside them.
         let mut mixed = doubting;
         mixed.extend([one(9, 0), one(9, 0), one(9, 0)]);
-        assert!(weigh(&Settings::default(), &mixed, false).odds < 0.0);
+        assert!(judge_node(&Settings::default(), &mixed, false).odds < 0.0);
     }
 
     #[test]
     fn one_zone_that_cannot_reach_it_condemns_the_link_for_itself_alone() {
-        let mut seen: Vec<Weighed> = (0..4).map(|_| one(0, 5)).collect();
-        seen.extend((4..8).map(|_| Weighed { near: false, ..one(20, 0) }));
+        let mut seen: Vec<ProxyEvidence> = (0..4).map(|_| one(0, 5)).collect();
+        seen.extend((4..8).map(|_| ProxyEvidence { near: false, ..one(20, 0) }));
         assert_eq!(judged(&seen), Some(Kind::Link));
         seen.iter_mut().for_each(|w| w.near = !w.near);
         assert_eq!(judged(&seen), None);
@@ -252,7 +254,7 @@
     fn a_verdict_that_stands_ends_later_than_it_came() {
         let seen = [one(0, 1)];
         assert_eq!(judged(&seen), None);
-        assert_eq!(weigh(&Settings::default(), &seen, true).kind, Some(Kind::Failing));
-        assert_eq!(weigh(&Settings::default(), &[one(0, 1), one(2, 0)], true).kind, None);
+        assert_eq!(judge_node(&Settings::default(), &seen, true).kind, Some(Kind::Failing));
+        assert_eq!(judge_node(&Settings::default(), &[one(0, 1), one(2, 0)], true).kind, None);
     }
 }
--- a/crates/verdicts/src/lib.rs
+++ b/crates/verdicts/src/lib.rs
@@ -29,7 +29,7 @@
 mod wire;
 
 pub use evidence::{AttemptCounts, AttemptEnd, Observer, WINDOW_PARTS, WindowPart};
-pub use judge::{Claim, Judgement, Kind, Weighed, weigh};
+pub use judge::{Claim, Judgement, Kind, ProxyEvidence, judge_node};
 pub use pool::{Member, Origin, Report, TOPIC, Verdicts};
 pub use ruling::{LONGEST, MOST_RULINGS, Ruling, RulingError, Rulings, Says};
 pub use snapshot::{Known, MOST_SNAPSHOT, Snapshot, SnapshotError, TakenUp, When};
--- a/crates/verdicts/src/pool.rs
+++ b/crates/verdicts/src/pool.rs
@@ -4,7 +4,7 @@
 mod kept;
 
 use crate::evidence::{AttemptCounts, AttemptEnd, Observer, WINDOW_PARTS, WindowPart};
-use crate::judge::{Claim, Kind, Weighed, weigh};
+use crate::judge::{Claim, Kind, ProxyEvidence, judge_node};
 use crate::wire::{AGE_UNIT, ENTRY_BYTES, EvidenceEntry, MOST_AGE};
 use crate::{NodeId, Says, Settings, trial};
 use dewpier_peers::{Process, ProxyId, Topic, TopicHandler};
@@ -254,7 +254,7 @@
         let mut standing = HashMap::new();
         for member in &self.listed {
             let stood = self.standing.get(&member.node);
-            let judged = weigh(&self.settings, &self.weighed(member.node, now), stood.is_some());
+            let judged = judge_node(&self.settings, &self.weighed(member.node, now), stood.is_some());
             if let Some(kind) = judged.kind {
                 let since = stood.map_or(now, |s| s.since);
                 let mut met = stood.map(|s| s.met.clone()).unwrap_or_default();
@@ -264,7 +264,7 @@
                 let own = self.seen.get(&member.node).is_some_and(|counts| counts.total() > 0);
                 let mine = own || stood.is_some_and(|s| s.mine);
                 let rests = self.rests(member.node, now);
-                let claim = Claim { plain: judged.plain, kind };
+                let claim = Claim { severe: judged.severe, kind };
                 let (odds, observers) = (judged.odds, judged.observers);
                 let found = Standing { met, mine, kind, claim, since, rests, odds, observers };
                 standing.insert(member.node, found);
@@ -276,9 +276,9 @@
     }
 
     /// What each proxy brings.
-    fn weighed(&self, node: NodeId, now: Duration) -> Vec<Weighed> {
+    fn weighed(&self, node: NodeId, now: Duration) -> Vec<ProxyEvidence> {
         let each = self.settings.window() / WINDOW_PARTS as u32;
-        let own = self.seen.get(&node).map(|counts| Weighed {
+        let own = self.seen.get(&node).map(|counts| ProxyEvidence {
             claims: None,
             near: true,
             counts: *counts,
@@ -289,7 +289,7 @@
         let words = self.words.get(&node).into_iter().flat_map(BTreeMap::values).map(|word| {
             let parts = older_by(word.entry.parts, now.saturating_sub(word.made), each);
             let (counts, parts) = self.came.since(&self.settings, node, word.entry.counts, parts, now);
-            Weighed {
+            ProxyEvidence {
                 claims: word.rests.and(word.entry.claim).filter(|_| !lately).map(|(claim, _)| claim),
                 near: word.entry.zone == self.zone,
                 counts,
--- a/crates/verdicts/src/pool/kept.rs
+++ b/crates/verdicts/src/pool/kept.rs
@@ -42,7 +42,7 @@
             Some(KeptStanding {
                 node: node.0,
                 kind,
-                plain: s.claim.plain,
+                severe: s.claim.severe,
                 since_ms: millis_up(now.saturating_sub(s.since)),
                 rests_ms: millis_up(now.saturating_sub(s.rests)),
                 mine: s.mine,
@@ -97,7 +97,7 @@
             }
             let began = now.saturating_sub(since.saturating_add(Duration::from_millis(held.since_ms)));
             let met = held.met.iter().take(MOST_WORDS).map(|name| ProxyId(*name)).collect();
-            let claim = Claim { plain: held.plain, kind };
+            let claim = Claim { severe: held.severe, kind };
             let standing =
                 Standing { met, mine: held.mine, kind, claim, since: began, rests, odds: 0.0, observers: 0 };
             self.standing.insert(node, standing);
--- a/crates/verdicts/src/snapshot.rs
+++ b/crates/verdicts/src/snapshot.rs
@@ -113,7 +113,8 @@
 pub(crate) struct KeptStanding {
     pub node: u64,
     pub kind: u8,
-    pub plain: bool,
+    #[serde(rename = "plain")]
+    pub severe: bool,
     pub since_ms: u64,
     pub rests_ms: u64,
     pub mine: bool,
--- a/crates/verdicts/src/wire.rs
+++ b/crates/verdicts/src/wire.rs
@@ -29,22 +29,22 @@
 pub const MOST_AGE: u16 = 0x1ffe;
 /// Ages go up in steps of so many milliseconds.
 pub const AGE_UNIT: u64 = 20;
-/// Set where it is plain that the node is bad. Two bits behind it are the kind, the rest is the age and one more,
+/// Set where it is severe that the node is bad. Two bits behind it are the kind, the rest is the age and one more,
 /// 0 being no claim.
 const PLAIN: u16 = 0x8000;
 const KINDS: [Kind; 4] = [Kind::Gone, Kind::Failing, Kind::Silent, Kind::Slow];
 
 fn claim_bits((claim, age): (Claim, u16)) -> u16 {
-    let plain = if claim.plain { PLAIN } else { 0 };
+    let severe = if claim.severe { PLAIN } else { 0 };
     // What holds for one zone's way alone is nobody else's.
     let Some(kind) = KINDS.iter().position(|kind| *kind == claim.kind) else { return 0 };
-    plain | (kind as u16) << 13 | (age.min(MOST_AGE) + 1)
+    severe | (kind as u16) << 13 | (age.min(MOST_AGE) + 1)
 }
 
 fn claimed(bits: u16) -> Option<(Claim, u16)> {
     let age = (bits & 0x1fff).checked_sub(1)?;
     let kind = KINDS[usize::from(bits >> 13 & 3)];
-    Some((Claim { plain: bits & PLAIN != 0, kind }, age))
+    Some((Claim { severe: bits & PLAIN != 0, kind }, age))
 }
 
 /// Half a byte for each; where one is larger both are made smaller together, and what was seen at all stays seen.
@@ -116,11 +116,11 @@
 
     proptest! {
         #[test]
-        fn what_is_written_is_read(version: u32, zone: u16, node: u64, counts: [u8; 5], others: u8, claim in 0..=MOST_AGE, plain: bool, part in 0..16u32) {
+        fn what_is_written_is_read(version: u32, zone: u16, node: u64, counts: [u8; 5], others: u8, claim in 0..=MOST_AGE, severe: bool, part in 0..16u32) {
             let [good, unreached, failed, silent, slow] = counts.map(u32::from);
             let counts = AttemptCounts { good, unreached, failed, silent, slow };
             let kind = KINDS[version as usize % 4];
-            let claim = Some((Claim { plain, kind }, claim)).filter(|_| version % 3 > 0);
+            let claim = Some((Claim { severe, kind }, claim)).filter(|_| version % 3 > 0);
             let parts = std::array::from_fn(|i| WindowPart { good: part ^ i as u32, bad: part });
             let entry = EvidenceEntry { version, zone, node: NodeId(node), counts, others, claim, parts };
             let mut bytes = Vec::new();
--- a/crates/verdicts/tests/common/mod.rs
+++ b/crates/verdicts/tests/common/mod.rs
@@ -273,7 +273,7 @@
                 version: now.as_millis() as u32,
                 node: node(n as usize),
                 counts,
-                claim: Some((Claim { plain: true, kind: Kind::Gone }, 0)),
+                claim: Some((Claim { severe: true, kind: Kind::Gone }, 0)),
                 ..EvidenceEntry::default()
             };
             entry.write(&mut bytes);
