--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -8,8 +8,8 @@
 use dewpier_operate::calls::{self, Call};
 use dewpier_peers::{Peers, Process, ProxyId};
 use dewpier_verdicts::{
-    AttemptEnd, Kind, Known, Member, NodeId, Origin, Report, Rulings, Says, Snapshot, SnapshotError,
-    Verdicts, When,
+    AttemptEnd, Kind, Known, Member, NodeId, OperatorOverrides, Origin, OverrideKind, Report, Snapshot,
+    SnapshotError, Verdicts, When,
 };
 use gannetproxy::engine::{Engine, Seen, Upstream};
 use gannetproxy::{BackendId, Outcome};
@@ -42,7 +42,7 @@
 struct State {
     peers: Peers,
     verdicts: Verdicts,
-    rulings: Rulings,
+    rulings: OperatorOverrides,
     nodes: HashMap<BackendId, NodeId>,
     names: HashMap<NodeId, (BackendId, String)>,
     /// What the module was told, by its own number: a node may leave the list, or be another process at another
@@ -106,7 +106,7 @@
             now,
         );
         let verdicts = Verdicts::new(told.verdicts.clone(), me, zone, classes.len(), partners, now);
-        let rulings = Rulings::new(Origin::of(me));
+        let rulings = OperatorOverrides::new(Origin::of(me));
         let (nodes, names, believed) = (HashMap::new(), HashMap::new(), HashMap::new());
         let before = told.snapshot.as_deref().and_then(|path| match read(path, &told, me.proxy) {
             Ok(before) => before,
@@ -271,7 +271,7 @@
         let state = &mut *self.state.borrow_mut();
         state.verdicts.answering(state.peers.count_answering_partners(now));
         state.rulings.tick(now);
-        state.verdicts.ruled(state.rulings.all(now), now);
+        state.verdicts.ruled(state.rulings.active(now), now);
         state.verdicts.tick(now);
         let mut held = HashMap::new();
         for (node, kind) in state.verdicts.avoided(now) {
@@ -312,11 +312,11 @@
             );
         };
         let (says, seconds) = match says {
-            calls::Says::Avoid(seconds) => (Some(Says::Avoid), seconds),
-            calls::Says::Trust(seconds) => (Some(Says::Trust), seconds),
+            calls::Says::Avoid(seconds) => (Some(OverrideKind::Avoid), seconds),
+            calls::Says::Trust(seconds) => (Some(OverrideKind::Trust), seconds),
             calls::Says::AsSeen => (None, 0),
         };
-        match state.rulings.rule(id, says, Duration::from_secs(seconds), now) {
+        match state.rulings.set(id, says, Duration::from_secs(seconds), now) {
             Ok(()) => {
                 tracing::info!(node, ?says, seconds, "an operator rules on a node");
                 "YES all proxies that hear this one go by it\n".into()
@@ -343,9 +343,9 @@
             };
             if let Some((says, left)) = r.ruling {
                 let (says, out) = match (says, r.out) {
-                    (Says::Avoid, true) => ("avoid", "out"),
-                    (Says::Avoid, false) => ("avoid", "not out: it is the last one of its cell"),
-                    (Says::Trust, _) => ("trust", "not out"),
+                    (OverrideKind::Avoid, true) => ("avoid", "out"),
+                    (OverrideKind::Avoid, false) => ("avoid", "not out: it is the last one of its cell"),
+                    (OverrideKind::Trust, _) => ("trust", "not out"),
                 };
                 let _ = writeln!(text, "{node}: {says}, as an operator says for {left} ms more; {out}");
             }
--- a/crates/verdicts/src/lib.rs
+++ b/crates/verdicts/src/lib.rs
@@ -15,23 +15,25 @@
 //!   rest on was said, so that proxies can't keep one alive by telling each other;
 //! - at most [`Settings::most_out`] of the nodes are out, the worst, and never the last one of a cell;
 //! - an operator's word on a node goes before all that, everywhere where it is known, and ends nowhere later than where
-//!   it was said ([`Rulings`]);
+//!   it was said ([`OperatorOverrides`]);
 //! - evidence is of one start of a node: what began anew begins with none.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod evidence;
 mod judge;
+mod overrides;
 mod pool;
-mod ruling;
 mod snapshot;
 mod trial;
 mod wire;
 
 pub use evidence::{AttemptCounts, AttemptEnd, Observer, WINDOW_PARTS, WindowPart};
 pub use judge::{Claim, Judgement, Kind, ProxyEvidence, judge_node};
+pub use overrides::{
+    MAX_OVERRIDE_DURATION, MAX_OVERRIDES, OperatorOverride, OperatorOverrides, OverrideError, OverrideKind,
+};
 pub use pool::{Member, Origin, Report, TOPIC, Verdicts};
-pub use ruling::{LONGEST, MOST_RULINGS, Ruling, RulingError, Rulings, Says};
 pub use snapshot::{Known, MOST_SNAPSHOT, Snapshot, SnapshotError, TakenUp, When};
 pub use wire::{ENTRY_BYTES, EvidenceEntry};
 
--- a/crates/verdicts/src/ruling.rs
+++ b/crates/verdicts/src/overrides.rs
@@ -10,7 +10,7 @@
 //!   known where it was said, and by who said it where two were said at once;
 //! - a ruling that is taken back is one that says nothing. Each is remembered for as long as the longest one that it
 //!   replaces could have held, and that is passed on with it, so that no late copy brings an older one back;
-//! - at most [`MOST_RULINGS`] are known; a new one beyond is refused where it is said, and not taken where it is heard.
+//! - at most [`MAX_OVERRIDES`] are known; a new one beyond is refused where it is said, and not taken where it is heard.
 
 use crate::snapshot::KeptRuling;
 use crate::{NodeId, Origin};
@@ -24,17 +24,17 @@
 const TOPIC: Topic = Topic(2);
 /// Bytes of a ruling.
 const SIZE: usize = 25;
-/// Rulings in a datagram at most, in turns, so that evidence has its place beside them.
+/// OperatorOverrides in a datagram at most, in turns, so that evidence has its place beside them.
 const MOST_AT_ONCE: usize = 4;
-/// Rulings that are known at once.
-pub const MOST_RULINGS: usize = 64;
+/// OperatorOverrides that are known at once.
+pub const MAX_OVERRIDES: usize = 64;
 /// The longest time that a ruling may hold: a week.
-pub const LONGEST: Duration = Duration::from_secs(7 * 24 * 3600);
+pub const MAX_OVERRIDE_DURATION: Duration = Duration::from_secs(7 * 24 * 3600);
 
 /// What an operator says of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Says {
+pub enum OverrideKind {
     /// Keep it out, whatever is seen.
     Avoid,
     /// No verdict keeps it out.
@@ -43,23 +43,23 @@
 
 /// Why a ruling is not taken.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum RulingError {
+pub enum OverrideError {
     /// As many are known as may be.
-    #[error("{MOST_RULINGS} rulings hold already: expected one of them to end or be taken back")]
+    #[error("{MAX_OVERRIDES} rulings hold already: expected one of them to end or be taken back")]
     TooMany,
     /// It ends at once, or too late.
-    #[error("a ruling for {0} s: expected 1 to {max} s", max = LONGEST.as_secs())]
-    Span(u64),
+    #[error("a ruling for {0} s: expected 1 to {max} s", max = MAX_OVERRIDE_DURATION.as_secs())]
+    InvalidDuration(u64),
     /// There is nothing to take back.
     #[error("no ruling holds on it: expected one to take back")]
-    None,
+    NotFound,
 }
 
 /// A ruling as it is known here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ruling {
+pub struct OperatorOverride {
     /// None: it was taken back.
-    pub says: Option<Says>,
+    pub kind: Option<OverrideKind>,
     /// When it ends, on this process's clock.
     pub ends: Duration,
     /// Until when it is remembered.
@@ -70,44 +70,44 @@
 
 /// All rulings that are known here. No I/O and no clock.
 #[derive(Debug)]
-pub struct Rulings {
+pub struct OperatorOverrides {
     origin: Origin,
-    known: BTreeMap<NodeId, Ruling>,
+    known: BTreeMap<NodeId, OperatorOverride>,
     /// Where the next datagram to each partner begins.
     turns: BTreeMap<ProxyId, usize>,
 }
 
-impl Rulings {
+impl OperatorOverrides {
     /// None.
     pub fn new(origin: Origin) -> Self {
         Self { origin, known: BTreeMap::new(), turns: BTreeMap::new() }
     }
 
     /// An operator says so here. Nothing that is said takes a ruling back.
-    pub fn rule(
+    pub fn set(
         &mut self,
         node: NodeId,
-        says: Option<Says>,
+        kind: Option<OverrideKind>,
         span: Duration,
         now: Duration,
-    ) -> Result<(), RulingError> {
+    ) -> Result<(), OverrideError> {
         self.tick(now);
         let before = self.known.get(&node).copied();
-        let ends = match (says, before) {
-            (None, _) if self.of(node, now).is_none() => return Err(RulingError::None),
+        let ends = match (kind, before) {
+            (None, _) if self.get(node, now).is_none() => return Err(OverrideError::NotFound),
             (None, _) => now,
-            (Some(_), _) if span.is_zero() || span > LONGEST => {
-                return Err(RulingError::Span(span.as_secs()));
+            (Some(_), _) if span.is_zero() || span > MAX_OVERRIDE_DURATION => {
+                return Err(OverrideError::InvalidDuration(span.as_secs()));
             }
             (Some(_), _) => now + span,
         };
-        if before.is_none() && self.known.len() >= MOST_RULINGS {
-            return Err(RulingError::TooMany);
+        if before.is_none() && self.known.len() >= MAX_OVERRIDES {
+            return Err(OverrideError::TooMany);
         }
         // Versions stop at the end of their range: a liar that says the highest one ends with its own ruling.
         let version = before.map_or(0, |b| b.version).saturating_add(1);
         let until = before.map_or(ends, |b| b.until.max(ends));
-        self.known.insert(node, Ruling { says, ends, until, version, origin: self.origin.0 });
+        self.known.insert(node, OperatorOverride { kind, ends, until, version, origin: self.origin.0 });
         Ok(())
     }
 
@@ -117,23 +117,23 @@
     }
 
     /// What holds of a node now.
-    pub fn of(&self, node: NodeId, now: Duration) -> Option<Says> {
-        self.known.get(&node).filter(|ruling| ruling.ends > now)?.says
+    pub fn get(&self, node: NodeId, now: Duration) -> Option<OverrideKind> {
+        self.known.get(&node).filter(|ruling| ruling.ends > now)?.kind
     }
 
     /// All that hold now, by node.
-    pub fn all(&self, now: Duration) -> impl Iterator<Item = (NodeId, Says, Duration)> + '_ {
+    pub fn active(&self, now: Duration) -> impl Iterator<Item = (NodeId, OverrideKind, Duration)> + '_ {
         let held = self.known.iter().filter(move |(_, ruling)| ruling.ends > now);
-        held.filter_map(move |(node, ruling)| Some((*node, ruling.says?, ruling.ends - now)))
+        held.filter_map(move |(node, ruling)| Some((*node, ruling.kind?, ruling.ends - now)))
     }
 
     /// What a process that comes after this one is told.
     pub(crate) fn kept(&self, now: Duration) -> Vec<KeptRuling> {
         let left = |end: Duration| u64::try_from(end.saturating_sub(now).as_millis()).unwrap_or(u64::MAX);
         let known = self.known.iter().filter(|(_, ruling)| ruling.until > now);
-        let kept = |(node, r): (&NodeId, &Ruling)| KeptRuling {
+        let kept = |(node, r): (&NodeId, &OperatorOverride)| KeptRuling {
             node: node.0,
-            says: code(r.says),
+            kind: code(r.kind),
             holds_ms: left(r.ends),
             kept_ms: left(r.until),
             version: r.version,
@@ -144,20 +144,21 @@
 
     /// Goes on from what a process before this one knew, `since` after it said so. Says how many of it are left.
     pub(crate) fn take_up(&mut self, kept: &[KeptRuling], since: Duration, now: Duration) -> usize {
-        let ends = |ms: u64| (now + Duration::from_millis(ms).min(LONGEST)).saturating_sub(since);
+        let ends =
+            |ms: u64| (now + Duration::from_millis(ms).min(MAX_OVERRIDE_DURATION)).saturating_sub(since);
         let mut taken = 0;
         for ruling in kept.iter().filter(|r| r.holds_ms <= r.kept_ms) {
             let (ends, until) = (ends(ruling.holds_ms), ends(ruling.kept_ms));
-            let Some(says) = decode(ruling.says).filter(|_| until > now) else { continue };
+            let Some(kind) = decode(ruling.kind).filter(|_| until > now) else { continue };
             let (version, origin) = (ruling.version, ruling.origin);
-            self.take(NodeId(ruling.node), Ruling { says, ends, until, version, origin });
+            self.take(NodeId(ruling.node), OperatorOverride { kind, ends, until, version, origin });
             taken += 1;
         }
         taken
     }
 
-    fn take(&mut self, node: NodeId, heard: Ruling) {
-        let full = self.known.len() >= MOST_RULINGS;
+    fn take(&mut self, node: NodeId, heard: OperatorOverride) {
+        let full = self.known.len() >= MAX_OVERRIDES;
         match self.known.get_mut(&node) {
             Some(known) => {
                 let (new, old) = ((heard.version, heard.origin), (known.version, known.origin));
@@ -165,7 +166,7 @@
                 let until = known.until.max(heard.until);
                 if new > old {
                     *known = heard;
-                } else if new == old && heard.says == known.says {
+                } else if new == old && heard.kind == known.kind {
                     // The same by another way: neither is later than the one it was made from.
                     known.ends = known.ends.max(heard.ends);
                 }
@@ -178,35 +179,40 @@
 }
 
 /// What is said, as a byte.
-fn code(says: Option<Says>) -> u8 {
-    match says {
+fn code(kind: Option<OverrideKind>) -> u8 {
+    match kind {
         None => 0,
-        Some(Says::Avoid) => 1,
-        Some(Says::Trust) => 2,
+        Some(OverrideKind::Avoid) => 1,
+        Some(OverrideKind::Trust) => 2,
     }
 }
 
-fn decode(code: u8) -> Option<Option<Says>> {
+fn decode(code: u8) -> Option<Option<OverrideKind>> {
     match code {
         0 => Some(None),
-        1 => Some(Some(Says::Avoid)),
-        2 => Some(Some(Says::Trust)),
+        1 => Some(Some(OverrideKind::Avoid)),
+        2 => Some(Some(OverrideKind::Trust)),
         _ => None,
     }
 }
 
-fn read(bytes: &[u8; SIZE], made: Duration) -> Option<(NodeId, Ruling)> {
+fn read(bytes: &[u8; SIZE], made: Duration) -> Option<(NodeId, OperatorOverride)> {
     let number = |at: usize| u32::from_be_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
     let node = NodeId(u64::from(number(0)) << 32 | u64::from(number(4)));
-    let says = decode(bytes[16])?;
+    let kind = decode(bytes[16])?;
     let left = |at: usize| Duration::from_millis(u64::from(number(at)));
     let (holds, kept) = (left(17), left(21));
-    let ruling =
-        Ruling { says, ends: made + holds, until: made + kept, version: number(8), origin: number(12) };
-    (holds <= kept && kept <= LONGEST).then_some((node, ruling))
+    let ruling = OperatorOverride {
+        kind,
+        ends: made + holds,
+        until: made + kept,
+        version: number(8),
+        origin: number(12),
+    };
+    (holds <= kept && kept <= MAX_OVERRIDE_DURATION).then_some((node, ruling))
 }
 
-impl TopicHandler for Rulings {
+impl TopicHandler for OperatorOverrides {
     fn topic(&self) -> Topic {
         TOPIC
     }
@@ -223,7 +229,7 @@
             bytes.extend(node.0.to_be_bytes());
             bytes.extend(ruling.version.to_be_bytes());
             bytes.extend(ruling.origin.to_be_bytes());
-            bytes.push(code(ruling.says));
+            bytes.push(code(ruling.kind));
             // Rounded down, as it must not last longer elsewhere; a week fits.
             for end in [ruling.ends, ruling.until] {
                 let left = u32::try_from(end.saturating_sub(now).as_millis()).unwrap_or(u32::MAX);
@@ -255,112 +261,124 @@
 
     const NODE: NodeId = NodeId(7);
 
-    fn told(from: &mut Rulings, to: &mut Rulings, age: Duration, now: Duration) {
+    fn told(from: &mut OperatorOverrides, to: &mut OperatorOverrides, age: Duration, now: Duration) {
         let bytes = from.write_payload(ProxyId(1), 200, now);
         assert!(to.receive(Process::default(), age, &bytes, now));
     }
 
     #[test]
     fn a_ruling_ends_no_later_elsewhere_and_no_late_copy_brings_it_back() {
-        let (mut a, mut b, mut c) =
-            (Rulings::new(Origin(1)), Rulings::new(Origin(2)), Rulings::new(Origin(3)));
-        a.rule(NODE, Some(Says::Avoid), s(10), s(100)).unwrap();
+        let (mut a, mut b, mut c) = (
+            OperatorOverrides::new(Origin(1)),
+            OperatorOverrides::new(Origin(2)),
+            OperatorOverrides::new(Origin(3)),
+        );
+        a.set(NODE, Some(OverrideKind::Avoid), s(10), s(100)).unwrap();
         let late = a.write_payload(ProxyId(1), 200, s(100));
         told(&mut a, &mut b, s(2), s(103));
-        assert_eq!(b.all(s(103)).collect::<Vec<_>>(), [(NODE, Says::Avoid, s(5))]);
+        assert_eq!(b.active(s(103)).collect::<Vec<_>>(), [(NODE, OverrideKind::Avoid, s(5))]);
         told(&mut b, &mut c, s(0), s(104));
-        assert_eq!((c.of(NODE, s(107)), c.of(NODE, s(108))), (Some(Says::Avoid), None));
+        assert_eq!((c.get(NODE, s(107)), c.get(NODE, s(108))), (Some(OverrideKind::Avoid), None));
         // Taken back at another proxy.
-        b.rule(NODE, None, s(0), s(105)).unwrap();
-        assert_eq!(b.of(NODE, s(105)), None);
+        b.set(NODE, None, s(0), s(105)).unwrap();
+        assert_eq!(b.get(NODE, s(105)), None);
         told(&mut b, &mut a, s(0), s(105));
         told(&mut a, &mut c, s(0), s(106));
-        assert_eq!((a.of(NODE, s(106)), c.of(NODE, s(106))), (None, None));
+        assert_eq!((a.get(NODE, s(106)), c.get(NODE, s(106))), (None, None));
         assert!(a.receive(Process::default(), s(5), &late, s(106)));
-        assert_eq!(a.of(NODE, s(106)), None, "a copy that came late");
-        assert_eq!(b.rule(NODE, None, s(0), s(106)), Err(RulingError::None));
+        assert_eq!(a.get(NODE, s(106)), None, "a copy that came late");
+        assert_eq!(b.set(NODE, None, s(0), s(106)), Err(OverrideError::NotFound));
     }
 
     #[test]
     fn a_longer_one_does_not_come_back_behind_a_shorter_one_that_replaced_it() {
-        let (mut a, mut b, mut c) =
-            (Rulings::new(Origin(1)), Rulings::new(Origin(2)), Rulings::new(Origin(3)));
-        a.rule(NODE, Some(Says::Avoid), s(600), s(0)).unwrap();
+        let (mut a, mut b, mut c) = (
+            OperatorOverrides::new(Origin(1)),
+            OperatorOverrides::new(Origin(2)),
+            OperatorOverrides::new(Origin(3)),
+        );
+        a.set(NODE, Some(OverrideKind::Avoid), s(600), s(0)).unwrap();
         told(&mut a, &mut b, s(0), s(1));
         // One is cut off with the first; the third hears of the second alone.
-        a.rule(NODE, Some(Says::Trust), s(5), s(2)).unwrap();
+        a.set(NODE, Some(OverrideKind::Trust), s(5), s(2)).unwrap();
         told(&mut a, &mut c, s(0), s(3));
-        assert_eq!((b.of(NODE, s(3)), c.of(NODE, s(3))), (Some(Says::Avoid), Some(Says::Trust)));
+        assert_eq!(
+            (b.get(NODE, s(3)), c.get(NODE, s(3))),
+            (Some(OverrideKind::Avoid), Some(OverrideKind::Trust))
+        );
         c.tick(s(100));
         told(&mut b, &mut c, s(0), s(100));
-        assert_eq!(c.of(NODE, s(100)), None);
+        assert_eq!(c.get(NODE, s(100)), None);
         told(&mut c, &mut b, s(0), s(101));
-        assert_eq!(b.of(NODE, s(101)), None);
+        assert_eq!(b.get(NODE, s(101)), None);
     }
 
     #[test]
     fn two_that_are_said_at_once_come_to_the_same_everywhere() {
-        let (mut a, mut b) = (Rulings::new(Origin(1)), Rulings::new(Origin(2)));
-        a.rule(NODE, Some(Says::Avoid), s(10), s(0)).unwrap();
-        b.rule(NODE, Some(Says::Trust), s(20), s(0)).unwrap();
+        let (mut a, mut b) = (OperatorOverrides::new(Origin(1)), OperatorOverrides::new(Origin(2)));
+        a.set(NODE, Some(OverrideKind::Avoid), s(10), s(0)).unwrap();
+        b.set(NODE, Some(OverrideKind::Trust), s(20), s(0)).unwrap();
         for now in 1..3 {
             told(&mut a, &mut b, s(0), s(now));
             told(&mut b, &mut a, s(0), s(now));
         }
-        assert_eq!((a.of(NODE, s(3)), b.of(NODE, s(3))), (Some(Says::Trust), Some(Says::Trust)));
-        a.rule(NODE, Some(Says::Avoid), s(10), s(3)).unwrap();
+        assert_eq!(
+            (a.get(NODE, s(3)), b.get(NODE, s(3))),
+            (Some(OverrideKind::Trust), Some(OverrideKind::Trust))
+        );
+        a.set(NODE, Some(OverrideKind::Avoid), s(10), s(3)).unwrap();
         told(&mut a, &mut b, s(0), s(3));
-        assert_eq!(b.of(NODE, s(3)), Some(Says::Avoid));
+        assert_eq!(b.get(NODE, s(3)), Some(OverrideKind::Avoid));
     }
 
     #[test]
     fn bounds_are_kept_and_all_come_in_turns() {
-        let (mut a, mut b) = (Rulings::new(Origin(1)), Rulings::new(Origin(2)));
-        for node in 0..MOST_RULINGS as u64 {
-            a.rule(NodeId(node), Some(Says::Avoid), s(60), s(0)).unwrap();
+        let (mut a, mut b) = (OperatorOverrides::new(Origin(1)), OperatorOverrides::new(Origin(2)));
+        for node in 0..MAX_OVERRIDES as u64 {
+            a.set(NodeId(node), Some(OverrideKind::Avoid), s(60), s(0)).unwrap();
         }
-        let more = a.rule(NodeId(99), Some(Says::Avoid), s(60), s(0));
-        assert_eq!(more, Err(RulingError::TooMany));
-        for wrong in [s(0), LONGEST + s(1)] {
+        let more = a.set(NodeId(99), Some(OverrideKind::Avoid), s(60), s(0));
+        assert_eq!(more, Err(OverrideError::TooMany));
+        for wrong in [s(0), MAX_OVERRIDE_DURATION + s(1)] {
             assert_eq!(
-                a.rule(NodeId(1), Some(Says::Avoid), wrong, s(0)),
-                Err(RulingError::Span(wrong.as_secs()))
+                a.set(NodeId(1), Some(OverrideKind::Avoid), wrong, s(0)),
+                Err(OverrideError::InvalidDuration(wrong.as_secs()))
             );
         }
         // Each partner hears all of them, however many others there are.
-        for _ in 0..MOST_RULINGS / MOST_AT_ONCE {
+        for _ in 0..MAX_OVERRIDES / MOST_AT_ONCE {
             told(&mut a, &mut b, s(0), s(1));
             (2..17).for_each(|other| drop(a.write_payload(ProxyId(other), 200, s(1))));
         }
-        assert_eq!(b.all(s(1)).count(), MOST_RULINGS);
+        assert_eq!(b.active(s(1)).count(), MAX_OVERRIDES);
         // One more that is heard is not taken, and takes no other's place.
-        let mut c = Rulings::new(Origin(3));
-        c.rule(NodeId(99), Some(Says::Avoid), s(60), s(0)).unwrap();
+        let mut c = OperatorOverrides::new(Origin(3));
+        c.set(NodeId(99), Some(OverrideKind::Avoid), s(60), s(0)).unwrap();
         told(&mut c, &mut b, s(0), s(1));
-        assert_eq!((b.all(s(1)).count(), b.of(NodeId(99), s(1))), (MOST_RULINGS, None));
-        assert_eq!(b.all(s(60)).count(), 0);
+        assert_eq!((b.active(s(1)).count(), b.get(NodeId(99), s(1))), (MAX_OVERRIDES, None));
+        assert_eq!(b.active(s(60)).count(), 0);
     }
 
     proptest! {
         #[test]
         fn any_bytes_are_refused_whole_or_end_in_time(bytes: Vec<u8>, age in 0..5000u64) {
-            let mut all = Rulings::new(Origin(1));
+            let mut all = OperatorOverrides::new(Origin(1));
             let taken = all.receive(Process::default(), Duration::from_millis(age), &bytes, s(10));
             prop_assert!(taken || all.known.is_empty());
-            prop_assert!(all.known.values().all(|r| r.until <= s(10) + LONGEST));
+            prop_assert!(all.known.values().all(|r| r.until <= s(10) + MAX_OVERRIDE_DURATION));
         }
 
         /// Copies that come late, doubled and out of order, over proxies in a ring: none outlasts what was said.
         #[test]
         fn no_copy_outlasts_what_was_said(steps in proptest::collection::vec((0..4usize, 0..4usize, 0..3u8, 1..9u64), 1..60)) {
-            let mut all: Vec<Rulings> = (0..4).map(|i| Rulings::new(Origin(i))).collect();
+            let mut all: Vec<OperatorOverrides> = (0..4).map(|i| OperatorOverrides::new(Origin(i))).collect();
             let mut under_way: Vec<(u64, usize, Vec<u8>)> = Vec::new();
             let (mut now, mut ends) = (1000, 0);
             for (a, b, what, span) in steps {
                 now += 1;
                 match what {
                     0 => {
-                        let _ = all[a].rule(NODE, Some(Says::Avoid), s(span), s(now));
+                        let _ = all[a].set(NODE, Some(OverrideKind::Avoid), s(span), s(now));
                         ends = ends.max(now + span);
                     }
                     1 => under_way.push((now, b, all[a].write_payload(ProxyId(1), 200, s(now)))),
@@ -372,7 +390,7 @@
                     }
                 }
                 if now >= ends {
-                    prop_assert!(all.iter().all(|r| r.of(NODE, s(now)).is_none()));
+                    prop_assert!(all.iter().all(|r| r.get(NODE, s(now)).is_none()));
                 }
                 prop_assert!(all.iter().flat_map(|r| r.known.values()).all(|r| r.until <= s(ends)));
             }
--- a/crates/verdicts/src/pool.rs
+++ b/crates/verdicts/src/pool.rs
@@ -6,7 +6,7 @@
 use crate::evidence::{AttemptCounts, AttemptEnd, Observer, WINDOW_PARTS, WindowPart};
 use crate::judge::{Claim, Kind, ProxyEvidence, judge_node};
 use crate::wire::{AGE_UNIT, ENTRY_BYTES, EvidenceEntry, MOST_AGE};
-use crate::{NodeId, Says, Settings, trial};
+use crate::{NodeId, OverrideKind, Settings, trial};
 use dewpier_peers::{Process, ProxyId, Topic, TopicHandler};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -81,7 +81,7 @@
     /// This proxy is among those that try it.
     pub tries: bool,
     /// What an operator says of it, and for how many milliseconds still.
-    pub ruling: Option<(Says, u64)>,
+    pub ruling: Option<(OverrideKind, u64)>,
     /// For how long it has held, in milliseconds.
     pub for_ms: u64,
     /// How old the oldest word is that it rests on, at most; with it goes what that one saw before, for as long
@@ -127,7 +127,7 @@
     /// What this proxy sees.
     pub observer: Observer,
     /// What operators say, and until when: it goes before what is seen.
-    said: BTreeMap<NodeId, (Says, Duration)>,
+    said: BTreeMap<NodeId, (OverrideKind, Duration)>,
     version: u32,
     /// Not all others are partners: what they hold counts too, where they saw what this one does not hear.
     sampled: bool,
@@ -202,12 +202,12 @@
     }
 
     /// What operators say of nodes and for how long still, all of it. Counts from the next judgement on, as long as that.
-    pub fn ruled(&mut self, said: impl Iterator<Item = (NodeId, Says, Duration)>, now: Duration) {
+    pub fn ruled(&mut self, said: impl Iterator<Item = (NodeId, OverrideKind, Duration)>, now: Duration) {
         self.said = said.map(|(node, says, left)| (node, (says, now + left))).collect();
     }
 
     /// What an operator says of a node now, and for how long.
-    fn said(&self, node: &NodeId, now: Duration) -> Option<(Says, Duration)> {
+    fn said(&self, node: &NodeId, now: Duration) -> Option<(OverrideKind, Duration)> {
         let (says, until) = self.said.get(node).filter(|(_, until)| *until > now)?;
         Some((*says, *until - now))
     }
@@ -321,7 +321,7 @@
             in_cell.map(|left| *left -= 1).is_some()
         };
         let says = |node: &NodeId| self.said(node, now).map(|(says, _)| says);
-        let avoided = self.listed.iter().filter(|m| says(&m.node) == Some(Says::Avoid));
+        let avoided = self.listed.iter().filter(|m| says(&m.node) == Some(OverrideKind::Avoid));
         let ruled = avoided.map(|m| m.node).filter(|node| take(node)).collect();
         let judged = self.standing.iter().filter(|(node, _)| says(node).is_none());
         let mut worst: Vec<(&NodeId, &Standing)> = judged.collect();
--- a/crates/verdicts/src/snapshot.rs
+++ b/crates/verdicts/src/snapshot.rs
@@ -14,7 +14,7 @@
 //! - *Nothing by itself.* A verdict that was held is weighed anew on what is left of its evidence.
 
 use crate::wire::ENTRY_BYTES;
-use crate::{AttemptCounts, Rulings, Verdicts};
+use crate::{AttemptCounts, OperatorOverrides, Verdicts};
 use dewpier_peers::{Key, ProxyId, TAG_BYTES};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -27,7 +27,7 @@
 /// Magic, version, boot, time.
 const HEAD: usize = 8 + 2 + 16 + 8;
 /// One that is older holds nothing that could count: the longest ruling has ended.
-const OLDEST: Duration = crate::LONGEST;
+const OLDEST: Duration = crate::MAX_OVERRIDE_DURATION;
 
 /// A moment on the clock of a machine, which begins at its start and goes on while it sleeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -90,7 +90,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct KeptRuling {
     pub node: u64,
-    pub says: u8,
+    #[serde(rename = "says")]
+    pub kind: u8,
     pub holds_ms: u64,
     pub kept_ms: u64,
     pub version: u32,
@@ -136,7 +137,7 @@
     /// Evidence and verdicts.
     pub verdicts: &'a mut Verdicts,
     /// Operators' words.
-    pub rulings: &'a mut Rulings,
+    pub rulings: &'a mut OperatorOverrides,
     /// The names of its classes, in their order.
     pub classes: &'a [String],
 }
--- a/crates/verdicts/tests/common/mod.rs
+++ b/crates/verdicts/tests/common/mod.rs
@@ -299,7 +299,7 @@
 /// What a proxy of a played fleet keeps.
 pub fn kept(played: &mut Played, proxy: usize) -> Vec<u8> {
     let now = played.now;
-    let mut rulings = Rulings::new(Origin(1));
+    let mut rulings = OperatorOverrides::new(Origin(1));
     let classes = ["read".to_string()];
     let verdicts = &mut played.proxies[proxy].verdicts;
     let snapshot = Snapshot::of(&Known { verdicts, rulings: &mut rulings, classes: &classes }, now);
@@ -320,7 +320,7 @@
             let now = When { boot: BOOT, at: played.now };
             let (snapshot, since) = Snapshot::read(bytes, &key(), name(p), now).unwrap();
             let since = if ages { since } else { Duration::ZERO };
-            let mut rulings = Rulings::new(Origin(1));
+            let mut rulings = OperatorOverrides::new(Origin(1));
             let classes = ["read".to_string()];
             let mut known = Known { verdicts: &mut proxy.verdicts, rulings: &mut rulings, classes: &classes };
             let others = |other: ProxyId| other != name(p);
--- a/crates/verdicts/tests/kept.rs
+++ b/crates/verdicts/tests/kept.rs
@@ -59,22 +59,22 @@
     let me = Process { proxy: name(0), incarnation: 3 };
     let settings = Settings::default;
     let mut verdicts = Verdicts::new(settings(), me, "a", 0, 3, seconds(60));
-    let mut rulings = Rulings::new(Origin::of(me));
-    rulings.rule(node(1), Some(Says::Avoid), seconds(10), seconds(100)).unwrap();
-    rulings.rule(node(2), Some(Says::Trust), seconds(600), seconds(100)).unwrap();
-    rulings.rule(node(2), None, seconds(0), seconds(100)).unwrap();
+    let mut rulings = OperatorOverrides::new(Origin::of(me));
+    rulings.set(node(1), Some(OverrideKind::Avoid), seconds(10), seconds(100)).unwrap();
+    rulings.set(node(2), Some(OverrideKind::Trust), seconds(600), seconds(100)).unwrap();
+    rulings.set(node(2), None, seconds(0), seconds(100)).unwrap();
     let known = Known { verdicts: &mut verdicts, rulings: &mut rulings, classes: &[] };
     let snapshot = Snapshot::of(&known, seconds(100));
-    for (since, left) in [(4, Some(Says::Avoid)), (10, None)] {
+    for (since, left) in [(4, Some(OverrideKind::Avoid)), (10, None)] {
         let now = seconds(60);
         let mut verdicts = Verdicts::new(settings(), me, "a", 0, 3, now);
-        let mut rulings = Rulings::new(Origin(9));
+        let mut rulings = OperatorOverrides::new(Origin(9));
         let mut known = Known { verdicts: &mut verdicts, rulings: &mut rulings, classes: &[] };
         snapshot.take_up(&mut known, |_| true, seconds(since), now);
-        assert_eq!(rulings.of(node(1), now), left);
-        assert_eq!(rulings.of(node(1), now + seconds(6)), None);
+        assert_eq!(rulings.get(node(1), now), left);
+        assert_eq!(rulings.get(node(1), now + seconds(6)), None);
         // One that was taken back is remembered, so that a late copy does not bring it back.
-        assert_eq!(rulings.rule(node(2), None, seconds(0), now), Err(RulingError::None));
+        assert_eq!(rulings.set(node(2), None, seconds(0), now), Err(OverrideError::NotFound));
     }
 }
 
@@ -106,7 +106,7 @@
     assert!(refused(&bytes, &key(), 4, when).contains("seal"), "another proxy's");
     assert!(refused(&bytes, &Key::from_secret(b"y"), 3, when).contains("seal"));
     assert!(refused(&bytes, &key(), 3, When { boot: 1, ..when }).starts_with("byte 10"));
-    for at in [when.at - seconds(1), when.at + LONGEST + seconds(1)] {
+    for at in [when.at - seconds(1), when.at + MAX_OVERRIDE_DURATION + seconds(1)] {
         assert!(refused(&bytes, &key(), 3, When { at, ..when }).starts_with("byte 26"));
     }
     let mut newer = bytes.clone();
@@ -140,7 +140,7 @@
             assert!(dewpier_peers::TopicHandler::receive(&mut verdicts, from, seconds(0), &bytes, now));
         }
     }
-    let mut rulings = Rulings::new(Origin(1));
+    let mut rulings = OperatorOverrides::new(Origin(1));
     let known = Known { verdicts: &mut verdicts, rulings: &mut rulings, classes: &[] };
     let when = When { boot: BOOT, at: now };
     let bytes = Snapshot::of(&known, now).write(&key(), name(0), when).unwrap();
@@ -167,7 +167,7 @@
         if let Ok((snapshot, since)) = Snapshot::read(&sealed, &key(), name(3), when) {
             let mut verdicts = Verdicts::new(Settings::default(), Process::default(), "a", 1, 3, seconds(60));
             verdicts.list(vec![Member { node: node(1), cell: 0 }], seconds(60));
-            let mut rulings = Rulings::new(Origin(1));
+            let mut rulings = OperatorOverrides::new(Origin(1));
             let classes = ["read".to_string()];
             let mut known = Known { verdicts: &mut verdicts, rulings: &mut rulings, classes: &classes };
             snapshot.take_up(&mut known, |_| true, since, seconds(60));
