--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -8,8 +8,8 @@
 use dewpier_operate::calls::{self, Call};
 use dewpier_peers::{Peers, Process, ProxyId};
 use dewpier_verdicts::{
-    AttemptEnd, Kind, Known, Member, NodeId, OperatorOverrides, Origin, OverrideKind, Report, Snapshot,
-    SnapshotError, Verdicts, When,
+    AttemptEnd, BootTime, Kind, LiveState, Member, NodeId, OperatorOverrides, Origin, OverrideKind, Report,
+    Snapshot, SnapshotError, Verdicts,
 };
 use gannetproxy::engine::{Engine, Seen, Upstream};
 use gannetproxy::{BackendId, Outcome};
@@ -49,7 +49,7 @@
     /// address, before its verdict is taken back.
     believed: HashMap<BackendId, Kind>,
     /// What a process before this one knew, and how long before that moment it was kept: until there is a list.
-    before: Option<(Snapshot, Duration, When)>,
+    before: Option<(Snapshot, Duration, BootTime)>,
     snapshots: Snapshots,
 }
 
@@ -130,19 +130,19 @@
         // In this order: what is kept may come out older than it is, never younger.
         let now = self.now();
         let age = match kept::now() {
-            Ok(when) => before + when.at.saturating_sub(read.at),
+            Ok(when) => before + when.since_boot.saturating_sub(read.since_boot),
             Err(error) => return tracing::warn!(%error, "no snapshot is taken up"),
         };
         let State { verdicts, rulings, .. } = state;
         let others: HashSet<ProxyId> = self.told.peers.iter().map(|name| ProxyId::from_name(name)).collect();
-        let mut known = Known { verdicts, rulings, classes: &self.classes };
-        let taken = snapshot.take_up(&mut known, |name| others.contains(&name), age, now);
+        let mut known = LiveState { verdicts, overrides: rulings, classes: &self.classes };
+        let taken = snapshot.restore(&mut known, |name| others.contains(&name), age, now);
         tracing::info!(
             age_ms = age.as_millis() as u64,
-            attempts = taken.seen,
-            words = taken.words,
+            attempts = taken.attempt_counts,
+            words = taken.reports,
             verdicts = taken.verdicts,
-            rulings = taken.rulings,
+            rulings = taken.overrides,
             "goes on from what the process before knew"
         );
     }
@@ -152,8 +152,9 @@
         let when = kept::now().map_err(|error| error.to_string())?;
         let now = self.now();
         let State { verdicts, rulings, .. } = &mut *self.state.borrow_mut();
-        let snapshot = Snapshot::of(&Known { verdicts, rulings, classes: &self.classes }, now);
-        snapshot.write(&self.told.key, self.me, when).map_err(|error| error.to_string())
+        let snapshot =
+            Snapshot::capture(&LiveState { verdicts, overrides: rulings, classes: &self.classes }, now);
+        snapshot.encode(&self.told.key, self.me, when).map_err(|error| error.to_string())
     }
 
     /// Keeps what is known, again and again, one after the other: a disk that stalls holds up the next one alone.
@@ -408,11 +409,11 @@
 }
 
 /// What a process before this one knew, how long ago, and when that was read. None where nothing was kept.
-fn read(path: &Path, told: &Told, me: ProxyId) -> Result<Option<(Snapshot, Duration, When)>, String> {
+fn read(path: &Path, told: &Told, me: ProxyId) -> Result<Option<(Snapshot, Duration, BootTime)>, String> {
     let Some(bytes) = kept::read(path).map_err(|error| error.to_string())? else { return Ok(None) };
     let now = kept::now().map_err(|error| error.to_string())?;
     let (snapshot, age) =
-        Snapshot::read(&bytes, &told.key, me, now).map_err(|error: SnapshotError| error.to_string())?;
+        Snapshot::decode(&bytes, &told.key, me, now).map_err(|error: SnapshotError| error.to_string())?;
     Ok(Some((snapshot, age, now)))
 }
 
--- a/crates/dewpier/src/kept.rs
+++ b/crates/dewpier/src/kept.rs
@@ -1,6 +1,6 @@
 //! What a process of a fleet knew, in a file for the one that comes after it: written by a thread beside, and read once.
 
-use dewpier_verdicts::{MOST_SNAPSHOT, When};
+use dewpier_verdicts::{BootTime, MAX_SNAPSHOT_BYTES};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::os::unix::fs::OpenOptionsExt;
@@ -21,10 +21,10 @@
 }
 
 /// Now, on the machine's clock that goes on while it sleeps.
-pub fn now() -> io::Result<When> {
+pub fn now() -> io::Result<BootTime> {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     let at = Duration::try_from(time).map_err(io::Error::other)?;
-    Ok(When { boot: boot()?, at })
+    Ok(BootTime { boot_id: boot()?, since_boot: at })
 }
 
 /// What is in the file. None where there is none.
@@ -38,7 +38,7 @@
     }
     let mut bytes = Vec::new();
     // One more than there may be, so that one that is too long is seen to be.
-    File::open(path)?.take(MOST_SNAPSHOT as u64 + 1).read_to_end(&mut bytes)?;
+    File::open(path)?.take(MAX_SNAPSHOT_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     Ok(Some(bytes))
 }
 
--- a/crates/verdicts/src/evidence.rs
+++ b/crates/verdicts/src/evidence.rs
@@ -277,7 +277,7 @@
     }
 
     /// Goes on from what a process before this one saw, `since` after it said so. Adds up with what is known here.
-    pub(crate) fn take_up(&mut self, seen: &[KeptSeen], since: Duration, now: Duration) -> usize {
+    pub(crate) fn restore(&mut self, seen: &[KeptSeen], since: Duration, now: Duration) -> usize {
         let mut slots: BTreeMap<u64, HashMap<NodeId, AttemptCounts>> =
             std::mem::take(&mut self.slots).into_iter().collect();
         let oldest = self.slot(now).saturating_sub(u64::from(SLOTS) - 1);
--- a/crates/verdicts/src/lib.rs
+++ b/crates/verdicts/src/lib.rs
@@ -34,7 +34,7 @@
     MAX_OVERRIDE_DURATION, MAX_OVERRIDES, OperatorOverride, OperatorOverrides, OverrideError, OverrideKind,
 };
 pub use pool::{Member, Origin, Report, TOPIC, Verdicts};
-pub use snapshot::{Known, MOST_SNAPSHOT, Snapshot, SnapshotError, TakenUp, When};
+pub use snapshot::{BootTime, LiveState, MAX_SNAPSHOT_BYTES, Restored, Snapshot, SnapshotError};
 pub use wire::{ENTRY_BYTES, EvidenceEntry};
 
 use std::time::Duration;
--- a/crates/verdicts/src/overrides.rs
+++ b/crates/verdicts/src/overrides.rs
@@ -143,7 +143,7 @@
     }
 
     /// Goes on from what a process before this one knew, `since` after it said so. Says how many of it are left.
-    pub(crate) fn take_up(&mut self, kept: &[KeptRuling], since: Duration, now: Duration) -> usize {
+    pub(crate) fn restore(&mut self, kept: &[KeptRuling], since: Duration, now: Duration) -> usize {
         let ends =
             |ms: u64| (now + Duration::from_millis(ms).min(MAX_OVERRIDE_DURATION)).saturating_sub(since);
         let mut taken = 0;
--- a/crates/verdicts/src/snapshot.rs
+++ b/crates/verdicts/src/snapshot.rs
@@ -4,12 +4,12 @@
 //! What holds:
 //!
 //! - *Age.* Each thing is kept with its greatest age, and counts on from there by the clock of the machine, which goes
-//!   on while no process runs and while the machine sleeps ([`When`]). So nothing seems younger to the new process than
+//!   on while no process runs and while the machine sleeps ([`BootTime`]). So nothing seems younger to the new process than
 //!   it was: the bound on staleness and the ends of rulings hold across a start. A snapshot of before a start of the
 //!   machine is refused, as no clock tells its age.
 //! - *Whole.* It is sealed with the fleet's key for one proxy, and refused whole where a byte of it, its version, or its
 //!   time is not as it must be.
-//! - *Bounds.* At most [`MOST_SNAPSHOT`] bytes: what does not fit is left out, the words of others first, as they are
+//! - *Bounds.* At most [`MAX_SNAPSHOT_BYTES`] bytes: what does not fit is left out, the words of others first, as they are
 //!   told anew.
 //! - *Nothing by itself.* A verdict that was held is weighed anew on what is left of its evidence.
 
@@ -21,7 +21,7 @@
 use thiserror::Error;
 
 /// Bytes of a snapshot at most.
-pub const MOST_SNAPSHOT: usize = 1 << 20;
+pub const MAX_SNAPSHOT_BYTES: usize = 1 << 20;
 const MAGIC: [u8; 8] = *b"dewpknow";
 const VERSION: u16 = 1;
 /// Magic, version, boot, time.
@@ -31,18 +31,18 @@
 
 /// A moment on the clock of a machine, which begins at its start and goes on while it sleeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct When {
+pub struct BootTime {
     /// Which start of which machine.
-    pub boot: u128,
+    pub boot_id: u128,
     /// How long after it.
-    pub at: Duration,
+    pub since_boot: Duration,
 }
 
 /// Why a snapshot counts for nothing.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SnapshotError {
     /// Too long, or too short to be one.
-    #[error("{0} bytes: expected {least} to {MOST_SNAPSHOT}", least = HEAD + TAG_BYTES)]
+    #[error("{0} bytes: expected {least} to {MAX_SNAPSHOT_BYTES}", least = HEAD + TAG_BYTES)]
     Size(usize),
     /// It begins with something else.
     #[error("byte 0: expected a snapshot of verdicts, which begins with 'dewpknow'")]
@@ -133,26 +133,26 @@
 }
 
 /// What a process knows that a snapshot is of, or goes to.
-pub struct Known<'a> {
+pub struct LiveState<'a> {
     /// Evidence and verdicts.
     pub verdicts: &'a mut Verdicts,
     /// Operators' words.
-    pub rulings: &'a mut OperatorOverrides,
+    pub overrides: &'a mut OperatorOverrides,
     /// The names of its classes, in their order.
     pub classes: &'a [String],
 }
 
 /// How much was taken up: what is too old, not of the fleet or not listed is not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TakenUp {
+pub struct Restored {
     /// Tallies of attempts, by node and slot.
-    pub seen: usize,
+    pub attempt_counts: usize,
     /// Words of other proxies.
-    pub words: usize,
+    pub reports: usize,
     /// Verdicts, to be weighed anew.
     pub verdicts: usize,
     /// Operators' words.
-    pub rulings: usize,
+    pub overrides: usize,
 }
 
 /// Milliseconds, rounded up: an age must not come out smaller.
@@ -166,8 +166,8 @@
 
 impl Snapshot {
     /// What is known now.
-    pub fn of(known: &Known, now: Duration) -> Self {
-        let Known { verdicts, rulings, classes } = known;
+    pub fn capture(known: &LiveState, now: Duration) -> Self {
+        let LiveState { verdicts, overrides: rulings, classes } = known;
         Self {
             usual: verdicts.observer.usual(&keys(classes)),
             rulings: rulings.kept(now),
@@ -179,27 +179,27 @@
 
     /// Goes on from it, `since` after it was kept. Nodes have to be listed by then, words count of proxies that `others`
     /// knows; what has come to be known since the start goes before what was kept.
-    pub fn take_up(
+    pub fn restore(
         &self,
-        known: &mut Known,
+        known: &mut LiveState,
         others: impl Fn(ProxyId) -> bool,
         since: Duration,
         now: Duration,
-    ) -> TakenUp {
-        let Known { verdicts, rulings, classes } = known;
+    ) -> Restored {
+        let LiveState { verdicts, overrides: rulings, classes } = known;
         verdicts.observer.take_up_usual(&self.usual, &keys(classes));
-        TakenUp {
-            seen: verdicts.observer.take_up(&self.seen, since, now),
-            words: verdicts.take_up_words(&self.words, others, since, now),
+        Restored {
+            attempt_counts: verdicts.observer.restore(&self.seen, since, now),
+            reports: verdicts.take_up_words(&self.words, others, since, now),
             verdicts: verdicts.take_up_standing(&self.standing, since, now),
-            rulings: rulings.take_up(&self.rulings, since, now),
+            overrides: rulings.restore(&self.rulings, since, now),
         }
     }
 
-    /// The bytes that are kept, sealed for that proxy. `when` has to be read before [`Snapshot::of`], so that no age
+    /// The bytes that are kept, sealed for that proxy. `when` has to be read before [`Snapshot::capture`], so that no age
     /// comes out smaller.
-    pub fn write(mut self, key: &Key, me: ProxyId, when: When) -> Result<Vec<u8>, SnapshotError> {
-        let fits = |bytes: &Vec<u8>| bytes.len() <= MOST_SNAPSHOT;
+    pub fn encode(mut self, key: &Key, me: ProxyId, when: BootTime) -> Result<Vec<u8>, SnapshotError> {
+        let fits = |bytes: &Vec<u8>| bytes.len() <= MAX_SNAPSHOT_BYTES;
         let mut bytes = self.bytes(key, me, when)?;
         if !fits(&bytes) {
             // Others tell it anew in a round or two.
@@ -210,15 +210,15 @@
             (self.seen, self.standing) = (Vec::new(), Vec::new());
             bytes = self.bytes(key, me, when)?;
         }
-        Some(bytes).filter(fits).ok_or(SnapshotError::Size(MOST_SNAPSHOT + 1))
+        Some(bytes).filter(fits).ok_or(SnapshotError::Size(MAX_SNAPSHOT_BYTES + 1))
     }
 
-    fn bytes(&self, key: &Key, me: ProxyId, when: When) -> Result<Vec<u8>, SnapshotError> {
+    fn bytes(&self, key: &Key, me: ProxyId, when: BootTime) -> Result<Vec<u8>, SnapshotError> {
         let mut bytes = MAGIC.to_vec();
         bytes.extend(VERSION.to_be_bytes());
-        bytes.extend(when.boot.to_be_bytes());
+        bytes.extend(when.boot_id.to_be_bytes());
         // Rounded down, and up where it is read: its age is not smaller than it is.
-        bytes.extend(u64::try_from(when.at.as_millis()).unwrap_or(u64::MAX).to_be_bytes());
+        bytes.extend(u64::try_from(when.since_boot.as_millis()).unwrap_or(u64::MAX).to_be_bytes());
         let said = |error: postcard::Error| SnapshotError::Body(error.to_string());
         bytes.extend(postcard::to_stdvec(self).map_err(said)?);
         let seal = key.compute_tag(me, &bytes);
@@ -227,9 +227,14 @@
     }
 
     /// Reads what was kept, whole or not at all, and how long ago that was at `now`.
-    pub fn read(bytes: &[u8], key: &Key, me: ProxyId, now: When) -> Result<(Self, Duration), SnapshotError> {
+    pub fn decode(
+        bytes: &[u8],
+        key: &Key,
+        me: ProxyId,
+        now: BootTime,
+    ) -> Result<(Self, Duration), SnapshotError> {
         let size = SnapshotError::Size(bytes.len());
-        if bytes.len() > MOST_SNAPSHOT {
+        if bytes.len() > MAX_SNAPSHOT_BYTES {
             return Err(size);
         }
         let Some((said, seal)) = bytes.split_last_chunk::<TAG_BYTES>() else { return Err(size) };
@@ -247,10 +252,10 @@
         if !key.is_valid_tag(me, said, seal) {
             return Err(SnapshotError::Seal);
         }
-        if number(10, 26) != now.boot {
+        if number(10, 26) != now.boot_id {
             return Err(SnapshotError::Boot);
         }
-        let (kept_ms, now_ms) = (number(26, 34) as u64, millis_up(now.at));
+        let (kept_ms, now_ms) = (number(26, 34) as u64, millis_up(now.since_boot));
         let since = now_ms.checked_sub(kept_ms).map(Duration::from_millis).filter(|since| *since <= OLDEST);
         let Some(since) = since else { return Err(SnapshotError::Time { kept_ms, now_ms }) };
         let unreadable = |error: postcard::Error| SnapshotError::Body(error.to_string());
--- a/crates/verdicts/tests/common/mod.rs
+++ b/crates/verdicts/tests/common/mod.rs
@@ -302,29 +302,31 @@
     let mut rulings = OperatorOverrides::new(Origin(1));
     let classes = ["read".to_string()];
     let verdicts = &mut played.proxies[proxy].verdicts;
-    let snapshot = Snapshot::of(&Known { verdicts, rulings: &mut rulings, classes: &classes }, now);
-    snapshot.write(&key(), name(proxy), When { boot: BOOT, at: now }).unwrap()
+    let snapshot =
+        Snapshot::capture(&LiveState { verdicts, overrides: &mut rulings, classes: &classes }, now);
+    snapshot.encode(&key(), name(proxy), BootTime { boot_id: BOOT, since_boot: now }).unwrap()
 }
 
 /// All processes of a fleet end, and others start in their places after that time, with what was kept or with nothing.
 /// `ages` is false for processes that forget to count the time between.
-pub fn restart(played: &mut Played, gap: Duration, keeps: bool, ages: bool) -> TakenUp {
+pub fn restart(played: &mut Played, gap: Duration, keeps: bool, ages: bool) -> Restored {
     let files: Vec<Vec<u8>> = (0..played.proxies.len()).map(|p| kept(played, p)).collect();
     // What is on its way finds nobody.
     (played.under_way, played.answers) = (Vec::new(), Vec::new());
     played.now += gap;
     let mut new = Played::new(played.world.clone());
-    let mut taken = TakenUp::default();
+    let mut taken = Restored::default();
     for (p, (proxy, bytes)) in new.proxies.iter_mut().zip(&files).enumerate() {
         if keeps {
-            let now = When { boot: BOOT, at: played.now };
-            let (snapshot, since) = Snapshot::read(bytes, &key(), name(p), now).unwrap();
+            let now = BootTime { boot_id: BOOT, since_boot: played.now };
+            let (snapshot, since) = Snapshot::decode(bytes, &key(), name(p), now).unwrap();
             let since = if ages { since } else { Duration::ZERO };
             let mut rulings = OperatorOverrides::new(Origin(1));
             let classes = ["read".to_string()];
-            let mut known = Known { verdicts: &mut proxy.verdicts, rulings: &mut rulings, classes: &classes };
+            let mut known =
+                LiveState { verdicts: &mut proxy.verdicts, overrides: &mut rulings, classes: &classes };
             let others = |other: ProxyId| other != name(p);
-            taken = snapshot.take_up(&mut known, others, since, played.now);
+            taken = snapshot.restore(&mut known, others, since, played.now);
         }
     }
     played.proxies = new.proxies;
--- a/crates/verdicts/tests/kept.rs
+++ b/crates/verdicts/tests/kept.rs
@@ -28,7 +28,7 @@
         played.does[2] = Does::Fails(1.0);
         assert!(played.run_until(seconds(12), |p| p.out_at(2) == 24).is_some());
         let taken = restart(&mut played, seconds(gap), true, ages);
-        let found = (taken.seen + taken.words + taken.verdicts > 0, played.out_at(2) > 0);
+        let found = (taken.attempt_counts + taken.reports + taken.verdicts > 0, played.out_at(2) > 0);
         assert_eq!(found.0, out, "{gap} s, counted: {ages}: {taken:?}");
         played.step();
         assert_eq!(played.out_at(2) > 0, out, "{gap} s, counted: {ages}");
@@ -63,14 +63,14 @@
     rulings.set(node(1), Some(OverrideKind::Avoid), seconds(10), seconds(100)).unwrap();
     rulings.set(node(2), Some(OverrideKind::Trust), seconds(600), seconds(100)).unwrap();
     rulings.set(node(2), None, seconds(0), seconds(100)).unwrap();
-    let known = Known { verdicts: &mut verdicts, rulings: &mut rulings, classes: &[] };
-    let snapshot = Snapshot::of(&known, seconds(100));
+    let known = LiveState { verdicts: &mut verdicts, overrides: &mut rulings, classes: &[] };
+    let snapshot = Snapshot::capture(&known, seconds(100));
     for (since, left) in [(4, Some(OverrideKind::Avoid)), (10, None)] {
         let now = seconds(60);
         let mut verdicts = Verdicts::new(settings(), me, "a", 0, 3, now);
         let mut rulings = OperatorOverrides::new(Origin(9));
-        let mut known = Known { verdicts: &mut verdicts, rulings: &mut rulings, classes: &[] };
-        snapshot.take_up(&mut known, |_| true, seconds(since), now);
+        let mut known = LiveState { verdicts: &mut verdicts, overrides: &mut rulings, classes: &[] };
+        snapshot.restore(&mut known, |_| true, seconds(since), now);
         assert_eq!(rulings.get(node(1), now), left);
         assert_eq!(rulings.get(node(1), now + seconds(6)), None);
         // One that was taken back is remembered, so that a late copy does not bring it back.
@@ -79,20 +79,20 @@
 }
 
 /// A file of some size, and the moment at which it was kept.
-fn file() -> (Vec<u8>, When) {
+fn file() -> (Vec<u8>, BootTime) {
     let mut played = Played::new(World { rate: 24.0, ..World::default() });
     played.run(seconds(30));
     played.does[2] = Does::Fails(1.0);
     played.run(seconds(12));
-    (kept(&mut played, 3), When { boot: BOOT, at: played.now })
+    (kept(&mut played, 3), BootTime { boot_id: BOOT, since_boot: played.now })
 }
 
 #[test]
 fn what_is_not_as_it_must_be_is_refused_whole_with_the_place() {
     let (bytes, when) = file();
-    let read = |bytes: &[u8], now| Snapshot::read(bytes, &key(), name(3), now).map(|(_, since)| since);
+    let read = |bytes: &[u8], now| Snapshot::decode(bytes, &key(), name(3), now).map(|(_, since)| since);
     assert_eq!(read(&bytes, when), Ok(seconds(0)));
-    let later = When { at: when.at + Duration::from_micros(1500), ..when };
+    let later = BootTime { since_boot: when.since_boot + Duration::from_micros(1500), ..when };
     assert_eq!(read(&bytes, later), Ok(Duration::from_millis(2)), "rounded up");
     for at in 0..bytes.len() {
         let mut spoilt = bytes.clone();
@@ -101,20 +101,20 @@
         assert!(read(&bytes[..at], when).is_err(), "{at} bytes");
     }
     let refused = |bytes: &[u8], key: &Key, proxy, now| {
-        Snapshot::read(bytes, key, name(proxy), now).unwrap_err().to_string()
+        Snapshot::decode(bytes, key, name(proxy), now).unwrap_err().to_string()
     };
     assert!(refused(&bytes, &key(), 4, when).contains("seal"), "another proxy's");
     assert!(refused(&bytes, &Key::from_secret(b"y"), 3, when).contains("seal"));
-    assert!(refused(&bytes, &key(), 3, When { boot: 1, ..when }).starts_with("byte 10"));
-    for at in [when.at - seconds(1), when.at + MAX_OVERRIDE_DURATION + seconds(1)] {
-        assert!(refused(&bytes, &key(), 3, When { at, ..when }).starts_with("byte 26"));
+    assert!(refused(&bytes, &key(), 3, BootTime { boot_id: 1, ..when }).starts_with("byte 10"));
+    for at in [when.since_boot - seconds(1), when.since_boot + MAX_OVERRIDE_DURATION + seconds(1)] {
+        assert!(refused(&bytes, &key(), 3, BootTime { since_boot: at, ..when }).starts_with("byte 26"));
     }
     let mut newer = bytes.clone();
     newer[9] += 1;
     assert_eq!(refused(&newer, &key(), 3, when), "byte 8: version 2, expected 1");
     assert!(refused(b"name,address\n", &key(), 3, when).starts_with("13 bytes: expected 50 to"));
     assert!(refused(&[b'x'; 100], &key(), 3, when).starts_with("byte 0"));
-    assert!(refused(&vec![0; MOST_SNAPSHOT + 1], &key(), 3, when).contains("bytes: expected"));
+    assert!(refused(&vec![0; MAX_SNAPSHOT_BYTES + 1], &key(), 3, when).contains("bytes: expected"));
     // Sealed with the right key by somebody who writes something else.
     let mut other = bytes[..34].to_vec();
     other.extend([0xff; 40]);
@@ -141,36 +141,36 @@
         }
     }
     let mut rulings = OperatorOverrides::new(Origin(1));
-    let known = Known { verdicts: &mut verdicts, rulings: &mut rulings, classes: &[] };
-    let when = When { boot: BOOT, at: now };
-    let bytes = Snapshot::of(&known, now).write(&key(), name(0), when).unwrap();
-    assert!(bytes.len() < MOST_SNAPSHOT, "{} bytes", bytes.len());
-    let (snapshot, since) = Snapshot::read(&bytes, &key(), name(0), when).unwrap();
+    let known = LiveState { verdicts: &mut verdicts, overrides: &mut rulings, classes: &[] };
+    let when = BootTime { boot_id: BOOT, since_boot: now };
+    let bytes = Snapshot::capture(&known, now).encode(&key(), name(0), when).unwrap();
+    assert!(bytes.len() < MAX_SNAPSHOT_BYTES, "{} bytes", bytes.len());
+    let (snapshot, since) = Snapshot::decode(&bytes, &key(), name(0), when).unwrap();
     let mut verdicts = Verdicts::new(Settings::default(), me, "a", 0, 3, now);
     verdicts.list((0..1000).map(|n| Member { node: node(n), cell: 0 }).collect(), now);
-    let mut known = Known { verdicts: &mut verdicts, rulings: &mut rulings, classes: &[] };
-    let taken = snapshot.take_up(&mut known, |_| true, since, now);
-    assert_eq!((taken.seen, taken.words), (1000, 0));
+    let mut known = LiveState { verdicts: &mut verdicts, overrides: &mut rulings, classes: &[] };
+    let taken = snapshot.restore(&mut known, |_| true, since, now);
+    assert_eq!((taken.attempt_counts, taken.reports), (1000, 0));
 }
 
 proptest! {
     #[test]
     fn bytes_of_any_kind_are_refused_and_nothing_breaks(body in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let when = When { boot: BOOT, at: seconds(5) };
-        prop_assert!(Snapshot::read(&body, &key(), name(3), when).is_err());
+        let when = BootTime { boot_id: BOOT, since_boot: seconds(5) };
+        prop_assert!(Snapshot::decode(&body, &key(), name(3), when).is_err());
         // Sealed, so that what reads the body is reached: it may be one, and must never be more than it says.
         let mut sealed = b"dewpknow\x00\x01".to_vec();
         sealed.extend(BOOT.to_be_bytes());
         sealed.extend(0u64.to_be_bytes());
         sealed.extend(&body);
         sealed.extend(key().compute_tag(name(3), &sealed));
-        if let Ok((snapshot, since)) = Snapshot::read(&sealed, &key(), name(3), when) {
+        if let Ok((snapshot, since)) = Snapshot::decode(&sealed, &key(), name(3), when) {
             let mut verdicts = Verdicts::new(Settings::default(), Process::default(), "a", 1, 3, seconds(60));
             verdicts.list(vec![Member { node: node(1), cell: 0 }], seconds(60));
             let mut rulings = OperatorOverrides::new(Origin(1));
             let classes = ["read".to_string()];
-            let mut known = Known { verdicts: &mut verdicts, rulings: &mut rulings, classes: &classes };
-            snapshot.take_up(&mut known, |_| true, since, seconds(60));
+            let mut known = LiveState { verdicts: &mut verdicts, overrides: &mut rulings, classes: &classes };
+            snapshot.restore(&mut known, |_| true, since, seconds(60));
             verdicts.tick(seconds(60));
             prop_assert!(verdicts.avoided(seconds(60)).is_empty());
         }
