--- a/crates/dewpier/benches/decision.rs
+++ b/crates/dewpier/benches/decision.rs
@@ -4,7 +4,7 @@
 
 use dewpier_peers::{Process, ProxyId, TopicHandler};
 use dewpier_verdicts::{
-    AttemptCounts, AttemptEnd, EvidenceEntry, Member, NodeId, Settings as Rules, Verdicts,
+    AttemptCounts, AttemptEnd, EvidenceEntry, ListedNode, NodeId, Settings as Rules, Verdicts,
 };
 use gannetproxy::{
     Action, BackendId, Balancer, Class, Ended, Entry as Listed, Event, ListUpdate, Outcome, Request,
@@ -20,7 +20,7 @@
 const ROUNDS: usize = 7;
 
 fn node(backend: BackendId) -> NodeId {
-    NodeId::of(&format!("node-{}", backend.0), "address")
+    NodeId::new(&format!("node-{}", backend.0), "address")
 }
 
 /// All that a proxy of a fleet does beside the module.
@@ -32,10 +32,13 @@
 impl Beside {
     fn new() -> Self {
         let now = Duration::from_secs(60);
-        let rules = Rules { proxies: 17, ..Rules::default() };
+        let rules = Rules { fleet_size: 17, ..Rules::default() };
         let mut verdicts =
             Verdicts::new(rules, Process { proxy: ProxyId(1), incarnation: 1 }, "a", 1, 16, now);
-        verdicts.list((0..NODES).map(|n| Member { node: node(BackendId(n + 1)), cell: 0 }).collect(), now);
+        verdicts.set_nodes(
+            (0..NODES).map(|n| ListedNode { node: node(BackendId(n + 1)), cell: 0 }).collect(),
+            now,
+        );
         Self { verdicts, judged: now }
     }
 
@@ -61,7 +64,7 @@
             black_box(self.verdicts.receive(from, Duration::from_millis(5), &bytes, now));
         }
         self.verdicts.tick(now);
-        black_box(self.verdicts.avoided(now));
+        black_box(self.verdicts.avoided_nodes(now));
         self.judged = now;
     }
 }
--- a/crates/dewpier/src/config/fleet.rs
+++ b/crates/dewpier/src/config/fleet.rs
@@ -192,12 +192,12 @@
         );
     }
     let verdicts = dewpier_verdicts::Settings {
-        stale,
+        max_evidence_age: stale,
         quorum,
-        most_out: number(&raw.most_out, "most_out", [0.0, 0.9], 0.3)?,
+        max_ejected: number(&raw.most_out, "most_out", [0.0, 0.9], 0.3)?,
         slow_factor: number(&raw.slow_factor, "slow_factor", [1.5, 100.0], 4.0)?,
         silent_after: millis(&raw.silent_after_ms, "silent_after_ms", [20, 60_000], 1000)?,
-        proxies,
+        fleet_size: proxies,
         ..dewpier_verdicts::Settings::default()
     };
     let carrier = match at(&raw.listen, "listen", by_planners, raw.name.span())? {
--- a/crates/dewpier/src/config/tests.rs
+++ b/crates/dewpier/src/config/tests.rs
@@ -56,7 +56,7 @@
 fn the_checked_example_of_a_fleet_is_good() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/fleet.toml");
     let fleet = Config::read(Path::new(example)).unwrap().fleet.unwrap();
-    assert_eq!((fleet.name.as_str(), fleet.verdicts.proxies, fleet.verdicts.quorum), ("proxy-1", 2, 2));
+    assert_eq!((fleet.name.as_str(), fleet.verdicts.fleet_size, fleet.verdicts.quorum), ("proxy-1", 2, 2));
     let Carrier::Datagrams { listen, at } = fleet.carrier else { panic!("{:?}", fleet.carrier) };
     assert!(listen.ip().is_loopback() && at.values().all(|at| at.ip().is_loopback()), "{listen} {at:?}");
 }
@@ -177,7 +177,7 @@
     let least = format!("name = \"a\"\nlisten = \"127.0.0.1:1\"\nkey_file = \"key\"\n{peers}");
     let fleet = read(&least).unwrap().fleet.unwrap();
     // One list serves all: the proxy itself is in it.
-    assert_eq!((fleet.peers.len(), fleet.verdicts.proxies, fleet.every.as_millis()), (1, 2, 250));
+    assert_eq!((fleet.peers.len(), fleet.verdicts.fleet_size, fleet.every.as_millis()), (1, 2, 250));
     assert_eq!(fleet.verdicts.quorum, 2, "both, where there are two");
     assert!(parse(LEAST).unwrap().fleet.is_none(), "off unless it is set");
     assert!(fleet.snapshot.is_none(), "off unless it is set");
--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -8,8 +8,8 @@
 use dewpier_operate::calls::{self, Call};
 use dewpier_peers::{Peers, Process, ProxyId};
 use dewpier_verdicts::{
-    AttemptEnd, BootTime, Kind, LiveState, Member, NodeId, OperatorOverrides, Origin, OverrideKind, Report,
-    Snapshot, SnapshotError, Verdicts,
+    AttemptEnd, BootTime, Kind, ListedNode, LiveState, NodeId, OperatorOverrides, OverrideKind, ProcessId,
+    Snapshot, SnapshotError, VerdictSummary, Verdicts,
 };
 use gannetproxy::engine::{Engine, Seen, Upstream};
 use gannetproxy::{BackendId, Outcome};
@@ -79,7 +79,7 @@
 struct Shown {
     node: String,
     #[serde(flatten)]
-    report: Report,
+    report: VerdictSummary,
 }
 
 impl Fleet {
@@ -106,7 +106,7 @@
             now,
         );
         let verdicts = Verdicts::new(told.verdicts.clone(), me, zone, classes.len(), partners, now);
-        let rulings = OperatorOverrides::new(Origin::of(me));
+        let rulings = OperatorOverrides::new(ProcessId::from_process(me));
         let (nodes, names, believed) = (HashMap::new(), HashMap::new(), HashMap::new());
         let before = told.snapshot.as_deref().and_then(|path| match read(path, &told, me.proxy) {
             Ok(before) => before,
@@ -194,8 +194,8 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let serving = list.iter().filter(|node| node.serving);
-        let listed = serving.map(|node| Member { node: node.id, cell: node.cell }).collect();
-        state.verdicts.list(listed, now);
+        let listed = serving.map(|node| ListedNode { node: node.id, cell: node.cell }).collect();
+        state.verdicts.set_nodes(listed, now);
         if !list.is_empty() {
             self.take_up(&mut state);
         }
@@ -270,12 +270,12 @@
     fn judge(&self) -> Vec<(BackendId, f64)> {
         let now = self.now();
         let state = &mut *self.state.borrow_mut();
-        state.verdicts.answering(state.peers.count_answering_partners(now));
+        state.verdicts.set_answering_partners(state.peers.count_answering_partners(now));
         state.rulings.tick(now);
-        state.verdicts.ruled(state.rulings.active(now), now);
+        state.verdicts.set_overrides(state.rulings.active(now), now);
         state.verdicts.tick(now);
         let mut held = HashMap::new();
-        for (node, kind) in state.verdicts.avoided(now) {
+        for (node, kind) in state.verdicts.avoided_nodes(now) {
             if let Some((backend, name)) = state.names.get(&node) {
                 if state.believed.get(backend) != Some(&kind) {
                     tracing::info!(node = %name, verdict = ?kind, "avoided, as the fleet has seen");
@@ -329,21 +329,21 @@
     fn shown(&self) -> Vec<Shown> {
         let state = self.state.borrow();
         let name = |node| state.names.get(&node).map_or(String::new(), |(_, name)| name.clone());
-        let reports = state.verdicts.reports(self.now()).into_iter();
+        let reports = state.verdicts.summaries(self.now()).into_iter();
         reports.map(|report| Shown { node: name(report.node), report }).collect()
     }
 
     fn verdicts(&self) -> String {
         let mut text = String::new();
         for Shown { node, report: r } in self.shown() {
-            let state = match (r.out, r.tries) {
+            let state = match (r.ejected, r.sends_trials) {
                 (true, true) => "out, tried from here",
                 (true, false) => "out",
-                (false, _) if r.ruling.is_some() => "not out: an operator says so",
+                (false, _) if r.operator_override.is_some() => "not out: an operator says so",
                 (false, _) => "not out: as many are as may be",
             };
-            if let Some((says, left)) = r.ruling {
-                let (says, out) = match (says, r.out) {
+            if let Some((says, left)) = r.operator_override {
+                let (says, out) = match (says, r.ejected) {
                     (OverrideKind::Avoid, true) => ("avoid", "out"),
                     (OverrideKind::Avoid, false) => ("avoid", "not out: it is the last one of its cell"),
                     (OverrideKind::Trust, _) => ("trust", "not out"),
@@ -358,16 +358,16 @@
             let _ = writeln!(
                 text,
                 "{node}: {kind}, {state}; for {} ms by {} proxies, oldest word {} ms; good {}, unreached {}, failed {}, silent {}, slow {}; odds {:.1}, new at {:.1}",
-                r.for_ms,
+                r.active_ms,
                 r.observers,
-                r.oldest_ms,
+                r.oldest_report_ms,
                 r.good,
                 r.unreached,
                 r.failed,
                 r.silent,
                 r.slow,
-                r.odds,
-                r.needed
+                r.log_odds,
+                r.required_log_odds
             );
         }
         text + "END\n"
@@ -381,7 +381,7 @@
     fn figures(&self, vars: String) -> String {
         let Some(vars) = vars.strip_suffix("END\n") else { return vars };
         let state = self.state.borrow();
-        let (counts, reports) = (&state.peers.counts, state.verdicts.reports(self.now()));
+        let (counts, reports) = (&state.peers.counts, state.verdicts.summaries(self.now()));
         let mut text = vars.to_string();
         let mut line = |name: &str, value: u64| {
             let _ = writeln!(text, "edge_relay.fleet.{name}={value}");
@@ -397,15 +397,15 @@
         line("snapshots_written", state.snapshots.written);
         line("snapshots_failed", state.snapshots.failed);
         line("verdicts", reports.iter().filter(|r| r.kind != Kind::Ruled).count() as u64);
-        line("rulings", reports.iter().filter(|r| r.ruling.is_some()).count() as u64);
-        line("nodes_out", reports.iter().filter(|r| r.out).count() as u64);
+        line("rulings", reports.iter().filter(|r| r.operator_override.is_some()).count() as u64);
+        line("nodes_out", reports.iter().filter(|r| r.ejected).count() as u64);
         text + "END\n"
     }
 }
 
 /// What the clock of a process begins with: it knows of things that were before it, and says of the oldest how old it is.
 fn lead(told: &Told) -> Duration {
-    told.verdicts.stale * 2
+    told.verdicts.max_evidence_age * 2
 }
 
 /// What a process before this one knew, how long ago, and when that was read. None where nothing was kept.
--- a/crates/dewpier/src/members.rs
+++ b/crates/dewpier/src/members.rs
@@ -99,7 +99,7 @@
         let node = |(name, member): (&String, &Member)| Node {
             backend: member.entry.id,
             name: name.clone(),
-            id: NodeId::of(name, &member.address.to_string()),
+            id: NodeId::new(name, &member.address.to_string()),
             cell: member.entry.cell,
             serving: member.serving,
         };
--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -160,7 +160,7 @@
 
 impl TopicHandler for Lies {
     fn topic(&self) -> Topic {
-        dewpier_verdicts::TOPIC
+        dewpier_verdicts::EVIDENCE_TOPIC
     }
 
     fn write_payload(&mut self, _: ProxyId, _: usize, _: Duration) -> Vec<u8> {
@@ -187,7 +187,7 @@
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
         let to: Vec<(ProxyId, SocketAddr)> =
             (0..PROXIES).map(|i| (name(i), world.0.mesh.inlet(PROXIES, i))).collect();
-        let id = |(i, b): (usize, &Backend)| NodeId::of(&format!("pricing-{i:02}"), &b.address.to_string());
+        let id = |(i, b): (usize, &Backend)| NodeId::new(&format!("pricing-{i:02}"), &b.address.to_string());
         let nodes: Vec<NodeId> = world.0.nodes.iter().enumerate().map(id).collect();
         let over = Arc::new(AtomicBool::new(false));
         let taken = Arc::new(std::sync::atomic::AtomicU64::new(0));
--- a/crates/verdicts/src/judge.rs
+++ b/crates/verdicts/src/judge.rs
@@ -85,9 +85,9 @@
     let trusted: Vec<&ProxyEvidence> =
         seen.iter().filter(|w| w.others <= DOUBT && (w.counts.total() > 0 || w.claims.is_some())).collect();
     let usual = median(trusted.iter().map(|w| w.others).collect()).max(LEAST_USUAL);
-    let needed = settings.needed() * if stood { KEPT } else { 1.0 };
+    let needed = settings.required_log_odds() * if stood { KEPT } else { 1.0 };
     let observers = trusted.iter().filter(|w| w.counts.bad() > 0 || w.claims.is_some()).count();
-    let most = settings.most_each();
+    let most = settings.max_log_odds_per_proxy();
     let mut best = Judgement { kind: None, severe: false, odds: f64::NEG_INFINITY, observers };
     for (severe, bad) in [(true, BAD[0]), (false, BAD[1])] {
         if bad < WORSE * usual {
--- a/crates/verdicts/src/overrides.rs
+++ b/crates/verdicts/src/overrides.rs
@@ -13,7 +13,7 @@
 //! - at most [`MAX_OVERRIDES`] are known; a new one beyond is refused where it is said, and not taken where it is heard.
 
 use crate::snapshot::KeptRuling;
-use crate::{NodeId, Origin};
+use crate::{NodeId, ProcessId};
 use dewpier_peers::{Process, ProxyId, Topic, TopicHandler};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 use thiserror::Error;
 
 /// What operators say of nodes.
-const TOPIC: Topic = Topic(2);
+const OVERRIDES_TOPIC: Topic = Topic(2);
 /// Bytes of a ruling.
 const SIZE: usize = 25;
 /// OperatorOverrides in a datagram at most, in turns, so that evidence has its place beside them.
@@ -71,7 +71,7 @@
 /// All rulings that are known here. No I/O and no clock.
 #[derive(Debug)]
 pub struct OperatorOverrides {
-    origin: Origin,
+    origin: ProcessId,
     known: BTreeMap<NodeId, OperatorOverride>,
     /// Where the next datagram to each partner begins.
     turns: BTreeMap<ProxyId, usize>,
@@ -79,7 +79,7 @@
 
 impl OperatorOverrides {
     /// None.
-    pub fn new(origin: Origin) -> Self {
+    pub fn new(origin: ProcessId) -> Self {
         Self { origin, known: BTreeMap::new(), turns: BTreeMap::new() }
     }
 
@@ -214,7 +214,7 @@
 
 impl TopicHandler for OperatorOverrides {
     fn topic(&self) -> Topic {
-        TOPIC
+        OVERRIDES_TOPIC
     }
 
     fn write_payload(&mut self, to: ProxyId, room: usize, now: Duration) -> Vec<u8> {
@@ -269,9 +269,9 @@
     #[test]
     fn a_ruling_ends_no_later_elsewhere_and_no_late_copy_brings_it_back() {
         let (mut a, mut b, mut c) = (
-            OperatorOverrides::new(Origin(1)),
-            OperatorOverrides::new(Origin(2)),
-            OperatorOverrides::new(Origin(3)),
+            OperatorOverrides::new(ProcessId(1)),
+            OperatorOverrides::new(ProcessId(2)),
+            OperatorOverrides::new(ProcessId(3)),
         );
         a.set(NODE, Some(OverrideKind::Avoid), s(10), s(100)).unwrap();
         let late = a.write_payload(ProxyId(1), 200, s(100));
@@ -293,9 +293,9 @@
     #[test]
     fn a_longer_one_does_not_come_back_behind_a_shorter_one_that_replaced_it() {
         let (mut a, mut b, mut c) = (
-            OperatorOverrides::new(Origin(1)),
-            OperatorOverrides::new(Origin(2)),
-            OperatorOverrides::new(Origin(3)),
+            OperatorOverrides::new(ProcessId(1)),
+            OperatorOverrides::new(ProcessId(2)),
+            OperatorOverrides::new(ProcessId(3)),
         );
         a.set(NODE, Some(OverrideKind::Avoid), s(600), s(0)).unwrap();
         told(&mut a, &mut b, s(0), s(1));
@@ -315,7 +315,7 @@
 
     #[test]
     fn two_that_are_said_at_once_come_to_the_same_everywhere() {
-        let (mut a, mut b) = (OperatorOverrides::new(Origin(1)), OperatorOverrides::new(Origin(2)));
+        let (mut a, mut b) = (OperatorOverrides::new(ProcessId(1)), OperatorOverrides::new(ProcessId(2)));
         a.set(NODE, Some(OverrideKind::Avoid), s(10), s(0)).unwrap();
         b.set(NODE, Some(OverrideKind::Trust), s(20), s(0)).unwrap();
         for now in 1..3 {
@@ -333,7 +333,7 @@
 
     #[test]
     fn bounds_are_kept_and_all_come_in_turns() {
-        let (mut a, mut b) = (OperatorOverrides::new(Origin(1)), OperatorOverrides::new(Origin(2)));
+        let (mut a, mut b) = (OperatorOverrides::new(ProcessId(1)), OperatorOverrides::new(ProcessId(2)));
         for node in 0..MAX_OVERRIDES as u64 {
             a.set(NodeId(node), Some(OverrideKind::Avoid), s(60), s(0)).unwrap();
         }
@@ -352,7 +352,7 @@
         }
         assert_eq!(b.active(s(1)).count(), MAX_OVERRIDES);
         // One more that is heard is not taken, and takes no other's place.
-        let mut c = OperatorOverrides::new(Origin(3));
+        let mut c = OperatorOverrides::new(ProcessId(3));
         c.set(NodeId(99), Some(OverrideKind::Avoid), s(60), s(0)).unwrap();
         told(&mut c, &mut b, s(0), s(1));
         assert_eq!((b.active(s(1)).count(), b.get(NodeId(99), s(1))), (MAX_OVERRIDES, None));
@@ -362,7 +362,7 @@
     proptest! {
         #[test]
         fn any_bytes_are_refused_whole_or_end_in_time(bytes: Vec<u8>, age in 0..5000u64) {
-            let mut all = OperatorOverrides::new(Origin(1));
+            let mut all = OperatorOverrides::new(ProcessId(1));
             let taken = all.receive(Process::default(), Duration::from_millis(age), &bytes, s(10));
             prop_assert!(taken || all.known.is_empty());
             prop_assert!(all.known.values().all(|r| r.until <= s(10) + MAX_OVERRIDE_DURATION));
@@ -371,7 +371,7 @@
         /// Copies that come late, doubled and out of order, over proxies in a ring: none outlasts what was said.
         #[test]
         fn no_copy_outlasts_what_was_said(steps in proptest::collection::vec((0..4usize, 0..4usize, 0..3u8, 1..9u64), 1..60)) {
-            let mut all: Vec<OperatorOverrides> = (0..4).map(|i| OperatorOverrides::new(Origin(i))).collect();
+            let mut all: Vec<OperatorOverrides> = (0..4).map(|i| OperatorOverrides::new(ProcessId(i))).collect();
             let mut under_way: Vec<(u64, usize, Vec<u8>)> = Vec::new();
             let (mut now, mut ends) = (1000, 0);
             for (a, b, what, span) in steps {
--- a/crates/verdicts/src/pool.rs
+++ b/crates/verdicts/src/pool.rs
@@ -14,17 +14,17 @@
 
 /// What proxies tell each other of nodes. A form that older ones can't read has another topic, so that they pass it over:
 /// 1 was evidence without parts.
-pub const TOPIC: Topic = Topic(3);
+pub const EVIDENCE_TOPIC: Topic = Topic(3);
 /// What is kept of a node: so many words of others, the youngest.
 const MOST_WORDS: usize = 64;
 
 /// One start of a proxy, as an observer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Origin(pub u32);
+pub struct ProcessId(pub u32);
 
-impl Origin {
+impl ProcessId {
     /// That of a process.
-    pub fn of(process: Process) -> Self {
+    pub fn from_process(process: Process) -> Self {
         let mut bytes = process.proxy.0.to_be_bytes().to_vec();
         bytes.extend(process.incarnation.to_be_bytes());
         Self(xxhash_rust::xxh3::xxh3_64(&bytes) as u32)
@@ -33,7 +33,7 @@
 
 /// A node that is listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Member {
+pub struct ListedNode {
     /// Which.
     pub node: NodeId,
     /// Its cell.
@@ -70,29 +70,36 @@
 
 /// A verdict, as it is told.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Report {
+pub struct VerdictSummary {
     /// On which node.
     #[serde(skip)]
     pub node: NodeId,
     /// What holds of it.
     pub kind: Kind,
     /// It is kept out; otherwise as many others are out as may be.
-    pub out: bool,
+    #[serde(rename = "out")]
+    pub ejected: bool,
     /// This proxy is among those that try it.
-    pub tries: bool,
+    #[serde(rename = "tries")]
+    pub sends_trials: bool,
     /// What an operator says of it, and for how many milliseconds still.
-    pub ruling: Option<(OverrideKind, u64)>,
+    #[serde(rename = "ruling")]
+    pub operator_override: Option<(OverrideKind, u64)>,
     /// For how long it has held, in milliseconds.
-    pub for_ms: u64,
+    #[serde(rename = "for_ms")]
+    pub active_ms: u64,
     /// How old the oldest word is that it rests on, at most; with it goes what that one saw before, for as long
     /// as half of the bound.
-    pub oldest_ms: u64,
+    #[serde(rename = "oldest_ms")]
+    pub oldest_report_ms: u64,
     /// How many proxies saw something go wrong.
     pub observers: usize,
     /// The logarithm of the odds, and what was needed.
-    pub odds: f64,
+    #[serde(rename = "odds")]
+    pub log_odds: f64,
     /// What is needed for a new verdict.
-    pub needed: f64,
+    #[serde(rename = "needed")]
+    pub required_log_odds: f64,
     /// Attempts as this proxy and others saw them.
     pub good: u32,
     /// Never connected.
@@ -109,9 +116,9 @@
 #[derive(Debug)]
 pub struct Verdicts {
     settings: Settings,
-    origin: Origin,
+    origin: ProcessId,
     zone: u16,
-    listed: Vec<Member>,
+    listed: Vec<ListedNode>,
     known: HashSet<NodeId>,
     came: came::Came,
     /// By node, by who saw it.
@@ -147,12 +154,12 @@
         partners: usize,
         now: Duration,
     ) -> Self {
-        let sampled = partners + 1 < settings.proxies;
+        let sampled = partners + 1 < settings.fleet_size;
         Self {
             observer: Observer::new(settings.clone(), classes, now),
             said: BTreeMap::new(),
             settings,
-            origin: Origin::of(me),
+            origin: ProcessId::from_process(me),
             zone: xxhash_rust::xxh3::xxh3_64(zone.as_bytes()) as u16,
             listed: Vec::new(),
             known: HashSet::new(),
@@ -174,9 +181,9 @@
 
     /// The nodes in service. What is known of others is forgotten; one that comes back is judged by what is seen of it
     /// from then on, as another process may be there.
-    pub fn list(&mut self, listed: Vec<Member>, now: Duration) {
+    pub fn set_nodes(&mut self, listed: Vec<ListedNode>, now: Duration) {
         let before = std::mem::replace(&mut self.known, listed.iter().map(|m| m.node).collect());
-        self.came.list(&before, &self.known, now, self.settings.stale);
+        self.came.list(&before, &self.known, now, self.settings.max_evidence_age);
         self.listed = listed;
         let known = &self.known;
         self.observer.keep(|node| known.contains(node));
@@ -187,7 +194,7 @@
     }
 
     /// So many of its partners answer, which says how many proxies there are to share trials with.
-    pub fn answering(&mut self, answering: usize) {
+    pub fn set_answering_partners(&mut self, answering: usize) {
         self.answering = answering;
     }
 
@@ -202,7 +209,11 @@
     }
 
     /// What operators say of nodes and for how long still, all of it. Counts from the next judgement on, as long as that.
-    pub fn ruled(&mut self, said: impl Iterator<Item = (NodeId, OverrideKind, Duration)>, now: Duration) {
+    pub fn set_overrides(
+        &mut self,
+        said: impl Iterator<Item = (NodeId, OverrideKind, Duration)>,
+        now: Duration,
+    ) {
         self.said = said.map(|(node, says, left)| (node, (says, now + left))).collect();
     }
 
@@ -231,7 +242,7 @@
     }
 
     /// Drops what is too old and judges anew. To be called several times a second, and to be followed by
-    /// [`Verdicts::avoided`].
+    /// [`Verdicts::avoided_nodes`].
     pub fn tick(&mut self, now: Duration) {
         self.observer.tick(now);
         self.seen = self.observer.counts_by_node();
@@ -312,7 +323,7 @@
 
     /// What operators say is out, and behind that the worst, as many as may be; never the last of a cell.
     fn keep_out(&mut self, now: Duration) {
-        let most = (self.settings.most_out * self.listed.len() as f64) as usize;
+        let most = (self.settings.max_ejected * self.listed.len() as f64) as usize;
         let cells: HashMap<NodeId, u32> = self.listed.iter().map(|m| (m.node, m.cell)).collect();
         let mut left: HashMap<u32, usize> = HashMap::new();
         self.listed.iter().for_each(|m| *left.entry(m.cell).or_default() += 1);
@@ -349,7 +360,7 @@
 
     /// Nodes that this proxy is to avoid now, and what holds of them: those that an operator keeps out, and those that
     /// a verdict does, but for those that it is among the few to try.
-    pub fn avoided(&self, now: Duration) -> Vec<(NodeId, Kind)> {
+    pub fn avoided_nodes(&self, now: Duration) -> Vec<(NodeId, Kind)> {
         let ruled = self.ruled.iter().map(|node| (*node, Kind::Ruled));
         let out = self.out.iter().filter_map(|node| Some((*node, self.standing.get(node)?)));
         let out = out.filter(|(node, s)| !self.tries(*node, s, now)).map(|(node, s)| (node, s.kind));
@@ -358,7 +369,7 @@
 
     fn tries(&self, node: NodeId, standing: &Standing, now: Duration) -> bool {
         // Those that are not heard are as many again, in a fleet where not all hear all; those that are gone try nothing.
-        let others = self.settings.proxies.saturating_sub(1) as f64 / self.partners.max(1) as f64;
+        let others = self.settings.fleet_size.saturating_sub(1) as f64 / self.partners.max(1) as f64;
         let answering = self.answering as f64 / self.partners.max(1) as f64;
         let fleet = (1.0 + standing.met.len() as f64 * others * answering) * self.each();
         standing.mine
@@ -366,24 +377,24 @@
     }
 
     /// All verdicts that stand, and nodes that operators speak of; the clearest first.
-    pub fn reports(&self, now: Duration) -> Vec<Report> {
+    pub fn summaries(&self, now: Duration) -> Vec<VerdictSummary> {
         let mut reports = self.judged(now);
         for node in self.said.keys().copied().filter(|node| self.known.contains(node)) {
             let Some((says, left)) = self.said(&node, now) else { continue };
             let ruling = Some((says, left.as_millis() as u64));
             match reports.iter_mut().find(|report| report.node == node) {
-                Some(report) => report.ruling = ruling,
-                None => reports.push(Report {
+                Some(report) => report.operator_override = ruling,
+                None => reports.push(VerdictSummary {
                     node,
                     kind: Kind::Ruled,
-                    out: false,
-                    tries: false,
-                    ruling,
-                    for_ms: 0,
-                    oldest_ms: 0,
+                    ejected: false,
+                    sends_trials: false,
+                    operator_override: ruling,
+                    active_ms: 0,
+                    oldest_report_ms: 0,
                     observers: 0,
-                    odds: 0.0,
-                    needed: self.settings.needed(),
+                    log_odds: 0.0,
+                    required_log_odds: self.settings.required_log_odds(),
                     good: 0,
                     unreached: 0,
                     failed: 0,
@@ -393,14 +404,14 @@
             }
         }
         for report in &mut reports {
-            report.out |= self.ruled.contains(&report.node);
+            report.ejected |= self.ruled.contains(&report.node);
         }
-        reports.sort_by(|a, b| b.odds.total_cmp(&a.odds).then(a.node.cmp(&b.node)));
+        reports.sort_by(|a, b| b.log_odds.total_cmp(&a.log_odds).then(a.node.cmp(&b.node)));
         reports
     }
 
-    fn judged(&self, now: Duration) -> Vec<Report> {
-        let reports: Vec<Report> = self
+    fn judged(&self, now: Duration) -> Vec<VerdictSummary> {
+        let reports: Vec<VerdictSummary> = self
             .standing
             .iter()
             .map(|(node, standing)| {
@@ -409,17 +420,17 @@
                 let words = self.words.get(node).into_iter().flat_map(BTreeMap::values);
                 let ages = words.map(|word| now.saturating_sub(word.rests.unwrap_or(word.made)));
                 let oldest = ages.max().unwrap_or_default();
-                Report {
+                VerdictSummary {
                     node: *node,
                     kind: standing.kind,
-                    out: self.out.contains(node),
-                    tries: self.out.contains(node) && self.tries(*node, standing, now),
-                    ruling: None,
-                    for_ms: now.saturating_sub(standing.since).as_millis() as u64,
-                    oldest_ms: oldest.as_millis() as u64,
+                    ejected: self.out.contains(node),
+                    sends_trials: self.out.contains(node) && self.tries(*node, standing, now),
+                    operator_override: None,
+                    active_ms: now.saturating_sub(standing.since).as_millis() as u64,
+                    oldest_report_ms: oldest.as_millis() as u64,
                     observers: standing.observers,
-                    odds: standing.odds,
-                    needed: self.settings.needed(),
+                    log_odds: standing.odds,
+                    required_log_odds: self.settings.required_log_odds(),
                     good: sum.good,
                     unreached: sum.unreached,
                     failed: sum.failed,
@@ -453,7 +464,7 @@
 
 impl TopicHandler for Verdicts {
     fn topic(&self) -> Topic {
-        TOPIC
+        EVIDENCE_TOPIC
     }
 
     /// What was seen of nodes that are in question, in turns where there is more than fits.
--- a/crates/verdicts/src/pool/came.rs
+++ b/crates/verdicts/src/pool/came.rs
@@ -98,8 +98,8 @@
 
     #[test]
     fn what_may_be_of_before_a_node_came_back_does_not_count_and_new_nodes_count_at_once() {
-        let settings = Settings { stale: Duration::from_secs(16), ..Settings::default() };
-        let (s, stale) = (Duration::from_secs, settings.stale);
+        let settings = Settings { max_evidence_age: Duration::from_secs(16), ..Settings::default() };
+        let (s, stale) = (Duration::from_secs, settings.max_evidence_age);
         let (one, two) = (NodeId(1), NodeId(2));
         let (both, first) = (HashSet::from([one, two]), HashSet::from([one]));
         let mut came = Came::default();
--- a/crates/verdicts/src/trial.rs
+++ b/crates/verdicts/src/trial.rs
@@ -1,6 +1,6 @@
 //! Who tries a node that is out: a few of the fleet in each turn, each coming to that by itself.
 
-use crate::{NodeId, Origin, Settings};
+use crate::{NodeId, ProcessId, Settings};
 use std::time::Duration;
 
 /// Turns in the bound on staleness. What was seen in one counts over two of them, so that a verdict which the
@@ -10,13 +10,13 @@
 /// This proxy may send to it now. `fleet` is the rate at which all proxies would send there, in attempts a second,
 /// were the node sound. Drawn by hash anew in each turn, so that a proxy that can't tell takes none of the fleet's chances
 /// for long; the turns of all proxies need not begin together.
-pub fn tries(settings: &Settings, me: Origin, node: NodeId, out_for: Duration, fleet: f64) -> bool {
-    let turn = settings.stale / TURNS;
+pub fn tries(settings: &Settings, me: ProcessId, node: NodeId, out_for: Duration, fleet: f64) -> bool {
+    let turn = settings.max_evidence_age / TURNS;
     let number = out_for.as_millis() / turn.as_millis().max(1);
     if number == 0 {
         return false; // what condemned it is as fresh
     }
-    let part = (settings.trials / (fleet * turn.as_secs_f64()).max(f64::MIN_POSITIVE)).min(1.0);
+    let part = (settings.trials_per_turn / (fleet * turn.as_secs_f64()).max(f64::MIN_POSITIVE)).min(1.0);
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
     hasher.update(&node.0.to_be_bytes());
     hasher.update(&me.0.to_be_bytes());
@@ -34,25 +34,25 @@
             let settings = Settings::default();
             // 40 attempts a second in all, at 8 nodes.
             let each = 5.0 / proxies as f64;
-            let turn = settings.stale.as_secs_f64() / 4.0;
+            let turn = settings.max_evidence_age.as_secs_f64() / 4.0;
             let turns = 200;
             let tried: usize = (1..=turns)
                 .map(|n| {
-                    let out_for = settings.stale / 4 * n;
+                    let out_for = settings.max_evidence_age / 4 * n;
                     (0..proxies)
-                        .filter(|me| tries(&settings, Origin(*me as u32), NodeId(5), out_for, 5.0))
+                        .filter(|me| tries(&settings, ProcessId(*me as u32), NodeId(5), out_for, 5.0))
                         .count()
                 })
                 .sum();
             let attempts = tried as f64 * each * turn / f64::from(turns);
             assert!((2.3..3.7).contains(&attempts), "{proxies}: {attempts} a turn");
-            assert!(!tries(&settings, Origin(0), NodeId(5), settings.stale / 5, 5.0));
+            assert!(!tries(&settings, ProcessId(0), NodeId(5), settings.max_evidence_age / 5, 5.0));
         }
     }
 
     #[test]
     fn where_little_is_sent_all_try() {
         let settings = Settings::default();
-        assert!((0..3).all(|me| tries(&settings, Origin(me), NodeId(1), Duration::from_secs(8), 0.03)));
+        assert!((0..3).all(|me| tries(&settings, ProcessId(me), NodeId(1), Duration::from_secs(8), 0.03)));
     }
 }
--- a/crates/verdicts/tests/common/mod.rs
+++ b/crates/verdicts/tests/common/mod.rs
@@ -73,7 +73,7 @@
 }
 
 pub fn node(i: usize) -> NodeId {
-    NodeId::of(&format!("node-{i}"), "address")
+    NodeId::new(&format!("node-{i}"), "address")
 }
 
 impl Played {
@@ -84,9 +84,9 @@
             .map(|i| {
                 let me = Process { proxy: all[i], incarnation: 7 };
                 let mut settings = world.settings.clone();
-                settings.proxies = world.proxies;
+                settings.fleet_size = world.proxies;
                 let key = Key::from_secret(b"x");
-                let (every, stale) = (STEP, settings.stale);
+                let (every, stale) = (STEP, settings.max_evidence_age);
                 let told = dewpier_peers::Settings {
                     own_process: me,
                     fleet: all.clone(),
@@ -100,8 +100,8 @@
                 let zone_name = format!("zone-{zone}");
                 let mut verdicts =
                     Verdicts::new(settings, me, &zone_name, 1, peers.partners().len(), Duration::ZERO);
-                verdicts.list(
-                    (0..world.nodes).map(|n| Member { node: node(n), cell: 0 }).collect(),
+                verdicts.set_nodes(
+                    (0..world.nodes).map(|n| ListedNode { node: node(n), cell: 0 }).collect(),
                     Duration::ZERO,
                 );
                 Proxy { verdicts, peers, zone, lies: false, stands_until: Duration::ZERO, reads: true }
@@ -128,17 +128,18 @@
     }
 
     pub fn avoids(&self, proxy: usize, which: usize) -> bool {
-        self.proxies[proxy].verdicts.avoided(self.now).iter().any(|(n, _)| *n == node(which))
+        self.proxies[proxy].verdicts.avoided_nodes(self.now).iter().any(|(n, _)| *n == node(which))
     }
 
     /// How many proxies hold a verdict that keeps it out, whether they are among those that try it or not.
     pub fn out_at(&self, which: usize) -> usize {
-        let out = |p: &Proxy| p.verdicts.reports(self.now).iter().any(|r| r.node == node(which) && r.out);
+        let out =
+            |p: &Proxy| p.verdicts.summaries(self.now).iter().any(|r| r.node == node(which) && r.ejected);
         self.proxies.iter().filter(|p| out(p)).count()
     }
 
     pub fn kinds(&self, proxy: usize) -> Vec<Kind> {
-        self.proxies[proxy].verdicts.reports(self.now).iter().map(|r| r.kind).collect()
+        self.proxies[proxy].verdicts.summaries(self.now).iter().map(|r| r.kind).collect()
     }
 
     pub fn step(&mut self) {
@@ -174,7 +175,7 @@
                 left -= (1.0 - self.rng.random::<f64>()).ln();
             }
             let avoided: Vec<NodeId> =
-                self.proxies[who].verdicts.avoided(now).into_iter().map(|(n, _)| n).collect();
+                self.proxies[who].verdicts.avoided_nodes(now).into_iter().map(|(n, _)| n).collect();
             let open: Vec<usize> = (0..self.world.nodes).filter(|n| !avoided.contains(&node(*n))).collect();
             for _ in 0..sends {
                 let to = open[self.rng.random_range(0..open.len())];
@@ -199,7 +200,7 @@
                 continue;
             }
             let proxy = &mut self.proxies[who];
-            proxy.verdicts.answering(proxy.peers.count_answering_partners(now));
+            proxy.verdicts.set_answering_partners(proxy.peers.count_answering_partners(now));
             proxy.verdicts.tick(now);
             let outs = if self.world.pooled {
                 let mut liar = Liar;
@@ -216,19 +217,19 @@
                     self.under_way.push((now + wait, to, out.bytes));
                 }
             }
-            let avoided = self.proxies[who].verdicts.avoided(now);
+            let avoided = self.proxies[who].verdicts.avoided_nodes(now);
             self.looks += self.does.iter().filter(|d| **d == Does::Well).count() as u64;
             let sound =
                 |n: &NodeId| (0..self.world.nodes).any(|i| node(i) == *n && self.does[i] == Does::Well);
             self.false_avoids += avoided.iter().filter(|(n, _)| sound(n)).count() as u64;
             // The bound, at every step of every proxy.
-            for report in self.proxies[who].verdicts.reports(now) {
+            for report in self.proxies[who].verdicts.summaries(now) {
                 let window = self.world.settings.window().as_millis() as u64;
                 assert!(
-                    report.oldest_ms <= window,
+                    report.oldest_report_ms <= window,
                     "seed {}: rests on {} ms",
                     self.world.seed,
-                    report.oldest_ms
+                    report.oldest_report_ms
                 );
             }
         }
@@ -262,7 +263,7 @@
 
 impl TopicHandler for Liar {
     fn topic(&self) -> dewpier_peers::Topic {
-        TOPIC
+        EVIDENCE_TOPIC
     }
 
     fn write_payload(&mut self, _: ProxyId, _: usize, now: Duration) -> Vec<u8> {
@@ -299,7 +300,7 @@
 /// What a proxy of a played fleet keeps.
 pub fn kept(played: &mut Played, proxy: usize) -> Vec<u8> {
     let now = played.now;
-    let mut rulings = OperatorOverrides::new(Origin(1));
+    let mut rulings = OperatorOverrides::new(ProcessId(1));
     let classes = ["read".to_string()];
     let verdicts = &mut played.proxies[proxy].verdicts;
     let snapshot =
@@ -321,7 +322,7 @@
             let now = BootTime { boot_id: BOOT, since_boot: played.now };
             let (snapshot, since) = Snapshot::decode(bytes, &key(), name(p), now).unwrap();
             let since = if ages { since } else { Duration::ZERO };
-            let mut rulings = OperatorOverrides::new(Origin(1));
+            let mut rulings = OperatorOverrides::new(ProcessId(1));
             let classes = ["read".to_string()];
             let mut known =
                 LiveState { verdicts: &mut proxy.verdicts, overrides: &mut rulings, classes: &classes };
--- a/crates/verdicts/tests/fleet.rs
+++ b/crates/verdicts/tests/fleet.rs
@@ -99,8 +99,8 @@
     played.run(seconds(34));
     // What waits in its socket says that the node hangs; the first step after it has read all of that.
     played.run(STEP * 6);
-    assert!(!played.avoids(5, 2), "{:?}", played.proxies[5].verdicts.reports(played.now));
-    assert_eq!(played.proxies.iter().filter(|p| !p.verdicts.reports(played.now).is_empty()).count(), 0);
+    assert!(!played.avoids(5, 2), "{:?}", played.proxies[5].verdicts.summaries(played.now));
+    assert_eq!(played.proxies.iter().filter(|p| !p.verdicts.summaries(played.now).is_empty()).count(), 0);
 }
 
 #[test]
@@ -113,7 +113,7 @@
     played.does[3] = Does::FailsIn(1);
     played.run(seconds(40));
     let out = |p: &Played, zone: usize| {
-        let keeps = |i: &usize| p.proxies[*i].verdicts.reports(p.now).iter().any(|r| r.out);
+        let keeps = |i: &usize| p.proxies[*i].verdicts.summaries(p.now).iter().any(|r| r.ejected);
         (zone..16).step_by(2).filter(keeps).count()
     };
     assert_eq!((out(&played, 0), out(&played, 1)), (0, 8));
@@ -172,8 +172,8 @@
     let out: Vec<usize> = (0..8).map(|n| played.out_at(n)).collect();
     assert!(out.iter().sum::<usize>() <= 2 * 24, "{out:?}");
     for proxy in &mut played.proxies {
-        let listed = (0..8).map(|n| Member { node: node(n), cell: u32::from(n < 1) }).collect();
-        proxy.verdicts.list(listed, played.now);
+        let listed = (0..8).map(|n| ListedNode { node: node(n), cell: u32::from(n < 1) }).collect();
+        proxy.verdicts.set_nodes(listed, played.now);
     }
     played.does = vec![Does::Well; 8];
     played.does[0] = Does::Fails(1.0);
@@ -189,14 +189,14 @@
     played.run(seconds(10));
     assert_eq!(played.out_at(2), 24);
     // Half of the proxies have heard that it is another process now; the others still speak of the old one.
-    let list = |anew: bool| -> Vec<Member> {
-        let id = |n: usize| if anew && n == 2 { NodeId::of("node-2", "elsewhere") } else { node(n) };
-        (0..8).map(|n| Member { node: id(n), cell: 0 }).collect()
+    let list = |anew: bool| -> Vec<ListedNode> {
+        let id = |n: usize| if anew && n == 2 { NodeId::new("node-2", "elsewhere") } else { node(n) };
+        (0..8).map(|n| ListedNode { node: id(n), cell: 0 }).collect()
     };
     let now = played.now;
-    (0..12).for_each(|p| played.proxies[p].verdicts.list(list(true), now));
+    (0..12).for_each(|p| played.proxies[p].verdicts.set_nodes(list(true), now));
     played.run(seconds(3));
-    assert!((0..12).all(|p| played.proxies[p].verdicts.reports(played.now).is_empty()));
+    assert!((0..12).all(|p| played.proxies[p].verdicts.summaries(played.now).is_empty()));
 }
 
 /// It is replaced at the same address: some proxies hear of that later than others, and those go on speaking of the old one.
@@ -208,9 +208,9 @@
     assert!(played.run_until(seconds(10), |p| p.out_at(2) == 24).is_some());
     let list = |played: &mut Played, who: std::ops::Range<usize>, without: Option<usize>| {
         let now = played.now;
-        let listed: Vec<Member> =
-            (0..8).filter(|n| Some(*n) != without).map(|n| Member { node: node(n), cell: 0 }).collect();
-        who.for_each(|p| played.proxies[p].verdicts.list(listed.clone(), now));
+        let listed: Vec<ListedNode> =
+            (0..8).filter(|n| Some(*n) != without).map(|n| ListedNode { node: node(n), cell: 0 }).collect();
+        who.for_each(|p| played.proxies[p].verdicts.set_nodes(listed.clone(), now));
     };
     list(&mut played, 0..12, Some(2));
     played.run(seconds(1));
@@ -219,7 +219,7 @@
     // The others have the old list, with a verdict on what is there no more.
     for _ in 0..20 {
         played.step();
-        let holds = |p: &usize| played.proxies[*p].verdicts.reports(played.now).iter().any(|r| r.out);
+        let holds = |p: &usize| played.proxies[*p].verdicts.summaries(played.now).iter().any(|r| r.ejected);
         assert_eq!((0..12).filter(holds).collect::<Vec<_>>(), [0; 0]);
     }
     // It fails again: those who have seen it since come to a verdict, and all others once claims count again.
--- a/crates/verdicts/tests/kept.rs
+++ b/crates/verdicts/tests/kept.rs
@@ -42,8 +42,9 @@
     played.does[2] = Does::Fails(1.0);
     assert!(played.run_until(seconds(12), |p| p.out_at(2) == 24).is_some());
     let oldest = |p: &Played| {
-        let reports =
-            |proxy: &Proxy| proxy.verdicts.reports(p.now).iter().map(|r| (r.oldest_ms, r.for_ms)).max();
+        let reports = |proxy: &Proxy| {
+            proxy.verdicts.summaries(p.now).iter().map(|r| (r.oldest_report_ms, r.active_ms)).max()
+        };
         p.proxies.iter().map(reports).collect::<Vec<_>>()
     };
     let before = oldest(&played);
@@ -59,7 +60,7 @@
     let me = Process { proxy: name(0), incarnation: 3 };
     let settings = Settings::default;
     let mut verdicts = Verdicts::new(settings(), me, "a", 0, 3, seconds(60));
-    let mut rulings = OperatorOverrides::new(Origin::of(me));
+    let mut rulings = OperatorOverrides::new(ProcessId::from_process(me));
     rulings.set(node(1), Some(OverrideKind::Avoid), seconds(10), seconds(100)).unwrap();
     rulings.set(node(2), Some(OverrideKind::Trust), seconds(600), seconds(100)).unwrap();
     rulings.set(node(2), None, seconds(0), seconds(100)).unwrap();
@@ -68,7 +69,7 @@
     for (since, left) in [(4, Some(OverrideKind::Avoid)), (10, None)] {
         let now = seconds(60);
         let mut verdicts = Verdicts::new(settings(), me, "a", 0, 3, now);
-        let mut rulings = OperatorOverrides::new(Origin(9));
+        let mut rulings = OperatorOverrides::new(ProcessId(9));
         let mut known = LiveState { verdicts: &mut verdicts, overrides: &mut rulings, classes: &[] };
         snapshot.restore(&mut known, |_| true, seconds(since), now);
         assert_eq!(rulings.get(node(1), now), left);
@@ -125,10 +126,10 @@
 #[test]
 fn more_than_fits_leaves_out_the_words_of_others_first() {
     let me = Process { proxy: name(0), incarnation: 3 };
-    let settings = Settings { proxies: 1000, ..Settings::default() };
+    let settings = Settings { fleet_size: 1000, ..Settings::default() };
     let now = seconds(100);
     let mut verdicts = Verdicts::new(settings, me, "a", 0, 3, now);
-    verdicts.list((0..1000).map(|n| Member { node: node(n), cell: 0 }).collect(), now);
+    verdicts.set_nodes((0..1000).map(|n| ListedNode { node: node(n), cell: 0 }).collect(), now);
     for n in 0..1000 {
         verdicts.record_start((n as u64, 0), node(n), 0, now);
         verdicts.record_end((n as u64, 0), AttemptEnd::Failed, now);
@@ -140,14 +141,14 @@
             assert!(dewpier_peers::TopicHandler::receive(&mut verdicts, from, seconds(0), &bytes, now));
         }
     }
-    let mut rulings = OperatorOverrides::new(Origin(1));
+    let mut rulings = OperatorOverrides::new(ProcessId(1));
     let known = LiveState { verdicts: &mut verdicts, overrides: &mut rulings, classes: &[] };
     let when = BootTime { boot_id: BOOT, since_boot: now };
     let bytes = Snapshot::capture(&known, now).encode(&key(), name(0), when).unwrap();
     assert!(bytes.len() < MAX_SNAPSHOT_BYTES, "{} bytes", bytes.len());
     let (snapshot, since) = Snapshot::decode(&bytes, &key(), name(0), when).unwrap();
     let mut verdicts = Verdicts::new(Settings::default(), me, "a", 0, 3, now);
-    verdicts.list((0..1000).map(|n| Member { node: node(n), cell: 0 }).collect(), now);
+    verdicts.set_nodes((0..1000).map(|n| ListedNode { node: node(n), cell: 0 }).collect(), now);
     let mut known = LiveState { verdicts: &mut verdicts, overrides: &mut rulings, classes: &[] };
     let taken = snapshot.restore(&mut known, |_| true, since, now);
     assert_eq!((taken.attempt_counts, taken.reports), (1000, 0));
@@ -166,13 +167,13 @@
         sealed.extend(key().compute_tag(name(3), &sealed));
         if let Ok((snapshot, since)) = Snapshot::decode(&sealed, &key(), name(3), when) {
             let mut verdicts = Verdicts::new(Settings::default(), Process::default(), "a", 1, 3, seconds(60));
-            verdicts.list(vec![Member { node: node(1), cell: 0 }], seconds(60));
-            let mut rulings = OperatorOverrides::new(Origin(1));
+            verdicts.set_nodes(vec![ListedNode { node: node(1), cell: 0 }], seconds(60));
+            let mut rulings = OperatorOverrides::new(ProcessId(1));
             let classes = ["read".to_string()];
             let mut known = LiveState { verdicts: &mut verdicts, overrides: &mut rulings, classes: &classes };
             snapshot.restore(&mut known, |_| true, since, seconds(60));
             verdicts.tick(seconds(60));
-            prop_assert!(verdicts.avoided(seconds(60)).is_empty());
+            prop_assert!(verdicts.avoided_nodes(seconds(60)).is_empty());
         }
     }
 }
