--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,89 +1,89 @@
-//! What proxies of a fleet carry to each other, in datagrams of at most [`MAX_DATAGRAM_BYTES`] bytes.
+//! Exchanges small payloads between the proxies of a fleet, in datagrams of at most [`MAX_DATAGRAM_BYTES`] bytes.
 //!
-//! [`Peers`] says who is there, which partners this proxy talks with, and how old at most is whatever a
-//! datagram says. It knows nothing of what it carries: that is bytes under a [`Topic`], taken from and handed
-//! to whoever implements [`TopicHandler`]. It has no I/O and no clock; [`io`] carries datagrams over UDP.
+//! [`Peers`] selects this proxy's partners (the peers that it exchanges datagrams with directly), tracks which of
+//! them answer, and bounds the age of every payload that it accepts. Payloads are opaque bytes under a [`Topic`],
+//! written and read by a [`TopicHandler`]. [`Peers`] has no I/O and no clock; [`io`] moves its datagrams over UDP or
+//! another [`Transport`](io::Transport).
 //!
-//! What holds, whatever the network does:
+//! Invariants, whatever the network does:
 //!
-//! - *Age.* A datagram counts only if it answers a question that this process asked, and the question is not
-//!   older than [`Settings::max_echo_age`]. What it says was so after that question was sent, so that its age is at
-//!   most the time since, on this process's own monotonic clock. Nobody else's clock counts, and a process that
-//!   stood still finds all that waits in its socket as old as it is.
-//! - *Once.* A datagram that comes doubled, or out of order behind a window of 64, changes nothing.
-//! - *Whole.* A datagram is refused whole where its keyed hash, its version, its sender or any length in it is
-//!   not as it must be.
-//! - *Bounds.* Names are those of the configuration, with at most two processes for each; datagrams taken in a
-//!   second are at most [`Settings::max_datagrams_per_second`], of which the hash is computed, all others are dropped unread.
+//! - *Age.* A datagram is accepted only if it echoes a timestamp that this process sent at most
+//!   [`Settings::max_echo_age`] ago. Its payloads were written after that timestamp was sent, so their age is at most
+//!   the time since then on this process's own monotonic clock. No other clock is involved, and datagrams that waited
+//!   in the socket while the process was suspended are recognised as old.
+//! - *No duplicates.* A datagram that arrives again, or behind a window of 64 sequence numbers, has no effect.
+//! - *Integrity.* A datagram is rejected as a whole if its authentication tag, its version, its sender or any length
+//!   in it is invalid.
+//! - *Bounds.* Only proxies of the configuration are known, with at most two processes each. At most
+//!   [`Settings::max_datagrams_per_second`] datagrams are authenticated in a second; all others are dropped unread.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod core;
 pub mod io;
 mod partners;
-mod seal;
+mod tag;
 mod wire;
 
 pub use crate::core::{DatagramCounts, DatagramRejection, OutgoingDatagram, Peers, RejectionCount};
 pub use partners::partners;
-pub use seal::TAG_BYTES;
+pub use tag::TAG_BYTES;
 pub use wire::{Key, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES};
 
 use std::time::Duration;
 
-/// A point in time, since the process's own start.
+/// A point in time, as the duration since the start of the process.
 pub type MonotonicTime = Duration;
 
-/// A proxy, by the hash of its name.
+/// A proxy, identified by the hash of its configured name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ProxyId(pub u64);
 
 impl ProxyId {
-    /// That of a proxy with this name.
+    /// Hashes the configured name of a proxy.
     pub fn from_name(name: &str) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
     }
 }
 
-/// A process: a proxy of that name from one start to its end.
+/// One process of a proxy, from its start to its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Process {
-    /// Its proxy's name.
+    /// The proxy that the process runs as.
     pub proxy: ProxyId,
-    /// Drawn at its start.
+    /// A random number drawn when the process starts; 0 is reserved.
     pub incarnation: u32,
 }
 
-/// What a part of a datagram is about.
+/// The subject of a payload, which selects its handler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Topic(pub u8);
 
-/// Whoever has something to say to the others, and hears what they say.
+/// Writes and reads the payloads of one topic.
 pub trait TopicHandler {
-    /// What it is about.
+    /// The topic of all payloads of this handler.
     fn topic(&self) -> Topic;
 
-    /// At most `room` bytes for that partner. Empty: nothing to say.
-    fn write_payload(&mut self, to: ProxyId, room: usize, now: MonotonicTime) -> Vec<u8>;
+    /// Writes a payload of at most `capacity` bytes for a partner. An empty payload is not sent.
+    fn write_payload(&mut self, to: ProxyId, capacity: usize, now: MonotonicTime) -> Vec<u8>;
 
-    /// Bytes that a process wrote at most `age` ago. False where they can't be read: nothing of them may have
-    /// been taken in then.
+    /// Reads a payload that a process wrote at most `age` ago. Returns false, without any effect, if it is malformed.
     fn receive(&mut self, from: Process, age: Duration, bytes: &[u8], now: MonotonicTime) -> bool;
 }
 
-/// What a proxy is told of its fleet at its start.
+/// The fleet as it is configured when a process starts.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This process.
     pub own_process: Process,
-    /// All proxies by name, this one or not.
+    /// All proxies of the fleet; may include this one.
     pub fleet: Vec<ProxyId>,
-    /// How often each partner is written to.
+    /// How often a datagram is sent to each partner.
     pub send_interval: Duration,
-    /// What answers an older question than that counts for nothing.
+    /// Datagrams that echo an older timestamp are rejected.
     pub max_echo_age: Duration,
-    /// Datagrams that are looked at in a second.
+    /// The number of received datagrams that are authenticated in a second.
     pub max_datagrams_per_second: u32,
-    /// What all proxies of the fleet share, and nobody else.
+    /// The key shared by all proxies of the fleet and nobody else.
     pub key: Key,
 }
