--- a/crates/peers/src/core.rs
+++ b/crates/peers/src/core.rs
@@ -1,60 +1,62 @@
-//! The core: who is there, what counts, and what is written to whom.
+//! Tracks the processes of the fleet, accepts or rejects their datagrams, and writes the datagrams to partners.
 
-use crate::wire::{self, Head, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES};
+use crate::wire::{self, Header, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES};
 use crate::{MonotonicTime, Process, ProxyId, Settings, TopicHandler, partners};
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 use thiserror::Error;
 
-/// Processes of one name that are known at once: an old and a new version side by side.
-const MOST_LIVES: usize = 2;
-/// Counters so far behind the highest are told apart; older ones count as heard.
-const WINDOW: u32 = 64;
+/// The number of processes of one proxy that are known at once: two during an upgrade.
+const MAX_PROCESSES_PER_PROXY: usize = 2;
+/// The number of sequence numbers, down from the highest received, in which duplicates are recognised. Datagrams with
+/// lower ones count as duplicates.
+const SEQUENCE_WINDOW: u32 = 64;
 
-/// Why a datagram counts for nothing.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, Hash)]
 pub enum DatagramRejection {
-    /// More came than is looked at in a second.
-    #[error("too many datagrams")]
+    /// The limit on datagrams authenticated in a second is reached.
+    #[error("too many datagrams in this second")]
     TooMany,
-    /// It is none, or its lengths don't fit.
-    #[error("not a datagram of a proxy")]
+    /// The magic number or a length is invalid, or a handler could not read its payload.
+    #[error("malformed datagram")]
     Unreadable,
-    /// Its hash is not made with this fleet's key for this proxy.
-    #[error("the hash does not fit the key")]
+    /// The authentication tag was not made with this fleet's key for this proxy.
+    #[error("the authentication tag does not match the key of the fleet")]
     Forged,
-    /// Of a version that is not known any more.
-    #[error("an unknown version")]
+    /// The version is no longer supported.
+    #[error("unsupported version")]
     Version,
-    /// Its sender is not one of the fleet, or is this process itself.
-    #[error("an unknown sender")]
+    /// The sender is not a proxy of the fleet, or is this process itself.
+    #[error("unknown sender")]
     Stranger,
-    /// It came before.
-    #[error("it came before")]
+    /// The sequence number was received before, or lies behind the window of known ones.
+    #[error("duplicate or outdated sequence number")]
     Doubled,
-    /// It answers no question, or one that is too old. Usual at a start and after a cut.
-    #[error("it answers no question of late")]
+    /// The datagram echoes no timestamp of this process, or one that is too old. Expected after a start or a network
+    /// partition.
+    #[error("no recent timestamp of this process is echoed")]
     Unasked,
 }
 
-/// What was refused so far, by reason, and what was taken.
+/// Counters of sent, accepted and rejected datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
-    /// Datagrams written,
+    /// Datagrams written.
     pub sent: u64,
-    /// and their bytes.
+    /// Bytes of the datagrams written.
     pub sent_bytes: u64,
-    /// Datagrams that counted.
+    /// Datagrams accepted.
     pub accepted: u64,
-    /// In the order of [`DatagramRejection`].
+    /// Datagrams rejected, in the order of the variants of [`DatagramRejection`].
     pub rejected: [u64; 7],
 }
 
-/// A reason and how often.
+/// A reason for rejections and the number of datagrams rejected for it.
 pub type RejectionCount = (DatagramRejection, u64);
 
 impl DatagramCounts {
-    /// What was refused, by reason.
+    /// Rejected datagrams by reason.
     pub fn rejected_by_reason(&self) -> [RejectionCount; 7] {
         use DatagramRejection::*;
         let reasons = [TooMany, Unreadable, Forged, Version, Stranger, Doubled, Unasked];
@@ -62,34 +64,35 @@
     }
 }
 
-/// What is known of a process.
+/// The state kept for another process.
 #[derive(Debug)]
-struct Known {
-    /// Its latest question, which the next datagram to it answers.
-    question: u32,
-    /// The highest counter, and which of those behind it have come.
-    highest: u32,
-    window: u64,
-    /// When it last proved to have heard this process: when the question was asked that it answered.
-    proven: Option<MonotonicTime>,
-    heard: MonotonicTime,
+struct ProcessState {
+    /// Its latest timestamp, echoed by the next datagram to it.
+    timestamp_ms: u32,
+    /// The highest sequence number received.
+    highest_sequence: u32,
+    /// Bit `n` is set if the sequence number `n` below the highest one was received.
+    received_sequences: u64,
+    /// When this process sent the latest timestamp that the other one has echoed.
+    echoed_timestamp_sent_at: Option<MonotonicTime>,
+    last_received_at: MonotonicTime,
 }
 
-impl Known {
-    /// Notes a counter. False where it came before, or is too old to tell.
-    fn first(&mut self, count: u32) -> bool {
-        let ahead = count.wrapping_sub(self.highest);
+impl ProcessState {
+    /// Records a sequence number. Returns false if it was received before, or lies behind the window.
+    fn record_sequence(&mut self, sequence: u32) -> bool {
+        let ahead = sequence.wrapping_sub(self.highest_sequence);
         if ahead == 0 || ahead > u32::MAX / 2 {
-            let behind = self.highest.wrapping_sub(count);
+            let behind = self.highest_sequence.wrapping_sub(sequence);
             let bit = 1u64.checked_shl(behind).unwrap_or(0);
-            if behind >= WINDOW || self.window & bit != 0 {
+            if behind >= SEQUENCE_WINDOW || self.received_sequences & bit != 0 {
                 return false;
             }
-            self.window |= bit;
+            self.received_sequences |= bit;
             return true;
         }
-        self.window = self.window.checked_shl(ahead).unwrap_or(0) | 1;
-        self.highest = count;
+        self.received_sequences = self.received_sequences.checked_shl(ahead).unwrap_or(0) | 1;
+        self.highest_sequence = sequence;
         true
     }
 }
@@ -97,183 +100,203 @@
 /// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// To whom.
+    /// The receiver.
     pub to: ProxyId,
-    /// What.
+    /// The encoded datagram.
     pub bytes: Vec<u8>,
 }
 
-/// One process among others. What it keeps is bounded by the names that it was told.
+/// The datagram exchange of one process. Its memory is bounded by the number of proxies in the fleet.
 pub struct Peers {
     settings: Settings,
     partners: Vec<ProxyId>,
-    known: BTreeMap<Process, Known>,
-    names: HashSet<ProxyId>,
-    count: u32,
-    /// Datagrams that may be looked at, and since when that was counted.
-    room: f64,
-    filled: MonotonicTime,
-    /// Datagrams so far.
+    processes: BTreeMap<Process, ProcessState>,
+    fleet: HashSet<ProxyId>,
+    sequence: u32,
+    /// Token bucket of the datagrams that may be authenticated.
+    receive_tokens: f64,
+    tokens_refilled_at: MonotonicTime,
+    /// Counters since the start.
     pub counts: DatagramCounts,
 }
 
 impl Peers {
-    /// One that has heard of nobody.
+    /// Creates the exchange of a process that has received nothing yet.
     pub fn new(settings: Settings, now: MonotonicTime) -> Self {
         let partners = partners(settings.own_process.proxy, &settings.fleet);
-        let names = settings.fleet.iter().copied().chain([settings.own_process.proxy]).collect();
-        let room = f64::from(settings.max_datagrams_per_second);
+        let fleet = settings.fleet.iter().copied().chain([settings.own_process.proxy]).collect();
+        let receive_tokens = f64::from(settings.max_datagrams_per_second);
         Self {
             settings,
             partners,
-            known: BTreeMap::new(),
-            names,
-            count: 0,
-            room,
-            filled: now,
+            processes: BTreeMap::new(),
+            fleet,
+            sequence: 0,
+            receive_tokens,
+            tokens_refilled_at: now,
             counts: DatagramCounts::default(),
         }
     }
 
-    /// Whom it writes to.
+    /// The proxies that datagrams are sent to.
     pub fn partners(&self) -> &[ProxyId] {
         &self.partners
     }
 
-    /// Partners that have answered a question that is not older than the bound.
+    /// Counts the partners that have echoed a timestamp not older than [`Settings::max_echo_age`].
     pub fn count_answering_partners(&self, now: MonotonicTime) -> usize {
-        let fresh = |known: &Known| {
-            known.proven.is_some_and(|at| now.saturating_sub(at) <= self.settings.max_echo_age)
+        let is_answering = |state: &ProcessState| {
+            state
+                .echoed_timestamp_sent_at
+                .is_some_and(|at| now.saturating_sub(at) <= self.settings.max_echo_age)
         };
-        let answering: HashSet<ProxyId> =
-            self.known.iter().filter(|(_, k)| fresh(k)).map(|(p, _)| p.proxy).collect();
+        let answering: HashSet<ProxyId> = self
+            .processes
+            .iter()
+            .filter(|(_, state)| is_answering(state))
+            .map(|(process, _)| process.proxy)
+            .collect();
         answering.len()
     }
 
-    /// Writes to every partner. To be called every [`Settings::send_interval`].
+    /// Writes a datagram to every partner. To be called every [`Settings::send_interval`].
     pub fn write_round(
         &mut self,
         now: MonotonicTime,
-        carried: &mut [&mut dyn TopicHandler],
+        handlers: &mut [&mut dyn TopicHandler],
     ) -> Vec<OutgoingDatagram> {
-        self.known.retain(|_, known| now.saturating_sub(known.heard) <= 2 * self.settings.max_echo_age);
-        let mut outs = Vec::with_capacity(self.partners.len());
+        self.processes
+            .retain(|_, state| now.saturating_sub(state.last_received_at) <= 2 * self.settings.max_echo_age);
+        let mut datagrams = Vec::with_capacity(self.partners.len());
         for &to in &self.partners {
-            let mut room = MAX_PAYLOAD_BYTES;
-            let mut parts = Vec::new();
-            for one in carried.iter_mut() {
-                let said = one.write_payload(to, room.saturating_sub(2).min(usize::from(u8::MAX)), now);
-                if !said.is_empty() && said.len() + 2 <= room {
-                    room -= said.len() + 2;
-                    parts.push((one.topic(), said));
+            let mut capacity = MAX_PAYLOAD_BYTES;
+            let mut payloads = Vec::new();
+            for handler in handlers.iter_mut() {
+                let payload =
+                    handler.write_payload(to, capacity.saturating_sub(2).min(usize::from(u8::MAX)), now);
+                if !payload.is_empty() && payload.len() + 2 <= capacity {
+                    capacity -= payload.len() + 2;
+                    payloads.push((handler.topic(), payload));
                 }
             }
-            // An old and a new process of a name may listen at one address: each is answered in turn.
-            let lives: Vec<_> = self.known.iter().filter(|(process, _)| process.proxy == to).collect();
-            let turn = self.count as usize % lives.len().max(1);
-            let answers = lives.get(turn).map(|(process, known)| (process.incarnation, known.question));
-            self.count = self.count.wrapping_add(1);
-            let head =
-                Head { from: self.settings.own_process, count: self.count, question: millis(now), answers };
-            let bytes = wire::write(&self.settings.key, to, head, &parts);
+            // During an upgrade two processes of a proxy may listen at one address: their timestamps are echoed in turn.
+            let processes: Vec<_> =
+                self.processes.iter().filter(|(process, _)| process.proxy == to).collect();
+            let turn = self.sequence as usize % processes.len().max(1);
+            let echo = processes.get(turn).map(|(process, state)| (process.incarnation, state.timestamp_ms));
+            self.sequence = self.sequence.wrapping_add(1);
+            let header = Header {
+                sender: self.settings.own_process,
+                sequence: self.sequence,
+                timestamp_ms: wrapping_millis(now),
+                echo,
+            };
+            let bytes = wire::write(&self.settings.key, to, header, &payloads);
             debug_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             self.counts.sent += 1;
             self.counts.sent_bytes += bytes.len() as u64;
-            outs.push(OutgoingDatagram { to, bytes });
+            datagrams.push(OutgoingDatagram { to, bytes });
         }
-        outs
+        datagrams
     }
 
-    /// A datagram has come.
+    /// Handles a received datagram: passes its payloads to their handlers and returns its sender.
     pub fn receive(
         &mut self,
         bytes: &[u8],
         now: MonotonicTime,
-        carried: &mut [&mut dyn TopicHandler],
+        handlers: &mut [&mut dyn TopicHandler],
     ) -> Result<Process, DatagramRejection> {
-        let heard = self.take(bytes, now, carried);
-        match heard {
+        let result = self.accept(bytes, now, handlers);
+        match result {
             Ok(_) => self.counts.accepted += 1,
-            Err(refused) => self.counts.rejected[refused as usize] += 1,
+            Err(rejection) => self.counts.rejected[rejection as usize] += 1,
         }
-        heard
+        result
     }
 
-    fn take(
+    fn accept(
         &mut self,
         bytes: &[u8],
         now: MonotonicTime,
-        carried: &mut [&mut dyn TopicHandler],
+        handlers: &mut [&mut dyn TopicHandler],
     ) -> Result<Process, DatagramRejection> {
-        let most = f64::from(self.settings.max_datagrams_per_second);
-        self.room = (self.room + most * now.saturating_sub(self.filled).as_secs_f64()).min(most);
-        self.filled = now;
-        if self.room < 1.0 {
+        let max_tokens = f64::from(self.settings.max_datagrams_per_second);
+        self.receive_tokens = (self.receive_tokens
+            + max_tokens * now.saturating_sub(self.tokens_refilled_at).as_secs_f64())
+        .min(max_tokens);
+        self.tokens_refilled_at = now;
+        if self.receive_tokens < 1.0 {
             return Err(DatagramRejection::TooMany);
         }
-        self.room -= 1.0;
-        let me = self.settings.own_process;
-        let (head, parts) = wire::read(&self.settings.key, me.proxy, bytes)?;
-        if head.from == me || !self.names.contains(&head.from.proxy) {
+        self.receive_tokens -= 1.0;
+        let own_process = self.settings.own_process;
+        let (header, payloads) = wire::read(&self.settings.key, own_process.proxy, bytes)?;
+        if header.sender == own_process || !self.fleet.contains(&header.sender.proxy) {
             return Err(DatagramRejection::Stranger);
         }
-        // How old its question is nobody knows: all that it can bring about is an answer to it.
-        let proven = head
-            .answers
-            .filter(|(incarnation, _)| *incarnation == me.incarnation)
-            .map(|(_, at)| since(now, at));
-        let fresh = proven.filter(|age| *age <= self.settings.max_echo_age);
-        let known = match self.known.get_mut(&head.from) {
-            Some(known) => known,
+        // The age of the sender's own timestamp is unknown, so the timestamp is only stored to be echoed.
+        let echo_age = header
+            .echo
+            .filter(|(incarnation, _)| *incarnation == own_process.incarnation)
+            .map(|(_, timestamp_ms)| elapsed_since_timestamp(now, timestamp_ms));
+        let accepted_age = echo_age.filter(|age| *age <= self.settings.max_echo_age);
+        let state = match self.processes.get_mut(&header.sender) {
+            Some(state) => state,
             None => {
-                self.make_room(head.from.proxy);
-                let new = Known {
-                    question: head.question,
-                    highest: head.count,
-                    window: 0,
-                    proven: None,
-                    heard: now,
+                self.evict_oldest_process(header.sender.proxy);
+                let new = ProcessState {
+                    timestamp_ms: header.timestamp_ms,
+                    highest_sequence: header.sequence,
+                    received_sequences: 0,
+                    echoed_timestamp_sent_at: None,
+                    last_received_at: now,
                 };
-                self.known.entry(head.from).or_insert(new)
+                self.processes.entry(header.sender).or_insert(new)
             }
         };
-        if !known.first(head.count) {
+        if !state.record_sequence(header.sequence) {
             return Err(DatagramRejection::Doubled);
         }
-        known.heard = now;
-        if head.count == known.highest {
-            known.question = head.question;
+        state.last_received_at = now;
+        if header.sequence == state.highest_sequence {
+            state.timestamp_ms = header.timestamp_ms;
         }
-        let Some(age) = fresh else { return Err(DatagramRejection::Unasked) };
-        known.proven = known.proven.max(Some(now.saturating_sub(age)));
-        for (topic, part) in parts {
-            for one in carried.iter_mut().filter(|one| one.topic() == topic) {
-                if !one.receive(head.from, age, part, now) {
+        let Some(age) = accepted_age else { return Err(DatagramRejection::Unasked) };
+        state.echoed_timestamp_sent_at = state.echoed_timestamp_sent_at.max(Some(now.saturating_sub(age)));
+        for (topic, payload) in payloads {
+            for handler in handlers.iter_mut().filter(|handler| handler.topic() == topic) {
+                if !handler.receive(header.sender, age, payload, now) {
                     return Err(DatagramRejection::Unreadable);
                 }
             }
         }
-        Ok(head.from)
+        Ok(header.sender)
     }
 
-    /// A third process of a name takes the place of the one that was silent for longest.
-    fn make_room(&mut self, name: ProxyId) {
-        let of_name: Vec<(MonotonicTime, Process)> =
-            self.known.iter().filter(|(p, _)| p.proxy == name).map(|(p, known)| (known.heard, *p)).collect();
-        if of_name.len() >= MOST_LIVES
-            && let Some((_, oldest)) = of_name.into_iter().min()
+    /// Removes the process of a proxy that has been silent for longest, if the proxy has as many as are kept.
+    fn evict_oldest_process(&mut self, proxy: ProxyId) {
+        let processes: Vec<(MonotonicTime, Process)> = self
+            .processes
+            .iter()
+            .filter(|(process, _)| process.proxy == proxy)
+            .map(|(process, state)| (state.last_received_at, *process))
+            .collect();
+        if processes.len() >= MAX_PROCESSES_PER_PROXY
+            && let Some((_, oldest)) = processes.into_iter().min()
         {
-            self.known.remove(&oldest);
+            self.processes.remove(&oldest);
         }
     }
 }
 
-/// Milliseconds since the start, rounded down; they begin anew after 49 days.
-fn millis(now: MonotonicTime) -> u32 {
+/// Milliseconds since the start of the process, rounded down; they wrap around after 49 days.
+fn wrapping_millis(now: MonotonicTime) -> u32 {
     now.as_millis() as u32
 }
 
-/// How long ago that was, rounded up. A question of the future, which nobody can answer, comes out as very old.
-fn since(now: MonotonicTime, at: u32) -> Duration {
-    Duration::from_millis(u64::from(millis(now).wrapping_sub(at)) + 1)
+/// The time since a timestamp of this process, rounded up. A timestamp of the future, which cannot be a genuine echo,
+/// comes out as very old.
+fn elapsed_since_timestamp(now: MonotonicTime, timestamp_ms: u32) -> Duration {
+    Duration::from_millis(u64::from(wrapping_millis(now).wrapping_sub(timestamp_ms)) + 1)
 }
