--- a/crates/peers/src/io/mod.rs
+++ b/crates/peers/src/io/mod.rs
@@ -1,4 +1,4 @@
-//! Datagrams on their way: a thin shell round the core, over whatever carries them.
+//! Drives [`Peers`]: sends its datagrams at a fixed interval and feeds it those that a transport receives.
 
 mod udp;
 
@@ -10,59 +10,64 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// What is refused is told at most this often, with the counts.
-const TOLD_EVERY: Duration = Duration::from_secs(10);
-/// Datagrams that are read before others get their turn.
-const AT_ONCE: usize = 64;
+/// The shortest time between two log lines about rejected datagrams.
+const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// The number of datagrams read before other tasks run.
+const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
 
-/// What carries datagrams from process to process. It promises nothing: each may be lost, late, doubled, out of order,
-/// changed or made up, and the core is what tells.
+/// Moves datagrams between processes, without any guarantee: each may be lost, delayed, duplicated, reordered, changed
+/// or forged. [`Peers`] detects that.
 pub trait Transport {
-    /// Waits until something may have come. Nothing is lost if it is dropped before. An error ends it for good.
+    /// Waits until a datagram may have arrived. Cancelling it loses nothing. An error is permanent.
     fn ready(&mut self) -> impl Future<Output = io::Result<()>>;
 
-    /// Puts what has come next into the buffer: how long it is, and whence it came, where that is known.
+    /// Copies the next received datagram into the buffer. Returns its length, and its sender's address if known.
     fn try_receive(&mut self, buffer: &mut [u8]) -> Option<(usize, Option<SocketAddr>)>;
 
-    /// Sends a round of datagrams. What there is no room for is lost: the next round says it again.
-    fn send(&mut self, outs: Vec<OutgoingDatagram>);
+    /// Sends a round of datagrams. Those that can't be sent at once are dropped: the next round repeats their content.
+    fn send(&mut self, datagrams: Vec<OutgoingDatagram>);
 }
 
-/// Sends and receives until it is dropped. `with` lends the core and what it carries, for one step that does not
-/// wait. `now` is the clock of all cores of this process.
+/// Sends and receives until it is cancelled or the transport fails, and returns the transport's error. `with_peers`
+/// gives access to [`Peers`] and its handlers for one step that does not wait. `now` reads the clock that all
+/// [`Peers`] of this process share.
 pub async fn run(
-    mut way: impl Transport,
-    every: Duration,
+    mut transport: impl Transport,
+    send_interval: Duration,
     now: impl Fn() -> MonotonicTime,
-    with: impl Fn(&mut dyn FnMut(&mut Peers, &mut [&mut dyn TopicHandler])),
+    with_peers: impl Fn(&mut dyn FnMut(&mut Peers, &mut [&mut dyn TopicHandler])),
 ) -> io::Error {
-    let mut rounds = tokio::time::interval(every);
+    let mut rounds = tokio::time::interval(send_interval);
     rounds.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut told: Option<Instant> = None;
+    let mut last_logged: Option<Instant> = None;
     let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         tokio::select! {
-            ready = way.ready() => {
+            ready = transport.ready() => {
                 if let Err(error) = ready {
                     return error;
                 }
-                for _ in 0..AT_ONCE {
-                    let Some((length, from)) = way.try_receive(&mut buffer) else { break };
-                    let mut refused = None;
-                    with(&mut |peers, carried| refused = peers.receive(&buffer[..length], now(), carried).err());
-                    let Some(why) = refused.filter(|why| !matches!(why, DatagramRejection::Unasked | DatagramRejection::Doubled)) else {
+                for _ in 0..MAX_DATAGRAMS_PER_WAKEUP {
+                    let Some((length, from)) = transport.try_receive(&mut buffer) else { break };
+                    let mut rejection = None;
+                    with_peers(&mut |peers, handlers| {
+                        rejection = peers.receive(&buffer[..length], now(), handlers).err()
+                    });
+                    let Some(reason) = rejection.filter(|reason| {
+                        !matches!(reason, DatagramRejection::Unasked | DatagramRejection::Doubled)
+                    }) else {
                         continue;
                     };
-                    if told.is_none_or(|at| at.elapsed() >= TOLD_EVERY) {
-                        told = Some(Instant::now());
-                        tracing::warn!(?from, length, %why, "a datagram is refused; further ones are counted");
+                    if last_logged.is_none_or(|at| at.elapsed() >= REJECTION_LOG_INTERVAL) {
+                        last_logged = Some(Instant::now());
+                        tracing::warn!(?from, length, %reason, "rejected a datagram; rejections are logged at most every 10 s");
                     }
                 }
             }
             _ = rounds.tick() => {
-                let mut outs = Vec::new();
-                with(&mut |peers, carried| outs = peers.write_round(now(), carried));
-                way.send(outs);
+                let mut datagrams = Vec::new();
+                with_peers(&mut |peers, handlers| datagrams = peers.write_round(now(), handlers));
+                transport.send(datagrams);
             }
         }
     }
--- a/crates/peers/src/io/udp.rs
+++ b/crates/peers/src/io/udp.rs
@@ -1,4 +1,4 @@
-//! Datagrams over UDP, by address.
+//! Sends and receives datagrams over UDP.
 
 use super::Transport;
 use crate::{OutgoingDatagram, ProxyId};
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
 
-/// A socket, and where the others listen.
+/// A UDP socket and the addresses of the other proxies.
 #[derive(Debug)]
 pub struct UdpTransport {
-    /// Where datagrams come.
+    /// The socket that datagrams are received on and sent from.
     pub socket: UdpSocket,
-    /// The addresses of the others.
+    /// The addresses that the other proxies listen at.
     pub addresses: HashMap<ProxyId, SocketAddr>,
 }
 
@@ -22,14 +22,14 @@
     }
 
     fn try_receive(&mut self, buffer: &mut [u8]) -> Option<(usize, Option<SocketAddr>)> {
-        // Who was written to and does not listen shows as an error here: that is no fault of ours.
+        // An error here reports a peer that does not listen, not a fault of this socket.
         self.socket.try_recv_from(buffer).ok().map(|(length, from)| (length, Some(from)))
     }
 
-    fn send(&mut self, outs: Vec<OutgoingDatagram>) {
-        for out in outs {
-            if let Some(address) = self.addresses.get(&out.to) {
-                let _ = self.socket.try_send_to(&out.bytes, *address);
+    fn send(&mut self, datagrams: Vec<OutgoingDatagram>) {
+        for datagram in datagrams {
+            if let Some(address) = self.addresses.get(&datagram.to) {
+                let _ = self.socket.try_send_to(&datagram.bytes, *address);
             }
         }
     }
