--- a/crates/peers/tests/network.rs
+++ b/crates/peers/tests/network.rs
@@ -1,5 +1,5 @@
-//! Several proxies on a network that loses, doubles, reorders and delays datagrams, cuts ways, and lets processes
-//! stand still: no statement is ever taken for younger than it is.
+//! Several proxies on a network that loses, duplicates, reorders and delays datagrams, cuts links in one direction, and
+//! suspends processes: no payload is ever accepted with too low an age.
 
 use dewpier_peers::*;
 use proptest::prelude::*;
@@ -7,222 +7,239 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-const STALE: Duration = Duration::from_secs(5);
-const EVERY: Duration = Duration::from_millis(250);
+const MAX_ECHO_AGE: Duration = Duration::from_secs(5);
+const SEND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Says what time it is, on the clock that all stand on and no core sees.
+/// Sends the true time, on the simulation's clock that `Peers` never reads.
 #[derive(Default)]
-struct Said {
-    truth: Duration,
-    /// How long ago a statement was made, and how old it was taken to be at most.
-    heard: Vec<(Duration, Duration)>,
+struct TrueTimeHandler {
+    true_time: Duration,
+    /// The true age of each received payload, and the age that it was accepted with.
+    received_ages: Vec<(Duration, Duration)>,
 }
 
-impl TopicHandler for Said {
+impl TopicHandler for TrueTimeHandler {
     fn topic(&self) -> Topic {
         Topic(7)
     }
 
-    fn write_payload(&mut self, _: ProxyId, room: usize, _: MonotonicTime) -> Vec<u8> {
-        assert!(room >= 8);
-        (self.truth.as_micros() as u64).to_be_bytes().to_vec()
+    fn write_payload(&mut self, _: ProxyId, capacity: usize, _: MonotonicTime) -> Vec<u8> {
+        assert!(capacity >= 8);
+        (self.true_time.as_micros() as u64).to_be_bytes().to_vec()
     }
 
     fn receive(&mut self, _: Process, age: Duration, bytes: &[u8], _: MonotonicTime) -> bool {
         let Ok(bytes) = bytes.try_into() else { return false };
-        let made = Duration::from_micros(u64::from_be_bytes(bytes));
-        self.heard.push((self.truth - made, age));
+        let written_at = Duration::from_micros(u64::from_be_bytes(bytes));
+        self.received_ages.push((self.true_time - written_at, age));
         true
     }
 }
 
 fn settings(number: usize, count: usize, incarnation: u32) -> Settings {
-    let name = |i: usize| ProxyId::from_name(&format!("proxy-{i}"));
+    let proxy_id = |i: usize| ProxyId::from_name(&format!("proxy-{i}"));
     Settings {
-        own_process: Process { proxy: name(number), incarnation },
-        fleet: (0..count).map(name).collect(),
-        send_interval: EVERY,
-        max_echo_age: STALE,
+        own_process: Process { proxy: proxy_id(number), incarnation },
+        fleet: (0..count).map(proxy_id).collect(),
+        send_interval: SEND_INTERVAL,
+        max_echo_age: MAX_ECHO_AGE,
         max_datagrams_per_second: 1000,
         key: Key::from_secret(b"of the fleet"),
     }
 }
 
-struct One {
+struct TestProxy {
     peers: Peers,
-    said: Said,
-    /// Its clock began so much earlier than all others'.
-    start: Duration,
-    stands_until: Duration,
+    handler: TrueTimeHandler,
+    /// What this proxy's clock shows when the simulation starts.
+    clock_offset: Duration,
+    suspended_until: Duration,
 }
 
-impl One {
-    fn new(number: usize, count: usize, incarnation: u32, ahead: Duration) -> Self {
-        let peers = Peers::new(settings(number, count, incarnation), ahead);
-        Self { peers, said: Said::default(), start: ahead, stands_until: Duration::ZERO }
+impl TestProxy {
+    fn new(number: usize, count: usize, incarnation: u32, clock_offset: Duration) -> Self {
+        let peers = Peers::new(settings(number, count, incarnation), clock_offset);
+        Self { peers, handler: TrueTimeHandler::default(), clock_offset, suspended_until: Duration::ZERO }
     }
 }
 
-/// Plays a minute of it. Returns how many statements counted, and how many of those refused because they answer no
-/// question of late were older than the bound: they would have counted without that.
-fn play(seed: u64, count: usize, loss: f64) -> (usize, usize) {
+/// Simulates a minute. Returns the number of accepted datagrams, and the number of those rejected without a recent echo
+/// that were older than the limit: without the echo they would have been accepted.
+fn run_network(seed: u64, count: usize, loss: f64) -> (usize, usize) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let ahead = |rng: &mut SmallRng| Duration::from_millis(rng.random_range(0..u64::from(u32::MAX) * 2));
-    let mut all: Vec<One> = (0..count).map(|i| One::new(i, count, i as u32 + 1, ahead(&mut rng))).collect();
+    let random_offset =
+        |rng: &mut SmallRng| Duration::from_millis(rng.random_range(0..u64::from(u32::MAX) * 2));
+    let mut proxies: Vec<TestProxy> =
+        (0..count).map(|i| TestProxy::new(i, count, i as u32 + 1, random_offset(&mut rng))).collect();
     let mut incarnation = 1000;
-    // When they come, to whom, when they were said, what. Kept for long, as those are that wait in the socket of one that stands.
-    let mut under_way: Vec<(Duration, usize, Duration, Vec<u8>)> = Vec::new();
-    let mut cut = vec![vec![Duration::ZERO; count]; count];
+    // Arrival time, receiver, sending time and bytes. Kept while the receiver is suspended, as in a socket's buffer.
+    let mut in_flight: Vec<(Duration, usize, Duration, Vec<u8>)> = Vec::new();
+    let mut cut_until = vec![vec![Duration::ZERO; count]; count];
     let mut now = Duration::ZERO;
-    let (mut taken, mut old) = (0, 0);
+    let (mut accepted, mut outdated) = (0, 0);
     while now < Duration::from_secs(60) {
         now += Duration::from_millis(50);
         match rng.random_range(0..200) {
             0 => {
-                all[rng.random_range(0..count)].stands_until =
+                proxies[rng.random_range(0..count)].suspended_until =
                     now + Duration::from_secs(rng.random_range(1..12))
             }
             1 => {
                 incarnation += 1;
-                let who = rng.random_range(0..count);
-                all[who] = One::new(who, count, incarnation, ahead(&mut rng) + now);
-                all[who].start -= now;
+                let index = rng.random_range(0..count);
+                proxies[index] = TestProxy::new(index, count, incarnation, random_offset(&mut rng) + now);
+                proxies[index].clock_offset -= now;
             }
-            // One way alone.
+            // Cuts a link in one direction.
             2..6 => {
-                cut[rng.random_range(0..count)][rng.random_range(0..count)] = now + Duration::from_secs(8)
+                cut_until[rng.random_range(0..count)][rng.random_range(0..count)] =
+                    now + Duration::from_secs(8)
             }
             _ => {}
         }
-        for who in 0..count {
-            let one = &mut all[who];
-            one.said.truth = now;
-            if now < one.stands_until {
+        for index in 0..count {
+            let proxy = &mut proxies[index];
+            proxy.handler.true_time = now;
+            if now < proxy.suspended_until {
                 continue;
             }
-            let own = one.start + now;
-            let (mut due, later) = under_way.into_iter().partition(|(at, to, ..)| *to == who && *at <= now);
-            under_way = later;
+            let own_time = proxy.clock_offset + now;
+            let (mut due, later) = in_flight.into_iter().partition(|(at, to, ..)| *to == index && *at <= now);
+            in_flight = later;
             let _: &Vec<_> = &due;
             if rng.random_bool(0.3) {
                 due.reverse();
             }
-            for (_, _, said, bytes) in due {
-                let heard = one.peers.receive(&bytes, own, &mut [&mut one.said]);
-                old += usize::from(heard == Err(DatagramRejection::Unasked) && now - said > STALE);
+            for (_, _, sent_at, bytes) in due {
+                let result = proxy.peers.receive(&bytes, own_time, &mut [&mut proxy.handler]);
+                outdated +=
+                    usize::from(result == Err(DatagramRejection::Unasked) && now - sent_at > MAX_ECHO_AGE);
             }
-            taken += one.said.heard.len();
-            for (true_age, bound) in one.said.heard.drain(..) {
+            accepted += proxy.handler.received_ages.len();
+            for (true_age, bound) in proxy.handler.received_ages.drain(..) {
                 assert!(
-                    true_age <= bound && bound <= STALE,
-                    "seed {seed}: {true_age:?} old, taken for {bound:?}"
+                    true_age <= bound && bound <= MAX_ECHO_AGE,
+                    "seed {seed}: {true_age:?} old, accepted as at most {bound:?} old"
                 );
             }
-            if !now.as_millis().is_multiple_of(EVERY.as_millis()) {
+            if !now.as_millis().is_multiple_of(SEND_INTERVAL.as_millis()) {
                 continue;
             }
-            for out in one.peers.write_round(own, &mut [&mut one.said]) {
-                let to = (0..count).find(|i| ProxyId::from_name(&format!("proxy-{i}")) == out.to).unwrap();
+            for datagram in proxy.peers.write_round(own_time, &mut [&mut proxy.handler]) {
+                let to =
+                    (0..count).find(|i| ProxyId::from_name(&format!("proxy-{i}")) == datagram.to).unwrap();
                 for _ in 0..if rng.random_bool(0.1) { 2 } else { 1 } {
-                    // Now and then one comes again long after.
-                    let wait = if rng.random_bool(0.02) { 20_000 } else { rng.random_range(0..400) };
-                    if !rng.random_bool(loss) && now >= cut[who][to] {
-                        under_way.push((now + Duration::from_millis(wait), to, now, out.bytes.clone()));
+                    // A few datagrams arrive long after they were sent.
+                    let delay_ms = if rng.random_bool(0.02) { 20_000 } else { rng.random_range(0..400) };
+                    if !rng.random_bool(loss) && now >= cut_until[index][to] {
+                        in_flight.push((
+                            now + Duration::from_millis(delay_ms),
+                            to,
+                            now,
+                            datagram.bytes.clone(),
+                        ));
                     }
                 }
             }
         }
     }
-    (taken, old)
+    (accepted, outdated)
 }
 
 #[test]
-fn nothing_is_taken_for_younger_than_it_is() {
+fn accepted_age_is_never_below_the_true_age() {
     let seeds = std::env::var("DEWPIER_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(40);
-    let mut without = 0;
+    let mut total_outdated = 0;
     for seed in 0..seeds {
-        let ((whole, old), (half, _)) = (play(seed, 5, 0.0), play(seed, 5, 0.5));
-        assert!(whole > 2000 && half > 500, "seed {seed}: {whole} and {half} counted");
-        without += old;
+        let ((lossless, outdated), (half_lost, _)) = (run_network(seed, 5, 0.0), run_network(seed, 5, 0.5));
+        assert!(
+            lossless > 2000 && half_lost > 500,
+            "seed {seed}: {lossless} and {half_lost} datagrams accepted"
+        );
+        total_outdated += outdated;
     }
     assert!(
-        without > 100,
-        "{without} statements beyond the bound would count if no question had to be answered"
+        total_outdated > 100,
+        "{total_outdated} outdated datagrams would be accepted if no echo were required"
     );
 }
 
 #[test]
-fn what_waited_in_the_socket_of_one_that_stood_still_is_as_old_as_it_is() {
-    let (mut a, mut b) = (One::new(0, 2, 1, Duration::ZERO), One::new(1, 2, 2, Duration::ZERO));
-    let mut waits = Vec::new();
+fn datagrams_that_waited_while_the_process_was_suspended_are_rejected() {
+    let (mut a, mut b) = (TestProxy::new(0, 2, 1, Duration::ZERO), TestProxy::new(1, 2, 2, Duration::ZERO));
+    let mut waiting = Vec::new();
     for round in 0..40 {
-        let now = EVERY * round;
-        (a.said.truth, b.said.truth) = (now, now);
-        for out in b.peers.write_round(now, &mut [&mut b.said]) {
-            waits.push(out.bytes.clone());
+        let now = SEND_INTERVAL * round;
+        (a.handler.true_time, b.handler.true_time) = (now, now);
+        for datagram in b.peers.write_round(now, &mut [&mut b.handler]) {
+            waiting.push(datagram.bytes.clone());
             if round < 10 {
-                let _ = a.peers.receive(&out.bytes, now, &mut [&mut a.said]);
+                let _ = a.peers.receive(&datagram.bytes, now, &mut [&mut a.handler]);
             }
         }
         if round < 10 {
-            for out in a.peers.write_round(now, &mut [&mut a.said]) {
-                let _ = b.peers.receive(&out.bytes, now, &mut [&mut b.said]);
+            for datagram in a.peers.write_round(now, &mut [&mut a.handler]) {
+                let _ = b.peers.receive(&datagram.bytes, now, &mut [&mut b.handler]);
             }
         }
     }
-    assert_eq!(a.peers.count_answering_partners(EVERY * 10), 1);
-    a.said.heard.clear();
-    // It goes on after half a minute, and reads what is there.
+    assert_eq!(a.peers.count_answering_partners(SEND_INTERVAL * 10), 1);
+    a.handler.received_ages.clear();
+    // Resumes after half a minute and reads everything in its socket.
     let now = Duration::from_secs(32);
-    a.said.truth = now;
-    for bytes in &waits {
-        assert!(a.peers.receive(bytes, now, &mut [&mut a.said]).is_err());
+    a.handler.true_time = now;
+    for bytes in &waiting {
+        assert!(a.peers.receive(bytes, now, &mut [&mut a.handler]).is_err());
     }
-    assert!(a.said.heard.is_empty(), "{:?}", a.said.heard);
+    assert!(a.handler.received_ages.is_empty(), "{:?}", a.handler.received_ages);
     assert_eq!(a.peers.count_answering_partners(now), 0);
 }
 
 #[test]
-fn the_same_bytes_count_once_and_for_one_receiver() {
-    let mut all: Vec<One> = (0..3).map(|i| One::new(i, 3, i as u32 + 1, Duration::ZERO)).collect();
-    let mut last = Vec::new();
+fn datagram_is_accepted_once_and_by_its_receiver_only() {
+    let mut proxies: Vec<TestProxy> =
+        (0..3).map(|i| TestProxy::new(i, 3, i as u32 + 1, Duration::ZERO)).collect();
+    let mut last_round = Vec::new();
     for round in 1..4 {
-        let now = EVERY * round;
-        for who in 0..3 {
-            let one = &mut all[who];
-            one.said.truth = now;
-            last = one.peers.write_round(now, &mut [&mut one.said]);
-            for out in &last {
-                let to = (0..3).find(|i| ProxyId::from_name(&format!("proxy-{i}")) == out.to).unwrap();
-                let to = &mut all[to];
-                to.said.truth = now;
-                let _ = to.peers.receive(&out.bytes, now, &mut [&mut to.said]);
+        let now = SEND_INTERVAL * round;
+        for index in 0..3 {
+            let proxy = &mut proxies[index];
+            proxy.handler.true_time = now;
+            last_round = proxy.peers.write_round(now, &mut [&mut proxy.handler]);
+            for datagram in &last_round {
+                let to = (0..3).find(|i| ProxyId::from_name(&format!("proxy-{i}")) == datagram.to).unwrap();
+                let to = &mut proxies[to];
+                to.handler.true_time = now;
+                let _ = to.peers.receive(&datagram.bytes, now, &mut [&mut to.handler]);
             }
         }
     }
-    let now = EVERY * 4;
-    let to = (0..3).find(|i| ProxyId::from_name(&format!("proxy-{i}")) == last[0].to).unwrap();
-    let one = &mut all[to];
-    assert_eq!(one.peers.receive(&last[0].bytes, now, &mut [&mut one.said]), Err(DatagramRejection::Doubled));
-    let other = &mut all[(0..2).find(|i| *i != to).unwrap()];
+    let now = SEND_INTERVAL * 4;
+    let to = (0..3).find(|i| ProxyId::from_name(&format!("proxy-{i}")) == last_round[0].to).unwrap();
+    let receiver = &mut proxies[to];
+    assert_eq!(
+        receiver.peers.receive(&last_round[0].bytes, now, &mut [&mut receiver.handler]),
+        Err(DatagramRejection::Doubled)
+    );
+    let other = &mut proxies[(0..2).find(|i| *i != to).unwrap()];
     assert_eq!(
-        other.peers.receive(&last[0].bytes, now, &mut [&mut other.said]),
+        other.peers.receive(&last_round[0].bytes, now, &mut [&mut other.handler]),
         Err(DatagramRejection::Forged)
     );
 }
 
 #[test]
-fn a_hundred_thousand_hostile_datagrams_change_nothing() {
+fn corrupted_datagrams_are_rejected_without_effect() {
     let seed = 11;
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut one = One::new(0, 4, 1, Duration::ZERO);
-    let mut other = One::new(1, 4, 2, Duration::ZERO);
-    let good: Vec<Vec<u8>> = (0..8)
-        .flat_map(|i| other.peers.write_round(EVERY * i, &mut [&mut other.said]))
-        .map(|out| out.bytes)
+    let mut receiver = TestProxy::new(0, 4, 1, Duration::ZERO);
+    let mut sender = TestProxy::new(1, 4, 2, Duration::ZERO);
+    let valid: Vec<Vec<u8>> = (0..8)
+        .flat_map(|i| sender.peers.write_round(SEND_INTERVAL * i, &mut [&mut sender.handler]))
+        .map(|datagram| datagram.bytes)
         .collect();
     for i in 0..200_000u32 {
-        let mut bytes = good[rng.random_range(0..good.len())].clone();
+        let mut bytes = valid[rng.random_range(0..valid.len())].clone();
         match rng.random_range(0..4) {
             0 => bytes = (0..rng.random_range(0..300)).map(|_| rng.random()).collect(),
             1 => bytes.truncate(rng.random_range(0..bytes.len())),
@@ -233,58 +250,58 @@
             }
         }
         let now = Duration::from_millis(u64::from(i));
-        let refused = one.peers.receive(&bytes, now, &mut [&mut one.said]).unwrap_err();
+        let rejection = receiver.peers.receive(&bytes, now, &mut [&mut receiver.handler]).unwrap_err();
         assert!(
-            matches!(refused, DatagramRejection::Unreadable | DatagramRejection::Forged),
-            "seed {seed}, {i}: {refused:?}"
+            matches!(rejection, DatagramRejection::Unreadable | DatagramRejection::Forged),
+            "seed {seed}, {i}: {rejection:?}"
         );
     }
-    assert!(one.said.heard.is_empty());
-    assert_eq!(one.peers.count_answering_partners(Duration::from_secs(200)), 0);
-    assert_eq!(one.peers.counts.accepted, 0);
+    assert!(receiver.handler.received_ages.is_empty());
+    assert_eq!(receiver.peers.count_answering_partners(Duration::from_secs(200)), 0);
+    assert_eq!(receiver.peers.counts.accepted, 0);
 }
 
 #[test]
-fn a_flood_costs_no_more_than_the_bound_a_second() {
-    let mut one = One::new(0, 4, 1, Duration::ZERO);
-    let refused = (0..5000).filter(|_| {
-        one.peers.receive(&[0xd7; 200], Duration::from_secs(1), &mut [&mut one.said])
+fn datagrams_above_the_rate_limit_are_rejected_unread() {
+    let mut proxy = TestProxy::new(0, 4, 1, Duration::ZERO);
+    let rejected = (0..5000).filter(|_| {
+        proxy.peers.receive(&[0xd7; 200], Duration::from_secs(1), &mut [&mut proxy.handler])
             == Err(DatagramRejection::TooMany)
     });
-    assert_eq!(refused.count(), 4000);
+    assert_eq!(rejected.count(), 4000);
 }
 
 #[test]
-fn an_old_and_a_new_process_of_one_name_both_count_and_strangers_do_not() {
-    let mut one = One::new(0, 3, 1, Duration::ZERO);
-    let mut lives: Vec<One> =
-        (10..13).map(|incarnation| One::new(1, 3, incarnation, Duration::ZERO)).collect();
+fn two_processes_of_a_proxy_are_accepted_and_unknown_proxies_are_not() {
+    let mut proxy = TestProxy::new(0, 3, 1, Duration::ZERO);
+    let mut processes: Vec<TestProxy> =
+        (10..13).map(|incarnation| TestProxy::new(1, 3, incarnation, Duration::ZERO)).collect();
     for round in 1..12 {
-        let now = EVERY * round;
-        one.said.truth = now;
-        for incarnation in &mut lives[..2] {
-            incarnation.said.truth = now;
-            for out in incarnation
+        let now = SEND_INTERVAL * round;
+        proxy.handler.true_time = now;
+        for process in &mut processes[..2] {
+            process.handler.true_time = now;
+            for datagram in process
                 .peers
-                .write_round(now, &mut [&mut incarnation.said])
+                .write_round(now, &mut [&mut process.handler])
                 .iter()
-                .filter(|o| o.to == ProxyId::from_name("proxy-0"))
+                .filter(|datagram| datagram.to == ProxyId::from_name("proxy-0"))
             {
-                let _ = one.peers.receive(&out.bytes, now, &mut [&mut one.said]);
+                let _ = proxy.peers.receive(&datagram.bytes, now, &mut [&mut proxy.handler]);
             }
         }
-        for out in one
+        for datagram in proxy
             .peers
-            .write_round(now, &mut [&mut one.said])
+            .write_round(now, &mut [&mut proxy.handler])
             .iter()
-            .filter(|o| o.to == ProxyId::from_name("proxy-1"))
+            .filter(|datagram| datagram.to == ProxyId::from_name("proxy-1"))
         {
-            for incarnation in &mut lives[..2] {
-                let _ = incarnation.peers.receive(&out.bytes, now, &mut [&mut incarnation.said]);
+            for process in &mut processes[..2] {
+                let _ = process.peers.receive(&datagram.bytes, now, &mut [&mut process.handler]);
             }
         }
     }
-    assert!(one.said.heard.len() >= 8, "{}", one.said.heard.len());
+    assert!(proxy.handler.received_ages.len() >= 8, "{}", proxy.handler.received_ages.len());
     let mut stranger = Peers::new(
         Settings {
             own_process: Process { proxy: ProxyId::from_name("nobody"), incarnation: 5 },
@@ -292,26 +309,25 @@
         },
         Duration::ZERO,
     );
-    let mut nothing = Said::default();
-    let out = stranger.write_round(EVERY, &mut [&mut nothing]);
-    let to_one = out.iter().find(|o| o.to == ProxyId::from_name("proxy-0")).unwrap();
-    let heard = one.peers.receive(&to_one.bytes, EVERY * 12, &mut [&mut one.said]);
-    assert_eq!(heard, Err(DatagramRejection::Stranger));
+    let mut stranger_handler = TrueTimeHandler::default();
+    let datagrams = stranger.write_round(SEND_INTERVAL, &mut [&mut stranger_handler]);
+    let to_proxy = datagrams.iter().find(|datagram| datagram.to == ProxyId::from_name("proxy-0")).unwrap();
+    let result = proxy.peers.receive(&to_proxy.bytes, SEND_INTERVAL * 12, &mut [&mut proxy.handler]);
+    assert_eq!(result, Err(DatagramRejection::Stranger));
 }
 
 proptest! {
-    /// Whatever bytes come, they are refused whole.
     #[test]
-    fn any_bytes_are_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let mut one = One::new(0, 3, 1, Duration::ZERO);
-        prop_assert!(one.peers.receive(&bytes, EVERY, &mut [&mut one.said]).is_err());
+    fn arbitrary_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+        let mut proxy = TestProxy::new(0, 3, 1, Duration::ZERO);
+        prop_assert!(proxy.peers.receive(&bytes, SEND_INTERVAL, &mut [&mut proxy.handler]).is_err());
     }
 }
 
-/// Says something of another version: nobody here knows its topic.
-struct Newer;
+/// Sends payloads under a topic that only a newer version knows.
+struct NewerVersionHandler;
 
-impl TopicHandler for Newer {
+impl TopicHandler for NewerVersionHandler {
     fn topic(&self) -> Topic {
         Topic(200)
     }
@@ -326,18 +342,18 @@
 }
 
 #[test]
-fn what_another_version_says_is_passed_over_and_the_rest_counts() {
-    let [mut a, mut b] = [0, 1].map(|i| One::new(i, 2, 1, Duration::ZERO));
+fn unknown_topics_are_skipped_and_known_ones_accepted() {
+    let [mut a, mut b] = [0, 1].map(|i| TestProxy::new(i, 2, 1, Duration::ZERO));
     for round in 1..4 {
-        let now = EVERY * round;
-        (a.said.truth, b.said.truth) = (now, now);
-        for out in a.peers.write_round(now, &mut [&mut Newer, &mut a.said]) {
-            let _ = b.peers.receive(&out.bytes, now, &mut [&mut b.said]);
+        let now = SEND_INTERVAL * round;
+        (a.handler.true_time, b.handler.true_time) = (now, now);
+        for datagram in a.peers.write_round(now, &mut [&mut NewerVersionHandler, &mut a.handler]) {
+            let _ = b.peers.receive(&datagram.bytes, now, &mut [&mut b.handler]);
         }
-        for out in b.peers.write_round(now, &mut [&mut b.said]) {
-            let _ = a.peers.receive(&out.bytes, now, &mut [&mut Newer, &mut a.said]);
+        for datagram in b.peers.write_round(now, &mut [&mut b.handler]) {
+            let _ = a.peers.receive(&datagram.bytes, now, &mut [&mut NewerVersionHandler, &mut a.handler]);
         }
     }
-    assert!(a.said.heard.len() >= 2 && b.said.heard.len() >= 2, "{:?}", b.peers.counts);
-    assert_eq!(b.peers.counts.rejected.iter().sum::<u64>(), 1, "the first, which answers nothing");
+    assert!(a.handler.received_ages.len() >= 2 && b.handler.received_ages.len() >= 2, "{:?}", b.peers.counts);
+    assert_eq!(b.peers.counts.rejected.iter().sum::<u64>(), 1, "the first datagram echoes no timestamp");
 }
