--- a/crates/verdicts/benches/false_rate.rs
+++ b/crates/verdicts/benches/false_rate.rs
@@ -1,93 +1,113 @@
-//! How often a sound node is avoided: 300 proxies before 60 nodes, over seeds in virtual time, with datagrams lost and,
-//! in half of the seeds, one node that fails. A look is one proxy at one sound node at one step; the stated rate is
-//! [`Settings::false_rate`] a look. Ends with status 1 where there were more.
+//! Measures how often a healthy node is avoided: 300 proxies and 60 nodes in virtual time, with datagram loss and, for
+//! every other seed, one failing node. Each step checks every healthy node at every proxy. Fails if more than the
+//! fraction [`Settings::false_rate`] of the checks finds a healthy node avoided.
 //!
-//! `cargo bench -p dewpier-verdicts --bench false_rate`, 1,000 seeds; `DEWPIER_SEEDS` for another number of them.
+//! `cargo bench -p dewpier-verdicts --bench false_rate`; `DEWPIER_SEEDS` sets the number of seeds, 1,000 by default.
 //!
 //! [`Settings::false_rate`]: dewpier_verdicts::Settings::false_rate
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{Does, Played, World};
+use common::{NodeBehaviour, Simulation, SimulationConfig};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
 const PROXIES: usize = 300;
 const NODES: usize = 60;
-const RATE: f64 = 600.0;
+/// Requests a second of the whole fleet.
+const REQUEST_RATE: f64 = 600.0;
+/// The simulated time for each seed.
 const LENGTH: Duration = Duration::from_secs(12);
-/// From when on the one fails.
-const TURNS: Duration = Duration::from_secs(5);
+/// The simulated time at which the failing node starts to fail.
+const FAILURE_START: Duration = Duration::from_secs(5);
 
 #[derive(Default)]
-struct Sums {
-    falsely: AtomicU64,
-    looks: AtomicU64,
-    /// Proxies that keep the one that fails out at the end, and all of them.
-    out: AtomicU64,
-    of: AtomicU64,
-    /// Seeds in which a sound one was avoided.
-    seeds: AtomicU64,
-    /// Seeds that were played.
-    done: AtomicU64,
+struct Totals {
+    false_avoidances: AtomicU64,
+    checks: AtomicU64,
+    /// Proxies that eject the failing node at the end.
+    ejecting_proxies: AtomicU64,
+    /// Proxies of all seeds with a failing node.
+    proxies_with_failing_node: AtomicU64,
+    seeds_with_false_avoidances: AtomicU64,
+    seeds_done: AtomicU64,
 }
 
-fn play(seed: u64, sums: &Sums) {
+fn run_seed(seed: u64, totals: &Totals) {
     let loss = if seed.is_multiple_of(3) { 0.1 } else { 0.01 };
-    let world = World { proxies: PROXIES, nodes: NODES, rate: RATE, loss, seed, ..World::default() };
-    let mut played = Played::new(world);
-    played.run(TURNS);
-    let fails = seed.is_multiple_of(2);
-    if fails {
-        played.does[2] = Does::Fails(1.0);
+    let config = SimulationConfig {
+        proxies: PROXIES,
+        nodes: NODES,
+        request_rate: REQUEST_RATE,
+        loss,
+        seed,
+        ..SimulationConfig::default()
+    };
+    let mut simulation = Simulation::new(config);
+    simulation.run(FAILURE_START);
+    let has_failing_node = seed.is_multiple_of(2);
+    if has_failing_node {
+        simulation.behaviours[2] = NodeBehaviour::Failing(1.0);
     }
-    played.run(LENGTH - TURNS);
-    let add = |sum: &AtomicU64, more: u64| {
-        sum.fetch_add(more, Ordering::Relaxed);
+    simulation.run(LENGTH - FAILURE_START);
+    let add = |total: &AtomicU64, count: u64| {
+        total.fetch_add(count, Ordering::Relaxed);
     };
-    add(&sums.falsely, played.false_avoids);
-    add(&sums.looks, played.looks);
-    add(&sums.seeds, u64::from(played.false_avoids > 0));
-    if fails {
-        add(&sums.out, played.out_at(2) as u64);
-        add(&sums.of, PROXIES as u64);
+    add(&totals.false_avoidances, simulation.false_avoidances);
+    add(&totals.checks, simulation.checks);
+    add(&totals.seeds_with_false_avoidances, u64::from(simulation.false_avoidances > 0));
+    if has_failing_node {
+        add(&totals.ejecting_proxies, simulation.count_ejecting(2) as u64);
+        add(&totals.proxies_with_failing_node, PROXIES as u64);
     }
-    let done = sums.done.fetch_add(1, Ordering::Relaxed) + 1;
-    if done.is_multiple_of(100) {
-        let [falsely, looks] = [&sums.falsely, &sums.looks].map(|sum| sum.load(Ordering::Relaxed));
-        println!("{done} seeds: {falsely} of {looks} looks");
+    let seeds_done = totals.seeds_done.fetch_add(1, Ordering::Relaxed) + 1;
+    if seeds_done.is_multiple_of(100) {
+        let [false_avoidances, checks] =
+            [&totals.false_avoidances, &totals.checks].map(|total| total.load(Ordering::Relaxed));
+        println!("{seeds_done} seeds: {false_avoidances} of {checks} checks");
     }
-    if played.false_avoids > 0 {
-        println!("seed {seed}: {} looks found a sound node avoided", played.false_avoids);
+    if simulation.false_avoidances > 0 {
+        println!("seed {seed}: {} checks found a healthy node avoided", simulation.false_avoidances);
     }
 }
 
 fn main() -> ExitCode {
     let seeds = std::env::var("DEWPIER_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(1000u64);
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
-    let (next, sums, start) = (AtomicU64::new(0), Sums::default(), Instant::now());
+    let (next_seed, totals, start) = (AtomicU64::new(0), Totals::default(), Instant::now());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
                 loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
+                    let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                     if seed >= seeds {
                         return;
                     }
-                    play(seed, &sums);
+                    run_seed(seed, &totals);
                 }
             });
         }
     });
-    let [falsely, looks, out, of, found] =
-        [&sums.falsely, &sums.looks, &sums.out, &sums.of, &sums.seeds].map(|sum| sum.load(Ordering::Relaxed));
-    let stated = dewpier_verdicts::Settings::default().false_rate;
+    let [false_avoidances, checks, ejecting_proxies, proxies_with_failing_node, seeds_with_false_avoidances] =
+        [
+            &totals.false_avoidances,
+            &totals.checks,
+            &totals.ejecting_proxies,
+            &totals.proxies_with_failing_node,
+            &totals.seeds_with_false_avoidances,
+        ]
+        .map(|total| total.load(Ordering::Relaxed));
+    let allowed_rate = dewpier_verdicts::Settings::default().false_rate;
     println!(
-        "{PROXIES} proxies, {NODES} nodes, {RATE} requests a second, {seeds} seeds of {LENGTH:?}: {falsely} of {looks} looks at sound nodes found one avoided ({:.2e}; {stated:.0e} is stated), in {found} seeds; the one that failed is out at {out} of {of}; {:.0?} of {threads} threads",
-        falsely as f64 / looks.max(1) as f64,
+        "{PROXIES} proxies, {NODES} nodes, {REQUEST_RATE} requests a second, {seeds} seeds of {LENGTH:?}: {false_avoidances} of {checks} checks of healthy nodes found one avoided ({:.2e}; {allowed_rate:.0e} is allowed), in {seeds_with_false_avoidances} seeds; the failing node is ejected by {ejecting_proxies} of {proxies_with_failing_node}; {:.0?} on {threads} threads",
+        false_avoidances as f64 / checks.max(1) as f64,
         start.elapsed()
     );
-    if falsely as f64 <= stated * looks as f64 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if false_avoidances as f64 <= allowed_rate * checks as f64 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
 }
--- a/crates/verdicts/tests/common/mod.rs
+++ b/crates/verdicts/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet of cores in virtual time, that tests and the measurement share.
+//! Simulates a fleet of proxies in virtual time, for tests and benchmarks.
 
-#![allow(dead_code)] // not both need all of it
+#![allow(dead_code)] // each test and benchmark uses a part of it
 
 use dewpier_peers::{Key, Peers, Process, ProxyId, TopicHandler};
 use dewpier_verdicts::*;
@@ -11,257 +11,302 @@
 
 pub const STEP: Duration = Duration::from_millis(250);
 
-/// What a node does.
+/// How a simulated node responds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Does {
-    Well,
-    Fails(f64),
-    Hangs,
-    IsGone,
-    IsSlow,
-    FailsIn(usize),
+pub enum NodeBehaviour {
+    Healthy,
+    /// Answers this fraction of requests with errors.
+    Failing(f64),
+    Hanging,
+    Gone,
+    Slow,
+    /// Can't be reached from this zone.
+    UnreachableFromZone(usize),
 }
 
 #[derive(Clone)]
-pub struct World {
+pub struct SimulationConfig {
     pub proxies: usize,
     pub nodes: usize,
     /// Requests a second of the whole fleet.
-    pub rate: f64,
+    pub request_rate: f64,
     pub zones: usize,
+    /// The fraction of datagrams that are lost.
     pub loss: f64,
+    /// Proxies exchange their evidence.
     pub pooled: bool,
     pub seed: u64,
     pub settings: Settings,
 }
 
-impl Default for World {
+impl Default for SimulationConfig {
     fn default() -> Self {
         let settings = Settings::default();
-        Self { proxies: 24, nodes: 8, rate: 12.0, zones: 1, loss: 0.0, pooled: true, seed: 1, settings }
+        Self {
+            proxies: 24,
+            nodes: 8,
+            request_rate: 12.0,
+            zones: 1,
+            loss: 0.0,
+            pooled: true,
+            seed: 1,
+            settings,
+        }
     }
 }
 
-pub struct Proxy {
+pub struct SimulatedProxy {
     pub verdicts: Verdicts,
     pub peers: Peers,
     pub zone: usize,
-    /// What it says of every node, whatever it saw.
-    pub lies: bool,
-    pub stands_until: Duration,
-    pub reads: bool,
+    /// Sends [`FalseReports`] in place of its evidence.
+    pub sends_false_reports: bool,
+    pub suspended_until: Duration,
+    pub receives: bool,
 }
 
-pub struct Played {
-    pub proxies: Vec<Proxy>,
-    pub names: HashMap<ProxyId, usize>,
+pub struct Simulation {
+    pub proxies: Vec<SimulatedProxy>,
+    pub proxy_indices: HashMap<ProxyId, usize>,
     pub rng: SmallRng,
     pub now: Duration,
-    pub world: World,
-    pub does: Vec<Does>,
-    pub under_way: Vec<(Duration, usize, Vec<u8>)>,
-    pub answers: Vec<(Duration, usize, u64, AttemptEnd)>,
+    pub config: SimulationConfig,
+    pub behaviours: Vec<NodeBehaviour>,
+    /// Datagrams by arrival time and receiver.
+    pub in_flight: Vec<(Duration, usize, Vec<u8>)>,
+    /// Ends of attempts by time, proxy and attempt id.
+    pub pending_ends: Vec<(Duration, usize, u64, AttemptEnd)>,
     pub attempts: u64,
-    /// Attempts at each node by the second.
-    pub at_nodes: Vec<Vec<Duration>>,
-    /// Steps in which a sound node was avoided by some proxy, and nodes times steps.
-    pub false_avoids: u64,
-    pub looks: u64,
-    pub bytes: u64,
-    /// Which ways are cut, from and to.
-    pub cut: Box<dyn Fn(Duration, usize, usize) -> bool>,
+    /// The times of the attempts at each node.
+    pub attempt_times: Vec<Vec<Duration>>,
+    /// Checks that found a healthy node avoided.
+    pub false_avoidances: u64,
+    /// Checks of a healthy node by a proxy, one in each step.
+    pub checks: u64,
+    pub bytes_sent: u64,
+    /// Whether the link from a proxy to another one is cut at a time.
+    pub is_link_cut: Box<dyn Fn(Duration, usize, usize) -> bool>,
 }
 
-pub fn node(i: usize) -> NodeId {
+pub fn node_id(i: usize) -> NodeId {
     NodeId::new(&format!("node-{i}"), "address")
 }
 
-impl Played {
-    pub fn new(world: World) -> Self {
-        let all: Vec<ProxyId> =
-            (0..world.proxies).map(|i| ProxyId::from_name(&format!("proxy-{i}"))).collect();
-        let proxies: Vec<Proxy> = (0..world.proxies)
+impl Simulation {
+    pub fn new(config: SimulationConfig) -> Self {
+        let fleet: Vec<ProxyId> =
+            (0..config.proxies).map(|i| ProxyId::from_name(&format!("proxy-{i}"))).collect();
+        let proxies: Vec<SimulatedProxy> = (0..config.proxies)
             .map(|i| {
-                let me = Process { proxy: all[i], incarnation: 7 };
-                let mut settings = world.settings.clone();
-                settings.fleet_size = world.proxies;
+                let own_process = Process { proxy: fleet[i], incarnation: 7 };
+                let mut settings = config.settings.clone();
+                settings.fleet_size = config.proxies;
                 let key = Key::from_secret(b"x");
-                let (every, stale) = (STEP, settings.max_evidence_age);
-                let told = dewpier_peers::Settings {
-                    own_process: me,
-                    fleet: all.clone(),
-                    send_interval: every,
-                    max_echo_age: stale,
+                let (send_interval, max_echo_age) = (STEP, settings.max_evidence_age);
+                let peer_settings = dewpier_peers::Settings {
+                    own_process,
+                    fleet: fleet.clone(),
+                    send_interval,
+                    max_echo_age,
                     max_datagrams_per_second: 100_000,
                     key,
                 };
-                let peers = Peers::new(told, Duration::ZERO);
-                let zone = i % world.zones;
+                let peers = Peers::new(peer_settings, Duration::ZERO);
+                let zone = i % config.zones;
                 let zone_name = format!("zone-{zone}");
-                let mut verdicts =
-                    Verdicts::new(settings, me, &zone_name, 1, peers.partners().len(), Duration::ZERO);
+                let mut verdicts = Verdicts::new(
+                    settings,
+                    own_process,
+                    &zone_name,
+                    1,
+                    peers.partners().len(),
+                    Duration::ZERO,
+                );
                 verdicts.set_nodes(
-                    (0..world.nodes).map(|n| ListedNode { node: node(n), cell: 0 }).collect(),
+                    (0..config.nodes).map(|n| ListedNode { node: node_id(n), cell: 0 }).collect(),
                     Duration::ZERO,
                 );
-                Proxy { verdicts, peers, zone, lies: false, stands_until: Duration::ZERO, reads: true }
+                SimulatedProxy {
+                    verdicts,
+                    peers,
+                    zone,
+                    sends_false_reports: false,
+                    suspended_until: Duration::ZERO,
+                    receives: true,
+                }
             })
             .collect();
-        let names = all.iter().copied().zip(0..).collect();
-        let rng = SmallRng::seed_from_u64(world.seed);
+        let proxy_indices = fleet.iter().copied().zip(0..).collect();
+        let rng = SmallRng::seed_from_u64(config.seed);
         Self {
             proxies,
-            names,
+            proxy_indices,
             rng,
             now: Duration::ZERO,
-            does: vec![Does::Well; world.nodes],
-            under_way: Vec::new(),
-            answers: Vec::new(),
+            behaviours: vec![NodeBehaviour::Healthy; config.nodes],
+            in_flight: Vec::new(),
+            pending_ends: Vec::new(),
             attempts: 0,
-            at_nodes: vec![Vec::new(); world.nodes],
-            false_avoids: 0,
-            looks: 0,
-            bytes: 0,
-            cut: Box::new(|_, _, _| false),
-            world,
+            attempt_times: vec![Vec::new(); config.nodes],
+            false_avoidances: 0,
+            checks: 0,
+            bytes_sent: 0,
+            is_link_cut: Box::new(|_, _, _| false),
+            config,
         }
     }
 
-    pub fn avoids(&self, proxy: usize, which: usize) -> bool {
-        self.proxies[proxy].verdicts.avoided_nodes(self.now).iter().any(|(n, _)| *n == node(which))
+    pub fn avoids(&self, proxy: usize, node: usize) -> bool {
+        self.proxies[proxy].verdicts.avoided_nodes(self.now).iter().any(|(n, _)| *n == node_id(node))
     }
 
-    /// How many proxies hold a verdict that keeps it out, whether they are among those that try it or not.
-    pub fn out_at(&self, which: usize) -> usize {
-        let out =
-            |p: &Proxy| p.verdicts.summaries(self.now).iter().any(|r| r.node == node(which) && r.ejected);
-        self.proxies.iter().filter(|p| out(p)).count()
+    /// The number of proxies with a verdict that ejects a node, including those that send it trials.
+    pub fn count_ejecting(&self, node: usize) -> usize {
+        let ejects = |proxy: &SimulatedProxy| {
+            proxy
+                .verdicts
+                .summaries(self.now)
+                .iter()
+                .any(|summary| summary.node == node_id(node) && summary.ejected)
+        };
+        self.proxies.iter().filter(|proxy| ejects(proxy)).count()
     }
 
+    /// The kinds of the verdicts of a proxy.
     pub fn kinds(&self, proxy: usize) -> Vec<Kind> {
-        self.proxies[proxy].verdicts.summaries(self.now).iter().map(|r| r.kind).collect()
+        self.proxies[proxy].verdicts.summaries(self.now).iter().map(|summary| summary.kind).collect()
     }
 
     pub fn step(&mut self) {
         self.now += STEP;
         let now = self.now;
         let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.answers).into_iter().partition(|a| a.0 <= now);
-        self.answers = later;
-        for (at, who, id, end) in due {
-            self.proxies[who].verdicts.record_end((id, 0), end, at);
+            std::mem::take(&mut self.pending_ends).into_iter().partition(|end| end.0 <= now);
+        self.pending_ends = later;
+        for (at, proxy, id, end) in due {
+            self.proxies[proxy].verdicts.record_end((id, 0), end, at);
         }
         let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.under_way).into_iter().partition(|a| a.0 <= now);
-        self.under_way = later;
-        for (at, who, bytes) in due {
-            let proxy = &mut self.proxies[who];
-            if now < proxy.stands_until || !proxy.reads {
-                self.under_way.push((at, who, bytes));
+            std::mem::take(&mut self.in_flight).into_iter().partition(|datagram| datagram.0 <= now);
+        self.in_flight = later;
+        for (at, receiver, bytes) in due {
+            let proxy = &mut self.proxies[receiver];
+            if now < proxy.suspended_until || !proxy.receives {
+                self.in_flight.push((at, receiver, bytes));
                 continue;
             }
             let _ = proxy.peers.receive(&bytes, now, &mut [&mut proxy.verdicts]);
         }
-        let each = self.world.rate * STEP.as_secs_f64() / self.world.proxies as f64;
-        for who in 0..self.world.proxies {
-            if now < self.proxies[who].stands_until {
+        let requests_per_step = self.config.request_rate * STEP.as_secs_f64() / self.config.proxies as f64;
+        for proxy in 0..self.config.proxies {
+            if now < self.proxies[proxy].suspended_until {
                 continue;
             }
-            // A Poisson draw.
-            let mut sends = 0;
-            let mut left = -(1.0 - self.rng.random::<f64>()).ln();
-            while left < each {
-                sends += 1;
-                left -= (1.0 - self.rng.random::<f64>()).ln();
+            // Draws the number of requests from a Poisson distribution.
+            let mut requests = 0;
+            let mut arrival = -(1.0 - self.rng.random::<f64>()).ln();
+            while arrival < requests_per_step {
+                requests += 1;
+                arrival -= (1.0 - self.rng.random::<f64>()).ln();
             }
             let avoided: Vec<NodeId> =
-                self.proxies[who].verdicts.avoided_nodes(now).into_iter().map(|(n, _)| n).collect();
-            let open: Vec<usize> = (0..self.world.nodes).filter(|n| !avoided.contains(&node(*n))).collect();
-            for _ in 0..sends {
-                let to = open[self.rng.random_range(0..open.len())];
+                self.proxies[proxy].verdicts.avoided_nodes(now).into_iter().map(|(n, _)| n).collect();
+            let usable: Vec<usize> =
+                (0..self.config.nodes).filter(|n| !avoided.contains(&node_id(*n))).collect();
+            for _ in 0..requests {
+                let node = usable[self.rng.random_range(0..usable.len())];
                 self.attempts += 1;
-                self.at_nodes[to].push(now);
-                self.proxies[who].verdicts.record_start((self.attempts, 0), node(to), 0, now);
-                let well = (self.rng.random_range(8..15), AttemptEnd::Served);
-                let (ms, end) = match self.does[to] {
-                    Does::Fails(part) if self.rng.random_bool(part) => (1, AttemptEnd::Failed),
-                    Does::FailsIn(zone) if self.proxies[who].zone == zone => (1, AttemptEnd::Unreached),
-                    Does::IsGone => (1, AttemptEnd::Unreached),
-                    Does::Hangs => (10_000, AttemptEnd::Silent),
-                    Does::IsSlow => (self.rng.random_range(80..150), AttemptEnd::Served),
+                self.attempt_times[node].push(now);
+                self.proxies[proxy].verdicts.record_start((self.attempts, 0), node_id(node), 0, now);
+                let served = (self.rng.random_range(8..15), AttemptEnd::Served);
+                let (latency_ms, end) = match self.behaviours[node] {
+                    NodeBehaviour::Failing(fraction) if self.rng.random_bool(fraction) => {
+                        (1, AttemptEnd::Failed)
+                    }
+                    NodeBehaviour::UnreachableFromZone(zone) if self.proxies[proxy].zone == zone => {
+                        (1, AttemptEnd::Unreached)
+                    }
+                    NodeBehaviour::Gone => (1, AttemptEnd::Unreached),
+                    NodeBehaviour::Hanging => (10_000, AttemptEnd::Silent),
+                    NodeBehaviour::Slow => (self.rng.random_range(80..150), AttemptEnd::Served),
                     _ if self.rng.random_bool(0.003) => (5, AttemptEnd::Failed),
-                    _ => well,
+                    _ => served,
                 };
-                self.answers.push((now + Duration::from_millis(ms), who, self.attempts, end));
+                self.pending_ends.push((now + Duration::from_millis(latency_ms), proxy, self.attempts, end));
             }
         }
-        for who in 0..self.world.proxies {
-            if now < self.proxies[who].stands_until {
+        for sender in 0..self.config.proxies {
+            if now < self.proxies[sender].suspended_until {
                 continue;
             }
-            let proxy = &mut self.proxies[who];
+            let proxy = &mut self.proxies[sender];
             proxy.verdicts.set_answering_partners(proxy.peers.count_answering_partners(now));
             proxy.verdicts.tick(now);
-            let outs = if self.world.pooled {
-                let mut liar = Liar;
-                let carried: &mut dyn TopicHandler = if proxy.lies { &mut liar } else { &mut proxy.verdicts };
-                proxy.peers.write_round(now, &mut [carried])
+            let datagrams = if self.config.pooled {
+                let mut false_reports = FalseReports;
+                let handler: &mut dyn TopicHandler =
+                    if proxy.sends_false_reports { &mut false_reports } else { &mut proxy.verdicts };
+                proxy.peers.write_round(now, &mut [handler])
             } else {
                 Vec::new()
             };
-            for out in outs {
-                self.bytes += out.bytes.len() as u64;
-                let to = self.names[&out.to];
-                let wait = Duration::from_millis(self.rng.random_range(0..60));
-                if !self.rng.random_bool(self.world.loss) && !(self.cut)(now, who, to) {
-                    self.under_way.push((now + wait, to, out.bytes));
+            for datagram in datagrams {
+                self.bytes_sent += datagram.bytes.len() as u64;
+                let receiver = self.proxy_indices[&datagram.to];
+                let delay = Duration::from_millis(self.rng.random_range(0..60));
+                if !self.rng.random_bool(self.config.loss) && !(self.is_link_cut)(now, sender, receiver) {
+                    self.in_flight.push((now + delay, receiver, datagram.bytes));
                 }
             }
-            let avoided = self.proxies[who].verdicts.avoided_nodes(now);
-            self.looks += self.does.iter().filter(|d| **d == Does::Well).count() as u64;
-            let sound =
-                |n: &NodeId| (0..self.world.nodes).any(|i| node(i) == *n && self.does[i] == Does::Well);
-            self.false_avoids += avoided.iter().filter(|(n, _)| sound(n)).count() as u64;
-            // The bound, at every step of every proxy.
-            for report in self.proxies[who].verdicts.summaries(now) {
-                let window = self.world.settings.window().as_millis() as u64;
+            let avoided = self.proxies[sender].verdicts.avoided_nodes(now);
+            self.checks += self.behaviours.iter().filter(|b| **b == NodeBehaviour::Healthy).count() as u64;
+            let is_healthy = |n: &NodeId| {
+                (0..self.config.nodes)
+                    .any(|i| node_id(i) == *n && self.behaviours[i] == NodeBehaviour::Healthy)
+            };
+            self.false_avoidances += avoided.iter().filter(|(n, _)| is_healthy(n)).count() as u64;
+            // Checks the limit on the age of reports in every step of every proxy.
+            for summary in self.proxies[sender].verdicts.summaries(now) {
+                let window_ms = self.config.settings.window().as_millis() as u64;
                 assert!(
-                    report.oldest_report_ms <= window,
-                    "seed {}: rests on {} ms",
-                    self.world.seed,
-                    report.oldest_report_ms
+                    summary.oldest_report_ms <= window_ms,
+                    "seed {}: a verdict is based on a report of {} ms ago",
+                    self.config.seed,
+                    summary.oldest_report_ms
                 );
             }
         }
     }
 
-    pub fn run(&mut self, span: Duration) {
-        let until = self.now + span;
-        while self.now < until {
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
+        while self.now < end {
             self.step();
         }
     }
 
-    pub fn run_until(&mut self, most: Duration, seen: impl Fn(&Self) -> bool) -> Option<Duration> {
+    /// Runs until the condition is true, and returns how long that took; None after the timeout.
+    pub fn run_until(&mut self, timeout: Duration, condition: impl Fn(&Self) -> bool) -> Option<Duration> {
         let start = self.now;
-        while self.now < start + most {
+        while self.now < start + timeout {
             self.step();
-            if seen(self) {
+            if condition(self) {
                 return Some(self.now - start);
             }
         }
         None
     }
 
-    pub fn since(&self, which: usize, at: Duration) -> usize {
-        self.at_nodes[which].iter().filter(|t| **t > at).count()
+    /// The number of attempts at a node after a time.
+    pub fn count_attempts_since(&self, node: usize, since: Duration) -> usize {
+        self.attempt_times[node].iter().filter(|at| **at > since).count()
     }
 }
 
-/// Says that every node fails, and that it holds a verdict on each.
-pub struct Liar;
+/// Sends reports that every node fails, with a claim on each.
+pub struct FalseReports;
 
-impl TopicHandler for Liar {
+impl TopicHandler for FalseReports {
     fn topic(&self) -> dewpier_peers::Topic {
         EVIDENCE_TOPIC
     }
@@ -272,7 +317,7 @@
             let counts = AttemptCounts { failed: 250, ..AttemptCounts::default() };
             let entry = EvidenceEntry {
                 version: now.as_millis() as u32,
-                node: node(n as usize),
+                node: node_id(n as usize),
                 counts,
                 claim: Some((Claim { severe: true, kind: Kind::Gone }, 0)),
                 ..EvidenceEntry::default()
@@ -287,63 +332,73 @@
     }
 }
 
-pub const BOOT: u128 = 0x1234_5678_9abc_def0;
+pub const BOOT_ID: u128 = 0x1234_5678_9abc_def0;
 
 pub fn key() -> Key {
     Key::from_secret(b"x")
 }
 
-pub fn name(proxy: usize) -> ProxyId {
+pub fn proxy_id(proxy: usize) -> ProxyId {
     ProxyId::from_name(&format!("proxy-{proxy}"))
 }
 
-/// What a proxy of a played fleet keeps.
-pub fn kept(played: &mut Played, proxy: usize) -> Vec<u8> {
-    let now = played.now;
-    let mut rulings = OperatorOverrides::new(ProcessId(1));
+/// The encoded snapshot of a simulated proxy.
+pub fn encoded_snapshot(simulation: &mut Simulation, proxy: usize) -> Vec<u8> {
+    let now = simulation.now;
+    let mut overrides = OperatorOverrides::new(ProcessId(1));
     let classes = ["read".to_string()];
-    let verdicts = &mut played.proxies[proxy].verdicts;
+    let verdicts = &mut simulation.proxies[proxy].verdicts;
     let snapshot =
-        Snapshot::capture(&LiveState { verdicts, overrides: &mut rulings, classes: &classes }, now);
-    snapshot.encode(&key(), name(proxy), BootTime { boot_id: BOOT, since_boot: now }).unwrap()
+        Snapshot::capture(&LiveState { verdicts, overrides: &mut overrides, classes: &classes }, now);
+    snapshot.encode(&key(), proxy_id(proxy), BootTime { boot_id: BOOT_ID, since_boot: now }).unwrap()
 }
 
-/// All processes of a fleet end, and others start in their places after that time, with what was kept or with nothing.
-/// `ages` is false for processes that forget to count the time between.
-pub fn restart(played: &mut Played, gap: Duration, keeps: bool, ages: bool) -> Restored {
-    let files: Vec<Vec<u8>> = (0..played.proxies.len()).map(|p| kept(played, p)).collect();
-    // What is on its way finds nobody.
-    (played.under_way, played.answers) = (Vec::new(), Vec::new());
-    played.now += gap;
-    let mut new = Played::new(played.world.clone());
-    let mut taken = Restored::default();
-    for (p, (proxy, bytes)) in new.proxies.iter_mut().zip(&files).enumerate() {
-        if keeps {
-            let now = BootTime { boot_id: BOOT, since_boot: played.now };
-            let (snapshot, since) = Snapshot::decode(bytes, &key(), name(p), now).unwrap();
-            let since = if ages { since } else { Duration::ZERO };
-            let mut rulings = OperatorOverrides::new(ProcessId(1));
+/// Ends all processes and starts others after a downtime, with or without the snapshots. Without `counts_downtime` the
+/// new processes take the snapshots to be of the present.
+pub fn restart(
+    simulation: &mut Simulation,
+    downtime: Duration,
+    with_snapshots: bool,
+    counts_downtime: bool,
+) -> Restored {
+    let snapshots: Vec<Vec<u8>> =
+        (0..simulation.proxies.len()).map(|p| encoded_snapshot(simulation, p)).collect();
+    // Datagrams in flight are lost.
+    (simulation.in_flight, simulation.pending_ends) = (Vec::new(), Vec::new());
+    simulation.now += downtime;
+    let mut new = Simulation::new(simulation.config.clone());
+    let mut restored = Restored::default();
+    for (p, (proxy, bytes)) in new.proxies.iter_mut().zip(&snapshots).enumerate() {
+        if with_snapshots {
+            let now = BootTime { boot_id: BOOT_ID, since_boot: simulation.now };
+            let (snapshot, elapsed) = Snapshot::decode(bytes, &key(), proxy_id(p), now).unwrap();
+            let elapsed = if counts_downtime { elapsed } else { Duration::ZERO };
+            let mut overrides = OperatorOverrides::new(ProcessId(1));
             let classes = ["read".to_string()];
-            let mut known =
-                LiveState { verdicts: &mut proxy.verdicts, overrides: &mut rulings, classes: &classes };
-            let others = |other: ProxyId| other != name(p);
-            taken = snapshot.restore(&mut known, others, since, played.now);
+            let mut state =
+                LiveState { verdicts: &mut proxy.verdicts, overrides: &mut overrides, classes: &classes };
+            let is_peer = |other: ProxyId| other != proxy_id(p);
+            restored = snapshot.restore(&mut state, is_peer, elapsed, simulation.now);
         }
     }
-    played.proxies = new.proxies;
-    taken
+    simulation.proxies = new.proxies;
+    restored
 }
 
-/// Attempts at a bad node in the 10 s after all processes of a fleet started anew, after 2 s in which none ran.
-pub fn wasted(proxies: usize, seed: u64, keeps: bool) -> usize {
+/// The number of attempts at a bad node in the 10 s after a restart of the whole fleet with 2 s of downtime.
+pub fn attempts_at_bad_node_after_restart(proxies: usize, seed: u64, with_snapshots: bool) -> usize {
     let seconds = Duration::from_secs;
-    let mut played = Played::new(World { proxies, seed, rate: 24.0, ..World::default() });
-    played.run(seconds(30));
-    played.does[2] = Does::Fails(1.0);
-    played.run_until(seconds(12), |p| p.out_at(2) == proxies);
-    restart(&mut played, seconds(2), keeps, true);
-    let since = played.now;
-    // Every step checks the bound on staleness.
-    played.run(seconds(10));
-    played.since(2, since)
+    let mut simulation = Simulation::new(SimulationConfig {
+        proxies,
+        seed,
+        request_rate: 24.0,
+        ..SimulationConfig::default()
+    });
+    simulation.run(seconds(30));
+    simulation.behaviours[2] = NodeBehaviour::Failing(1.0);
+    simulation.run_until(seconds(12), |s| s.count_ejecting(2) == proxies);
+    restart(&mut simulation, seconds(2), with_snapshots, true);
+    let restarted_at = simulation.now;
+    simulation.run(seconds(10));
+    simulation.count_attempts_since(2, restarted_at)
 }
--- a/crates/verdicts/tests/fleet.rs
+++ b/crates/verdicts/tests/fleet.rs
@@ -1,5 +1,4 @@
-//! Fleets of cores in virtual time: the observers, judgements, datagrams and partners of every proxy, over a network
-//! that loses datagrams; nodes are probabilities.
+//! Simulated fleets in virtual time, with lossy networks and nodes of configured failure rates.
 
 mod common;
 
@@ -13,260 +12,294 @@
 }
 
 #[test]
-fn a_node_that_turns_bad_is_avoided_by_all_at_the_cost_of_few_attempts() {
-    for (does, kind) in [
-        (Does::Hangs, Kind::Silent),
-        (Does::Fails(1.0), Kind::Failing),
-        (Does::IsGone, Kind::Gone),
-        (Does::IsSlow, Kind::Slow),
+fn pooled_evidence_ejects_a_bad_node_after_fewer_attempts() {
+    for (behaviour, kind) in [
+        (NodeBehaviour::Hanging, Kind::Silent),
+        (NodeBehaviour::Failing(1.0), Kind::Failing),
+        (NodeBehaviour::Gone, Kind::Gone),
+        (NodeBehaviour::Slow, Kind::Slow),
     ] {
-        let mut wasted = [0, 0];
-        for (pooled, wasted) in [true, false].into_iter().zip(&mut wasted) {
+        let mut attempts = [0, 0];
+        for (pooled, attempts) in [true, false].into_iter().zip(&mut attempts) {
             for seed in 0..5 {
-                let mut played = Played::new(World { pooled, seed, ..World::default() });
-                played.run(seconds(30));
-                played.does[2] = does;
-                let turned = played.now;
-                let most = if pooled { seconds(12) } else { seconds(20) };
-                let avoided = played.run_until(most, |p| p.out_at(2) >= 23);
-                assert_eq!(avoided.is_some(), pooled, "seed {seed}");
+                let mut simulation =
+                    Simulation::new(SimulationConfig { pooled, seed, ..SimulationConfig::default() });
+                simulation.run(seconds(30));
+                simulation.behaviours[2] = behaviour;
+                let turned_bad_at = simulation.now;
+                let timeout = if pooled { seconds(12) } else { seconds(20) };
+                let ejected_after = simulation.run_until(timeout, |s| s.count_ejecting(2) >= 23);
+                assert_eq!(ejected_after.is_some(), pooled, "seed {seed}");
                 if pooled {
-                    assert_eq!(played.kinds(0), [kind], "seed {seed}");
+                    assert_eq!(simulation.kinds(0), [kind], "seed {seed}");
                 }
-                played.run(turned + seconds(40) - played.now);
-                *wasted += played.since(2, turned);
+                simulation.run(turned_bad_at + seconds(40) - simulation.now);
+                *attempts += simulation.count_attempts_since(2, turned_bad_at);
             }
         }
-        assert!(wasted[0] * 2 < wasted[1], "{kind:?}: {wasted:?} attempts with and without the others");
+        assert!(
+            attempts[0] * 2 < attempts[1],
+            "{kind:?}: {attempts:?} attempts with and without pooled evidence"
+        );
     }
 }
 
-/// What goes wrong at the one counts as usual for the other until a verdict stands on one of them.
+/// Failures at one bad node count as normal when the other one is judged, until one of them has a verdict.
 #[test]
-fn two_nodes_that_turn_bad_at_once_are_both_avoided() {
-    for does in [Does::Hangs, Does::Fails(1.0), Does::IsGone] {
-        let mut took = [Vec::new(), Vec::new()];
+fn two_nodes_that_turn_bad_at_once_are_both_ejected() {
+    for behaviour in [NodeBehaviour::Hanging, NodeBehaviour::Failing(1.0), NodeBehaviour::Gone] {
+        let mut seconds_taken = [Vec::new(), Vec::new()];
         for seed in 0..8 {
-            for (bad, took) in [&[2][..], &[2, 5]].into_iter().zip(&mut took) {
-                let mut played = Played::new(World { seed, ..World::default() });
-                played.run(seconds(30));
-                bad.iter().for_each(|node| played.does[*node] = does);
-                let all = |p: &Played| bad.iter().all(|node| p.out_at(*node) >= 23);
-                let found = played.run_until(seconds(14), all);
-                took.push(found.unwrap_or_else(|| panic!("seed {seed}: {bad:?} {does:?}")).as_secs_f64());
-                assert_eq!(played.false_avoids, 0, "seed {seed}");
+            for (bad_nodes, seconds_taken) in [&[2][..], &[2, 5]].into_iter().zip(&mut seconds_taken) {
+                let mut simulation =
+                    Simulation::new(SimulationConfig { seed, ..SimulationConfig::default() });
+                simulation.run(seconds(30));
+                bad_nodes.iter().for_each(|node| simulation.behaviours[*node] = behaviour);
+                let all_ejected = |s: &Simulation| bad_nodes.iter().all(|node| s.count_ejecting(*node) >= 23);
+                let ejected_after = simulation.run_until(seconds(14), all_ejected);
+                seconds_taken.push(
+                    ejected_after
+                        .unwrap_or_else(|| panic!("seed {seed}: {bad_nodes:?} {behaviour:?}"))
+                        .as_secs_f64(),
+                );
+                assert_eq!(simulation.false_avoidances, 0, "seed {seed}");
             }
         }
-        println!("{does:?}: one {:.1?}, two {:.1?}", took[0], took[1]);
+        println!("{behaviour:?}: one {:.1?}, two {:.1?}", seconds_taken[0], seconds_taken[1]);
     }
 }
 
 #[test]
-fn it_comes_back_by_the_trials_of_a_few() {
-    let mut played = Played::new(World::default());
-    played.run(seconds(30));
-    played.does[2] = Does::Fails(1.0);
-    played.run(seconds(60));
-    let trials = played.since(2, played.now - seconds(30));
-    // Two in each quarter of 30 s; alone each proxy would find out for itself.
+fn recovered_node_returns_after_few_trials() {
+    let mut simulation = Simulation::new(SimulationConfig::default());
+    simulation.run(seconds(30));
+    simulation.behaviours[2] = NodeBehaviour::Failing(1.0);
+    simulation.run(seconds(60));
+    let trials = simulation.count_attempts_since(2, simulation.now - seconds(30));
+    // About two in each quarter of 30 s. Without pooled evidence every proxy would send its own.
     assert!((2..=20).contains(&trials), "{trials} attempts in 30 s");
-    played.does[2] = Does::Well;
-    let back = played.run_until(seconds(31), |p| p.out_at(2) == 0);
-    assert!(back.is_some(), "it is back within the bound on staleness");
-    played.run(seconds(60));
-    assert_eq!(played.out_at(2), 0);
+    simulation.behaviours[2] = NodeBehaviour::Healthy;
+    let returned_after = simulation.run_until(seconds(31), |s| s.count_ejecting(2) == 0);
+    assert!(returned_after.is_some(), "the node did not return within the maximum evidence age");
+    simulation.run(seconds(60));
+    assert_eq!(simulation.count_ejecting(2), 0);
 }
 
 #[test]
-fn one_that_lies_condemns_nobody_in_a_small_fleet_or_a_large_one() {
+fn false_reports_of_one_proxy_eject_no_node() {
     for proxies in [4, 12, 40] {
-        let mut played = Played::new(World { proxies, nodes: 8, ..World::default() });
-        played.proxies[1].lies = true;
-        played.run(seconds(60));
-        assert_eq!(played.false_avoids, 0, "{proxies} proxies");
+        let mut simulation =
+            Simulation::new(SimulationConfig { proxies, nodes: 8, ..SimulationConfig::default() });
+        simulation.proxies[1].sends_false_reports = true;
+        simulation.run(seconds(60));
+        assert_eq!(simulation.false_avoidances, 0, "{proxies} proxies");
     }
 }
 
 #[test]
-fn one_that_stood_still_goes_by_nothing_old_and_reports_nothing_of_it() {
-    let mut played = Played::new(World::default());
-    played.run(seconds(30));
-    played.does[2] = Does::Hangs;
-    played.run(seconds(12));
-    assert!(played.avoids(5, 2));
-    played.proxies[5].stands_until = played.now + seconds(35);
-    played.does[2] = Does::Well;
-    played.run(seconds(34));
-    // What waits in its socket says that the node hangs; the first step after it has read all of that.
-    played.run(STEP * 6);
-    assert!(!played.avoids(5, 2), "{:?}", played.proxies[5].verdicts.summaries(played.now));
-    assert_eq!(played.proxies.iter().filter(|p| !p.verdicts.summaries(played.now).is_empty()).count(), 0);
+fn suspended_proxy_resumes_without_old_evidence() {
+    let mut simulation = Simulation::new(SimulationConfig::default());
+    simulation.run(seconds(30));
+    simulation.behaviours[2] = NodeBehaviour::Hanging;
+    simulation.run(seconds(12));
+    assert!(simulation.avoids(5, 2));
+    simulation.proxies[5].suspended_until = simulation.now + seconds(35);
+    simulation.behaviours[2] = NodeBehaviour::Healthy;
+    simulation.run(seconds(34));
+    // The datagrams in its socket report a hanging node; the first step after the suspension reads all of them.
+    simulation.run(STEP * 6);
+    assert!(!simulation.avoids(5, 2), "{:?}", simulation.proxies[5].verdicts.summaries(simulation.now));
+    assert_eq!(
+        simulation
+            .proxies
+            .iter()
+            .filter(|proxy| !proxy.verdicts.summaries(simulation.now).is_empty())
+            .count(),
+        0
+    );
 }
 
 #[test]
-fn halves_go_by_what_they_see_and_are_one_again() {
-    let world = World { zones: 2, proxies: 16, rate: 80.0, ..World::default() };
-    let mut played = Played::new(world);
-    // The halves can't talk, and node 3 is bad for one of them.
-    played.cut = Box::new(|now, a, b| now > seconds(30) && now < seconds(90) && a % 2 != b % 2);
-    played.run(seconds(40));
-    played.does[3] = Does::FailsIn(1);
-    played.run(seconds(40));
-    let out = |p: &Played, zone: usize| {
-        let keeps = |i: &usize| p.proxies[*i].verdicts.summaries(p.now).iter().any(|r| r.ejected);
-        (zone..16).step_by(2).filter(keeps).count()
+fn partitioned_halves_judge_separately_and_agree_after_the_partition() {
+    let config =
+        SimulationConfig { zones: 2, proxies: 16, request_rate: 80.0, ..SimulationConfig::default() };
+    let mut simulation = Simulation::new(config);
+    // The halves can't exchange datagrams, and one of them can't reach node 3.
+    simulation.is_link_cut = Box::new(|now, a, b| now > seconds(30) && now < seconds(90) && a % 2 != b % 2);
+    simulation.run(seconds(40));
+    simulation.behaviours[3] = NodeBehaviour::UnreachableFromZone(1);
+    simulation.run(seconds(40));
+    let count_ejecting = |s: &Simulation, zone: usize| {
+        let ejects = |i: &usize| s.proxies[*i].verdicts.summaries(s.now).iter().any(|r| r.ejected);
+        (zone..16).step_by(2).filter(ejects).count()
     };
-    assert_eq!((out(&played, 0), out(&played, 1)), (0, 8));
-    assert_eq!(played.kinds(1), [Kind::Gone], "nobody says otherwise");
-    // They meet again: it is the way there. A verdict on it may lapse and come back between two trials.
-    played.run(seconds(30));
-    let mut kept = 0;
+    assert_eq!((count_ejecting(&simulation, 0), count_ejecting(&simulation, 1)), (0, 8));
+    assert_eq!(simulation.kinds(1), [Kind::Gone], "no evidence of the other half contradicts it");
+    // After the partition the link of the zone is judged bad. The verdict may lapse between two trials.
+    simulation.run(seconds(30));
+    let mut ejecting = 0;
     for _ in 0..10 {
-        played.run(seconds(5));
-        assert_eq!(out(&played, 0), 0);
-        kept += out(&played, 1);
-        assert!((1..16).step_by(2).all(|p| played.kinds(p).iter().all(|kind| *kind == Kind::Link)));
+        simulation.run(seconds(5));
+        assert_eq!(count_ejecting(&simulation, 0), 0);
+        ejecting += count_ejecting(&simulation, 1);
+        assert!((1..16).step_by(2).all(|p| simulation.kinds(p).iter().all(|kind| *kind == Kind::Link)));
     }
-    assert!(kept >= 60, "{kept} of 80");
+    assert!(ejecting >= 60, "{ejecting} of 80");
 }
 
 #[test]
-fn one_cut_off_from_all_others_condemns_nothing_by_itself() {
+fn isolated_proxy_ejects_nothing_by_itself() {
     for one_way in [true, false] {
-        let mut played = Played::new(World::default());
-        played.run(seconds(20));
-        played.cut = Box::new(move |_, from, to| to == 4 || (!one_way && from == 4));
-        // Its own way to a node is broken as well.
-        played.run(seconds(20));
-        played.does[2] = Does::Fails(1.0);
-        played.run(seconds(31));
-        assert_eq!(played.out_at(2), 23);
-        assert!(!played.avoids(4, 2), "the module's own view is what it has");
+        let mut simulation = Simulation::new(SimulationConfig::default());
+        simulation.run(seconds(20));
+        simulation.is_link_cut = Box::new(move |_, from, to| to == 4 || (!one_way && from == 4));
+        simulation.run(seconds(20));
+        simulation.behaviours[2] = NodeBehaviour::Failing(1.0);
+        simulation.run(seconds(31));
+        assert_eq!(simulation.count_ejecting(2), 23);
+        assert!(!simulation.avoids(4, 2), "the isolated proxy has only its own evidence");
     }
 }
 
 #[test]
-fn half_of_all_datagrams_lost_costs_time_and_nothing_else() {
-    let mut played = Played::new(World { loss: 0.5, ..World::default() });
-    played.run(seconds(30));
-    played.does[2] = Does::Fails(1.0);
-    assert!(played.run_until(seconds(14), |p| p.out_at(2) == 24).is_some());
-    assert_eq!(played.false_avoids, 0);
+fn loss_of_half_the_datagrams_only_delays_verdicts() {
+    let mut simulation = Simulation::new(SimulationConfig { loss: 0.5, ..SimulationConfig::default() });
+    simulation.run(seconds(30));
+    simulation.behaviours[2] = NodeBehaviour::Failing(1.0);
+    assert!(simulation.run_until(seconds(14), |s| s.count_ejecting(2) == 24).is_some());
+    assert_eq!(simulation.false_avoidances, 0);
 }
 
 #[test]
-fn what_slows_all_alike_condemns_none() {
-    let mut played = Played::new(World { rate: 60.0, ..World::default() });
-    played.run(seconds(20));
-    played.does = vec![Does::Fails(0.5); 8];
-    played.run(seconds(60));
-    assert!((0..8).all(|n| played.out_at(n) == 0));
+fn failures_at_all_nodes_alike_eject_none() {
+    let mut simulation =
+        Simulation::new(SimulationConfig { request_rate: 60.0, ..SimulationConfig::default() });
+    simulation.run(seconds(20));
+    simulation.behaviours = vec![NodeBehaviour::Failing(0.5); 8];
+    simulation.run(seconds(60));
+    assert!((0..8).all(|n| simulation.count_ejecting(n) == 0));
 }
 
 #[test]
-fn at_most_the_stated_part_is_out_and_never_the_last_of_a_cell() {
-    let mut played = Played::new(World { rate: 60.0, ..World::default() });
-    played.run(seconds(20));
-    (0..4).for_each(|n| played.does[n] = Does::Fails(1.0));
-    played.run(seconds(20));
-    let out: Vec<usize> = (0..8).map(|n| played.out_at(n)).collect();
-    assert!(out.iter().sum::<usize>() <= 2 * 24, "{out:?}");
-    for proxy in &mut played.proxies {
-        let listed = (0..8).map(|n| ListedNode { node: node(n), cell: u32::from(n < 1) }).collect();
-        proxy.verdicts.set_nodes(listed, played.now);
+fn ejections_stay_within_the_limit_and_spare_the_last_node_of_a_cell() {
+    let mut simulation =
+        Simulation::new(SimulationConfig { request_rate: 60.0, ..SimulationConfig::default() });
+    simulation.run(seconds(20));
+    (0..4).for_each(|n| simulation.behaviours[n] = NodeBehaviour::Failing(1.0));
+    simulation.run(seconds(20));
+    let ejecting: Vec<usize> = (0..8).map(|n| simulation.count_ejecting(n)).collect();
+    assert!(ejecting.iter().sum::<usize>() <= 2 * 24, "{ejecting:?}");
+    for proxy in &mut simulation.proxies {
+        let listed = (0..8).map(|n| ListedNode { node: node_id(n), cell: u32::from(n < 1) }).collect();
+        proxy.verdicts.set_nodes(listed, simulation.now);
     }
-    played.does = vec![Does::Well; 8];
-    played.does[0] = Does::Fails(1.0);
-    played.run(seconds(60));
-    assert_eq!(played.out_at(0), 0, "it is all that its cell has");
+    simulation.behaviours = vec![NodeBehaviour::Healthy; 8];
+    simulation.behaviours[0] = NodeBehaviour::Failing(1.0);
+    simulation.run(seconds(60));
+    assert_eq!(simulation.count_ejecting(0), 0, "the only node of its cell was ejected");
 }
 
 #[test]
-fn one_that_began_anew_begins_with_no_evidence() {
-    let mut played = Played::new(World::default());
-    played.run(seconds(20));
-    played.does[2] = Does::Fails(1.0);
-    played.run(seconds(10));
-    assert_eq!(played.out_at(2), 24);
-    // Half of the proxies have heard that it is another process now; the others still speak of the old one.
-    let list = |anew: bool| -> Vec<ListedNode> {
-        let id = |n: usize| if anew && n == 2 { NodeId::new("node-2", "elsewhere") } else { node(n) };
+fn node_restarted_at_another_address_has_no_evidence() {
+    let mut simulation = Simulation::new(SimulationConfig::default());
+    simulation.run(seconds(20));
+    simulation.behaviours[2] = NodeBehaviour::Failing(1.0);
+    simulation.run(seconds(10));
+    assert_eq!(simulation.count_ejecting(2), 24);
+    // Half of the proxies have the new list; the others still report on the old process.
+    let list = |restarted: bool| -> Vec<ListedNode> {
+        let id = |n: usize| if restarted && n == 2 { NodeId::new("node-2", "elsewhere") } else { node_id(n) };
         (0..8).map(|n| ListedNode { node: id(n), cell: 0 }).collect()
     };
-    let now = played.now;
-    (0..12).for_each(|p| played.proxies[p].verdicts.set_nodes(list(true), now));
-    played.run(seconds(3));
-    assert!((0..12).all(|p| played.proxies[p].verdicts.summaries(played.now).is_empty()));
+    let now = simulation.now;
+    (0..12).for_each(|p| simulation.proxies[p].verdicts.set_nodes(list(true), now));
+    simulation.run(seconds(3));
+    assert!((0..12).all(|p| simulation.proxies[p].verdicts.summaries(simulation.now).is_empty()));
 }
 
-/// It is replaced at the same address: some proxies hear of that later than others, and those go on speaking of the old one.
+/// Some proxies learn of the restart later than others and still report on the old process.
 #[test]
-fn one_that_began_anew_at_the_same_address_begins_with_no_evidence() {
-    let mut played = Played::new(World { rate: 24.0, ..World::default() });
-    played.run(seconds(20));
-    played.does[2] = Does::Fails(1.0);
-    assert!(played.run_until(seconds(10), |p| p.out_at(2) == 24).is_some());
-    let list = |played: &mut Played, who: std::ops::Range<usize>, without: Option<usize>| {
-        let now = played.now;
-        let listed: Vec<ListedNode> =
-            (0..8).filter(|n| Some(*n) != without).map(|n| ListedNode { node: node(n), cell: 0 }).collect();
-        who.for_each(|p| played.proxies[p].verdicts.set_nodes(listed.clone(), now));
+fn node_restarted_at_the_same_address_has_no_evidence() {
+    let mut simulation =
+        Simulation::new(SimulationConfig { request_rate: 24.0, ..SimulationConfig::default() });
+    simulation.run(seconds(20));
+    simulation.behaviours[2] = NodeBehaviour::Failing(1.0);
+    assert!(simulation.run_until(seconds(10), |s| s.count_ejecting(2) == 24).is_some());
+    let list = |simulation: &mut Simulation, proxies: std::ops::Range<usize>, without: Option<usize>| {
+        let now = simulation.now;
+        let listed: Vec<ListedNode> = (0..8)
+            .filter(|n| Some(*n) != without)
+            .map(|n| ListedNode { node: node_id(n), cell: 0 })
+            .collect();
+        proxies.for_each(|p| simulation.proxies[p].verdicts.set_nodes(listed.clone(), now));
     };
-    list(&mut played, 0..12, Some(2));
-    played.run(seconds(1));
-    played.does[2] = Does::Well;
-    list(&mut played, 0..12, None);
-    // The others have the old list, with a verdict on what is there no more.
+    list(&mut simulation, 0..12, Some(2));
+    simulation.run(seconds(1));
+    simulation.behaviours[2] = NodeBehaviour::Healthy;
+    list(&mut simulation, 0..12, None);
+    // The other proxies have the old list and a verdict on the old process.
     for _ in 0..20 {
-        played.step();
-        let holds = |p: &usize| played.proxies[*p].verdicts.summaries(played.now).iter().any(|r| r.ejected);
-        assert_eq!((0..12).filter(holds).collect::<Vec<_>>(), [0; 0]);
+        simulation.step();
+        let ejects =
+            |p: &usize| simulation.proxies[*p].verdicts.summaries(simulation.now).iter().any(|r| r.ejected);
+        assert_eq!((0..12).filter(ejects).collect::<Vec<_>>(), [0; 0]);
     }
-    // It fails again: those who have seen it since come to a verdict, and all others once claims count again.
-    list(&mut played, 12..24, Some(2));
-    list(&mut played, 12..24, None);
-    played.does[2] = Does::Fails(1.0);
-    assert!(played.run_until(seconds(25), |p| p.out_at(2) >= 23).is_some());
+    // The new process fails too: proxies with new evidence reach a verdict, and the others once claims count again.
+    list(&mut simulation, 12..24, Some(2));
+    list(&mut simulation, 12..24, None);
+    simulation.behaviours[2] = NodeBehaviour::Failing(1.0);
+    assert!(simulation.run_until(seconds(25), |s| s.count_ejecting(2) >= 23).is_some());
 }
 
-/// 100 proxies before 30 nodes, of which all are sound: in how many looks a proxy avoids one.
+/// 100 proxies and 30 healthy nodes; `DEWPIER_SEEDS` sets the number of seeds.
 #[test]
-fn false_verdicts_are_rare() {
+fn false_verdicts_stay_below_the_configured_rate() {
     let seeds = std::env::var("DEWPIER_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(2);
-    let (mut falsely, mut looks) = (0, 0);
+    let (mut false_avoidances, mut checks) = (0, 0);
     for seed in 0..seeds {
-        let world = World { proxies: 100, nodes: 30, rate: 200.0, loss: 0.1, seed, ..World::default() };
-        let stated = world.settings.false_rate;
-        let mut played = Played::new(world);
-        played.run(seconds(30));
-        (falsely, looks) = (falsely + played.false_avoids, looks + played.looks);
-        assert!((falsely as f64) <= stated * looks as f64, "seed {seed}: {falsely} of {looks}");
+        let config = SimulationConfig {
+            proxies: 100,
+            nodes: 30,
+            request_rate: 200.0,
+            loss: 0.1,
+            seed,
+            ..SimulationConfig::default()
+        };
+        let false_rate = config.settings.false_rate;
+        let mut simulation = Simulation::new(config);
+        simulation.run(seconds(30));
+        (false_avoidances, checks) =
+            (false_avoidances + simulation.false_avoidances, checks + simulation.checks);
+        assert!(
+            (false_avoidances as f64) <= false_rate * checks as f64,
+            "seed {seed}: {false_avoidances} of {checks}"
+        );
     }
-    println!("{falsely} of {looks} looks at sound nodes found one avoided");
+    println!("{false_avoidances} of {checks} checks of healthy nodes found one avoided");
 }
 
-/// Eight nodes in question and room for three of them, eight partners: each partner is told of all in three datagrams.
+/// With eight suspect nodes and space for three entries, three datagrams cover all nodes for each of eight partners.
 #[test]
-fn each_partner_is_told_of_all_nodes_in_turn() {
-    let mut played = Played::new(World { proxies: 9, ..World::default() });
+fn each_partner_receives_evidence_on_all_nodes_in_turn() {
+    let mut simulation = Simulation::new(SimulationConfig { proxies: 9, ..SimulationConfig::default() });
     let now = seconds(20);
-    let verdicts = &mut played.proxies[0].verdicts;
+    let verdicts = &mut simulation.proxies[0].verdicts;
     verdicts.tick(now);
     for n in 0..8 {
-        verdicts.record_start((n, 0), node(n as usize), 0, now);
+        verdicts.record_start((n, 0), node_id(n as usize), 0, now);
         verdicts.record_end((n, 0), AttemptEnd::Failed, now);
     }
     verdicts.tick(now);
-    let mut told: Vec<std::collections::HashSet<NodeId>> = vec![Default::default(); 8];
+    let mut received: Vec<std::collections::HashSet<NodeId>> = vec![Default::default(); 8];
     for _ in 0..3 {
-        for (partner, told) in told.iter_mut().enumerate() {
+        for (partner, received) in received.iter_mut().enumerate() {
             let bytes = TopicHandler::write_payload(verdicts, ProxyId(partner as u64), 3 * ENTRY_BYTES, now);
-            told.extend(EvidenceEntry::read_all(&bytes).unwrap().iter().map(|entry| entry.node));
+            received.extend(EvidenceEntry::read_all(&bytes).unwrap().iter().map(|entry| entry.node));
         }
     }
     assert!(
-        told.iter().all(|told| told.len() == 8),
+        received.iter().all(|received| received.len() == 8),
         "{:?}",
-        told.iter().map(|t| t.len()).collect::<Vec<_>>()
+        received.iter().map(|r| r.len()).collect::<Vec<_>>()
     );
 }
