--- a/crates/dewpier/tests/snapshot.rs
+++ b/crates/dewpier/tests/snapshot.rs
@@ -84,8 +84,8 @@
     let mut version = whole.clone();
     version[9] = 77;
     let cases: [(usize, &[u8], &str); 5] = [
-        (1, &spoilt, "its seal does not fit"),
-        (2, &whole, "its seal does not fit"),
+        (1, &spoilt, "the authentication tag does not match"),
+        (2, &whole, "the authentication tag does not match"),
         (3, &other[..20], "20 bytes: expected 50 to 1048576"),
         (4, &version, "byte 8: version 77, expected 1"),
         (5, b"", "0 bytes: expected"),
--- a/crates/verdicts/src/judge.rs
+++ b/crates/verdicts/src/judge.rs
@@ -1,123 +1,149 @@
-//! From tallies of many proxies to a judgement on one node.
+//! Judges one node from the attempt counts of many proxies.
 //!
-//! A sequential test (Wald 1945) of "it does as its like do" against "it fails half of what it is asked" and
-//! against "one in ten", whichever tells more. What each proxy adds is bounded on both sides, so that the odds
-//! needed can't come from one.
+//! A sequential test (Wald 1945) compares the hypothesis "the node fails as rarely as the other nodes" with "half of
+//! its attempts fail" and with "one in ten fails", and goes by the clearer of the two results. The contribution of each
+//! proxy is limited in both directions, so that no single proxy can supply the required log odds.
 //!
-//! A node that turns bad was well before, and what went well then says nothing of it now: the test is made over each span
-//! from some moment of the window up to now, and goes by the one that tells most (a change point, as in Page 1954, but
-//! the same one for all proxies, so that whoever sees the node do well since then is heard).
+//! Attempts that went well before a node turned bad say nothing about its present state. The test therefore runs over
+//! each interval from some point in the window up to now, and the clearest interval decides: change point detection as
+//! in Page (1954), with the same interval for all proxies, so that recent good attempts of any proxy count.
 
 use crate::{AttemptCounts, Settings, WINDOW_PARTS, WindowPart};
 use serde::Serialize;
 
-/// Parts of the attempts that go wrong at a node that is bad: plainly so, or now and then.
-const BAD: [f64; 2] = [0.5, 0.1];
-/// As long as so much goes wrong by chance, with a node whose like do well.
-const LEAST_USUAL: f64 = 0.01;
-/// A node is bad only where it does so many times worse than its like.
-const WORSE: f64 = 2.5;
-/// Who sees more than this part go wrong elsewhere too doubts itself.
-const DOUBT: f64 = 0.5;
-/// A verdict that stands ends below this part of what it needed to come about: one trial that fails, anywhere in
-/// the fleet, bears it out, and two that do not lift it.
-const KEPT: f64 = 0.25;
-/// So clear the good word of one side must be, in logarithms of odds, for the other's trouble to be its own.
-const CLEARED: f64 = 2.0;
+/// The fraction of attempts that fail at a severely bad node.
+const SEVERE_FAILURE_FRACTION: f64 = 0.5;
+/// The fraction of attempts that fail at a mildly bad node.
+const MILD_FAILURE_FRACTION: f64 = 0.1;
+/// The lowest fraction of failed attempts assumed for a healthy node.
+const MIN_BASELINE_FRACTION: f64 = 0.01;
+/// A node can be bad only if it fails at least this many times more often than the other nodes.
+const MIN_FAILURE_RATIO: f64 = 2.5;
+/// The evidence of a proxy is ignored if a larger fraction of its attempts at other nodes fails.
+const MAX_TRUSTED_FRACTION_ELSEWHERE: f64 = 0.5;
+/// An active verdict ends below this fraction of the required log odds: one failed trial anywhere in the fleet confirms
+/// it, and two successful ones end it.
+const RETAINING_FRACTION: f64 = 0.25;
+/// The log odds against a verdict at which the proxies inside or outside this zone consider a node healthy.
+const CLEARING_LOG_ODDS: f64 = 2.0;
 
-/// What holds of a node.
+/// What is wrong with a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// It can't be connected to.
+    /// The node accepts no connections.
     Gone,
-    /// It answers with errors, or breaks off.
+    /// The node answers with errors, or disconnects.
     Failing,
-    /// It takes requests and does not answer.
+    /// The node accepts requests and does not answer them.
     Silent,
-    /// It answers far later than others.
+    /// The node answers far later than other nodes.
     Slow,
-    /// It serves others, but not the proxies of this zone.
+    /// The node serves other proxies, but not those of this zone.
     Link,
-    /// An operator says so.
+    /// An operator keeps the node out.
     Ruled,
 }
 
 /// A verdict that another proxy holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// Half of all goes wrong there, or more.
+    /// At least half of the attempts at the node go wrong.
     pub severe: bool,
-    /// In which way.
+    /// What is wrong with the node.
     pub kind: Kind,
 }
 
-/// What one proxy brings to a judgement.
+/// The evidence of one proxy on a node.
 #[derive(Clone, Copy, Debug)]
 pub struct ProxyEvidence {
-    /// It holds a verdict itself.
-    pub claims: Option<Claim>,
-    /// It is in this proxy's zone.
-    pub near: bool,
-    /// What it saw.
+    /// The verdict that the proxy holds itself.
+    pub claim: Option<Claim>,
+    /// The proxy is in the same zone as this one.
+    pub same_zone: bool,
+    /// The proxy's attempts at the node by outcome.
     pub counts: AttemptCounts,
-    /// The same by parts of the window, the youngest first.
+    /// The same attempts by part of the window, the youngest part first.
     pub parts: [WindowPart; WINDOW_PARTS],
-    /// The part that went wrong for it at all other nodes.
-    pub others: f64,
+    /// The fraction of the proxy's attempts at other nodes that went wrong.
+    pub bad_fraction_elsewhere: f64,
 }
 
-/// What all that comes to.
+/// The result of judging a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Judgement {
-    /// What holds, if it is bad.
+    /// What is wrong with the node; None if it is not judged bad.
     pub kind: Option<Kind>,
-    /// Half of all goes wrong there, or more.
+    /// At least half of the attempts at the node go wrong.
     pub severe: bool,
-    /// Logarithm of the odds that it is bad.
-    pub odds: f64,
-    /// Proxies that have seen something go wrong there, but for those that doubt themselves.
+    /// The natural logarithm of the odds that the node is bad.
+    pub log_odds: f64,
+    /// The number of trusted proxies with evidence against the node.
     pub observers: usize,
 }
 
-/// Judges a node. `stood` says whether a verdict on it stands.
-pub fn judge_node(settings: &Settings, seen: &[ProxyEvidence], stood: bool) -> Judgement {
-    let trusted: Vec<&ProxyEvidence> =
-        seen.iter().filter(|w| w.others <= DOUBT && (w.counts.total() > 0 || w.claims.is_some())).collect();
-    let usual = median(trusted.iter().map(|w| w.others).collect()).max(LEAST_USUAL);
-    let needed = settings.required_log_odds() * if stood { KEPT } else { 1.0 };
-    let observers = trusted.iter().filter(|w| w.counts.bad() > 0 || w.claims.is_some()).count();
-    let most = settings.max_log_odds_per_proxy();
-    let mut best = Judgement { kind: None, severe: false, odds: f64::NEG_INFINITY, observers };
-    for (severe, bad) in [(true, BAD[0]), (false, BAD[1])] {
-        if bad < WORSE * usual {
+/// Judges a node by the evidence of all proxies. `is_active` says whether a verdict on it is already active, which then
+/// requires less evidence.
+pub fn judge_node(settings: &Settings, evidence: &[ProxyEvidence], is_active: bool) -> Judgement {
+    let trusted: Vec<&ProxyEvidence> = evidence
+        .iter()
+        .filter(|e| {
+            e.bad_fraction_elsewhere <= MAX_TRUSTED_FRACTION_ELSEWHERE
+                && (e.counts.total() > 0 || e.claim.is_some())
+        })
+        .collect();
+    let baseline =
+        median(trusted.iter().map(|e| e.bad_fraction_elsewhere).collect()).max(MIN_BASELINE_FRACTION);
+    let required = settings.required_log_odds() * if is_active { RETAINING_FRACTION } else { 1.0 };
+    let observers = trusted.iter().filter(|e| e.counts.bad() > 0 || e.claim.is_some()).count();
+    let max_per_proxy = settings.max_log_odds_per_proxy();
+    let mut best = Judgement { kind: None, severe: false, log_odds: f64::NEG_INFINITY, observers };
+    for (severe, failure_fraction) in [(true, SEVERE_FAILURE_FRACTION), (false, MILD_FAILURE_FRACTION)] {
+        if failure_fraction < MIN_FAILURE_RATIO * baseline {
             continue;
         }
-        let (failure, success) = ((bad / usual).ln(), ((1.0 - bad) / (1.0 - usual)).ln());
-        // Bounded on both sides, so that nobody outweighs others whatever it says.
-        let each = |w: &ProxyEvidence, seen: WindowPart| match w.claims {
-            Some(claim) if !severe || claim.severe => most,
-            _ => (f64::from(seen.bad) * failure + f64::from(seen.good) * success).clamp(-most, most),
+        let (per_failure, per_success) =
+            ((failure_fraction / baseline).ln(), ((1.0 - failure_fraction) / (1.0 - baseline)).ln());
+        // Limited in both directions, so that no proxy outweighs the others.
+        let proxy_log_odds = |e: &ProxyEvidence, counts: WindowPart| match e.claim {
+            Some(claim) if !severe || claim.severe => max_per_proxy,
+            _ => (f64::from(counts.bad) * per_failure + f64::from(counts.good) * per_success)
+                .clamp(-max_per_proxy, max_per_proxy),
         };
-        let sum = |near: bool, span: Option<usize>| {
-            let of = trusted.iter().filter(|w| w.near == near);
-            of.map(|w| each(w, w.since(span))).sum::<f64>()
+        let zone_log_odds = |same_zone: bool, oldest_part: Option<usize>| {
+            let of_zone = trusted.iter().filter(|e| e.same_zone == same_zone);
+            of_zone.map(|e| proxy_log_odds(e, e.counts_since(oldest_part))).sum::<f64>()
         };
-        let whole = (sum(true, None), sum(false, None));
-        for span in [None].into_iter().chain((0..WINDOW_PARTS).map(Some)) {
-            let (near, far) = (sum(true, span), sum(false, span));
+        let whole_window = (zone_log_odds(true, None), zone_log_odds(false, None));
+        for oldest_part in [None].into_iter().chain((0..WINDOW_PARTS).map(Some)) {
+            let (same_zone, other_zones) =
+                (zone_log_odds(true, oldest_part), zone_log_odds(false, oldest_part));
             if severe {
-                // Where near and far say opposite things it is the way there, and that is each side's own matter. Who saw
-                // nothing in this span goes by what it saw before.
-                let well = |lately: f64, all: f64| lately <= -CLEARED || lately <= 0.0 && all <= -CLEARED;
-                let link = near >= needed && well(far, whole.1);
-                if link || well(near, whole.0) && far >= most {
-                    return Judgement { kind: link.then_some(Kind::Link), severe, odds: near, observers };
+                // If this zone and the others contradict each other, the link is at fault, and each side decides for
+                // itself. A side without attempts in the interval is judged by the whole window.
+                let is_cleared = |interval: f64, window: f64| {
+                    interval <= -CLEARING_LOG_ODDS || interval <= 0.0 && window <= -CLEARING_LOG_ODDS
+                };
+                let is_link = same_zone >= required && is_cleared(other_zones, whole_window.1);
+                if is_link || is_cleared(same_zone, whole_window.0) && other_zones >= max_per_proxy {
+                    return Judgement {
+                        kind: is_link.then_some(Kind::Link),
+                        severe,
+                        log_odds: same_zone,
+                        observers,
+                    };
                 }
             }
-            let odds = near + far;
-            if odds > best.odds && (span.is_none() || trusted.iter().any(|w| w.since(span).bad > 0)) {
-                best = Judgement { kind: (odds >= needed).then(|| kind(&trusted)), severe, odds, observers };
+            let log_odds = same_zone + other_zones;
+            if log_odds > best.log_odds
+                && (oldest_part.is_none() || trusted.iter().any(|e| e.counts_since(oldest_part).bad > 0))
+            {
+                best = Judgement {
+                    kind: (log_odds >= required).then(|| predominant_kind(&trusted)),
+                    severe,
+                    log_odds,
+                    observers,
+                };
             }
         }
     }
@@ -125,34 +151,34 @@
 }
 
 impl ProxyEvidence {
-    /// What it saw in so many parts of the window and one, up to now; in all of it where none is named.
-    fn since(&self, span: Option<usize>) -> WindowPart {
-        let whole = WindowPart { good: self.counts.good, bad: self.counts.bad() };
-        let Some(span) = span else { return whole };
+    /// The attempts from the start of a part of the window up to now; those of the whole window for None.
+    fn counts_since(&self, oldest_part: Option<usize>) -> WindowPart {
+        let whole_window = WindowPart { good: self.counts.good, bad: self.counts.bad() };
+        let Some(oldest_part) = oldest_part else { return whole_window };
         let add = |a: WindowPart, b: &WindowPart| WindowPart {
             good: a.good.saturating_add(b.good),
             bad: a.bad.saturating_add(b.bad),
         };
-        self.parts[..=span].iter().fold(WindowPart::default(), add)
+        self.parts[..=oldest_part].iter().fold(WindowPart::default(), add)
     }
 }
 
-/// In which way it mostly goes wrong: by what was seen, or else by what is held.
-fn kind(trusted: &[&ProxyEvidence]) -> Kind {
+/// The most frequent kind of failure in the attempts, or in the claims if the attempts are tied.
+fn predominant_kind(trusted: &[&ProxyEvidence]) -> Kind {
     let mut sum = AttemptCounts::default();
-    trusted.iter().for_each(|w| sum.add(&w.counts));
-    let seen = [
+    trusted.iter().for_each(|e| sum.add(&e.counts));
+    let counts_by_kind = [
         (sum.unreached, Kind::Gone),
         (sum.failed, Kind::Failing),
         (sum.silent, Kind::Silent),
         (sum.slow, Kind::Slow),
     ];
-    let held = |kind| trusted.iter().filter(|w| w.claims.is_some_and(|claim| claim.kind == kind)).count();
-    let most = seen.into_iter().max_by_key(|(count, kind)| (*count, held(*kind)));
-    most.map_or(Kind::Failing, |(_, kind)| kind)
+    let count_claims = |kind| trusted.iter().filter(|e| e.claim.is_some_and(|c| c.kind == kind)).count();
+    let predominant = counts_by_kind.into_iter().max_by_key(|(count, kind)| (*count, count_claims(*kind)));
+    predominant.map_or(Kind::Failing, |(_, kind)| kind)
 }
 
-/// The lower one of two in the middle: half of all proxies can't raise it.
+/// The lower median: half of all proxies can't raise it.
 fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len().saturating_sub(1) / 2).copied().unwrap_or_default()
@@ -162,99 +188,100 @@
 mod tests {
     use super::*;
 
-    fn one(good: u32, failed: u32) -> ProxyEvidence {
+    fn evidence(good: u32, failed: u32) -> ProxyEvidence {
         ProxyEvidence {
-            claims: None,
-            near: true,
+            claim: None,
+            same_zone: true,
             counts: AttemptCounts { good, failed, ..AttemptCounts::default() },
             parts: [WindowPart::default(); WINDOW_PARTS],
-            others: 0.0,
+            bad_fraction_elsewhere: 0.0,
         }
     }
 
-    fn judged(seen: &[ProxyEvidence]) -> Option<Kind> {
-        judge_node(&Settings::default(), seen, false).kind
+    fn judged_kind(evidence: &[ProxyEvidence]) -> Option<Kind> {
+        judge_node(&Settings::default(), evidence, false).kind
     }
 
     #[test]
-    fn three_that_saw_one_failure_each_condemn_and_two_with_a_thousand_do_not() {
-        assert_eq!(judged(&[one(0, 1), one(0, 1), one(0, 1)]), Some(Kind::Failing));
-        assert_eq!(judged(&[one(0, 1000), one(0, 1000)]), None);
-        assert_eq!(judged(&[one(0, 1000)]), None);
+    fn one_failure_at_each_of_three_proxies_suffices_and_any_number_at_two_does_not() {
+        assert_eq!(judged_kind(&[evidence(0, 1), evidence(0, 1), evidence(0, 1)]), Some(Kind::Failing));
+        assert_eq!(judged_kind(&[evidence(0, 1000), evidence(0, 1000)]), None);
+        assert_eq!(judged_kind(&[evidence(0, 1000)]), None);
     }
 
     #[test]
-    fn what_went_well_before_it_turned_bad_does_not_speak_for_it_and_what_goes_well_since_does() {
-        let turned = |good_since| {
-            let mut w = one(20 + good_since, 1);
-            (w.parts[0], w.parts[4]) =
+    fn successes_count_only_after_the_node_turned_bad() {
+        let turned_bad = |good_since| {
+            let mut e = evidence(20 + good_since, 1);
+            (e.parts[0], e.parts[4]) =
                 (WindowPart { good: good_since, bad: 1 }, WindowPart { good: 20, bad: 0 });
-            w
+            e
         };
-        assert_eq!(judged(&[turned(0); 3]), Some(Kind::Failing));
-        // In the part in which it turned bad what went well before counts: one more has to meet it.
-        let mixed = ProxyEvidence { parts: turned(1).parts, ..one(1, 1) };
-        assert_eq!((judged(&[mixed; 3]), judged(&[mixed; 4])), (None, Some(Kind::Failing)));
-        // Without the parts twenty that went well hide it.
-        let blind = ProxyEvidence { parts: [WindowPart::default(); WINDOW_PARTS], ..turned(0) };
-        assert_eq!(judged(&[blind; 3]), None);
-        assert_eq!(judged(&[turned(0), turned(0), turned(2)]), None);
-        // Others who see it do well since then are heard.
-        let mut well = one(5, 0);
-        well.parts[0].good = 5;
-        assert_eq!(judged(&[turned(0), turned(0), turned(0), well]), None);
+        assert_eq!(judged_kind(&[turned_bad(0); 3]), Some(Kind::Failing));
+        // A success in the same part as the failure counts, so that one more proxy is needed.
+        let mixed = ProxyEvidence { parts: turned_bad(1).parts, ..evidence(1, 1) };
+        assert_eq!((judged_kind(&[mixed; 3]), judged_kind(&[mixed; 4])), (None, Some(Kind::Failing)));
+        // Without the parts, the twenty successes hide the failure.
+        let without_parts = ProxyEvidence { parts: [WindowPart::default(); WINDOW_PARTS], ..turned_bad(0) };
+        assert_eq!(judged_kind(&[without_parts; 3]), None);
+        assert_eq!(judged_kind(&[turned_bad(0), turned_bad(0), turned_bad(2)]), None);
+        // Recent successes of another proxy count.
+        let mut successes = evidence(5, 0);
+        successes.parts[0].good = 5;
+        assert_eq!(judged_kind(&[turned_bad(0), turned_bad(0), turned_bad(0), successes]), None);
     }
 
     #[test]
-    fn what_others_hold_counts_as_one_word_each_and_bad_luck_does_not_add_to_it() {
-        let claims = ProxyEvidence { claims: Some(Claim { severe: true, kind: Kind::Silent }), ..one(0, 0) };
-        assert_eq!(judged(&[claims, claims]), None);
-        assert_eq!(judged(&[claims, claims, claims]), Some(Kind::Silent));
+    fn claim_counts_as_the_full_weight_of_its_proxy_and_failures_add_nothing_to_it() {
+        let claimed =
+            ProxyEvidence { claim: Some(Claim { severe: true, kind: Kind::Silent }), ..evidence(0, 0) };
+        assert_eq!(judged_kind(&[claimed, claimed]), None);
+        assert_eq!(judged_kind(&[claimed, claimed, claimed]), Some(Kind::Silent));
         assert_eq!(
-            judged(&[
-                ProxyEvidence { claims: Some(Claim { severe: true, kind: Kind::Silent }), ..one(0, 900) },
-                claims
+            judged_kind(&[
+                ProxyEvidence { claim: Some(Claim { severe: true, kind: Kind::Silent }), ..evidence(0, 900) },
+                claimed
             ]),
             None
         );
-        assert_eq!(judged(&[claims, claims, claims, one(90, 0)]), None);
+        assert_eq!(judged_kind(&[claimed, claimed, claimed, evidence(90, 0)]), None);
     }
 
     #[test]
-    fn one_in_ten_is_seen_and_one_in_a_hundred_is_usual() {
-        let part = |good, failed| (0..12).map(|_| one(good, failed)).collect::<Vec<_>>();
-        assert_eq!(judged(&part(9, 1)), Some(Kind::Failing));
-        assert_eq!(judged(&part(99, 1)), None);
+    fn one_failure_in_ten_is_bad_and_one_in_a_hundred_is_not() {
+        let proxies = |good, failed| (0..12).map(|_| evidence(good, failed)).collect::<Vec<_>>();
+        assert_eq!(judged_kind(&proxies(9, 1)), Some(Kind::Failing));
+        assert_eq!(judged_kind(&proxies(99, 1)), None);
     }
 
     #[test]
-    fn what_befalls_all_nodes_alike_condemns_none_and_who_sees_all_bad_doubts_itself() {
-        let all_alike: Vec<ProxyEvidence> =
-            (0..12).map(|_| ProxyEvidence { others: 0.4, ..one(6, 4) }).collect();
-        assert_eq!(judged(&all_alike), None);
-        let doubting: Vec<ProxyEvidence> =
-            (0..12).map(|_| ProxyEvidence { others: 0.9, ..one(0, 9) }).collect();
-        assert_eq!(judged(&doubting), None);
-        // Three that are well off are enough beside them.
-        let mut mixed = doubting;
-        mixed.extend([one(9, 0), one(9, 0), one(9, 0)]);
-        assert!(judge_node(&Settings::default(), &mixed, false).odds < 0.0);
+    fn failures_at_all_nodes_alike_are_not_held_against_one() {
+        let equal_everywhere: Vec<ProxyEvidence> =
+            (0..12).map(|_| ProxyEvidence { bad_fraction_elsewhere: 0.4, ..evidence(6, 4) }).collect();
+        assert_eq!(judged_kind(&equal_everywhere), None);
+        let untrusted: Vec<ProxyEvidence> =
+            (0..12).map(|_| ProxyEvidence { bad_fraction_elsewhere: 0.9, ..evidence(0, 9) }).collect();
+        assert_eq!(judged_kind(&untrusted), None);
+        // Three trusted proxies decide among them.
+        let mut mixed = untrusted;
+        mixed.extend([evidence(9, 0), evidence(9, 0), evidence(9, 0)]);
+        assert!(judge_node(&Settings::default(), &mixed, false).log_odds < 0.0);
     }
 
     #[test]
-    fn one_zone_that_cannot_reach_it_condemns_the_link_for_itself_alone() {
-        let mut seen: Vec<ProxyEvidence> = (0..4).map(|_| one(0, 5)).collect();
-        seen.extend((4..8).map(|_| ProxyEvidence { near: false, ..one(20, 0) }));
-        assert_eq!(judged(&seen), Some(Kind::Link));
-        seen.iter_mut().for_each(|w| w.near = !w.near);
-        assert_eq!(judged(&seen), None);
+    fn zone_that_alone_cannot_reach_the_node_judges_its_link_bad() {
+        let mut proxies: Vec<ProxyEvidence> = (0..4).map(|_| evidence(0, 5)).collect();
+        proxies.extend((4..8).map(|_| ProxyEvidence { same_zone: false, ..evidence(20, 0) }));
+        assert_eq!(judged_kind(&proxies), Some(Kind::Link));
+        proxies.iter_mut().for_each(|e| e.same_zone = !e.same_zone);
+        assert_eq!(judged_kind(&proxies), None);
     }
 
     #[test]
-    fn a_verdict_that_stands_ends_later_than_it_came() {
-        let seen = [one(0, 1)];
-        assert_eq!(judged(&seen), None);
-        assert_eq!(judge_node(&Settings::default(), &seen, true).kind, Some(Kind::Failing));
-        assert_eq!(judge_node(&Settings::default(), &[one(0, 1), one(2, 0)], true).kind, None);
+    fn active_verdict_needs_less_evidence_than_a_new_one() {
+        let proxies = [evidence(0, 1)];
+        assert_eq!(judged_kind(&proxies), None);
+        assert_eq!(judge_node(&Settings::default(), &proxies, true).kind, Some(Kind::Failing));
+        assert_eq!(judge_node(&Settings::default(), &[evidence(0, 1), evidence(2, 0)], true).kind, None);
     }
 }
--- a/crates/verdicts/src/lib.rs
+++ b/crates/verdicts/src/lib.rs
@@ -1,22 +1,24 @@
-//! Verdicts that hold for the whole fleet: each proxy says what it saw of nodes lately, hears what others saw, and
-//! comes to what holds by the same rule.
+//! Judges which nodes are bad from the evidence of all proxies of a fleet.
 //!
-//! Nobody is asked and nothing is agreed: [`Verdicts`] is a function of evidence that is here. Its parts:
-//! [`Observer`] counts what this proxy sees; [`pool`](Verdicts) keeps what others say; the judgement is a
-//! sequential test over both in which no single proxy weighs more than a part. All without I/O or clock.
+//! Each proxy counts the outcomes of its own attempts, sends the counts to other proxies, and judges every node from
+//! the counts that it has. There is no consensus protocol: all proxies apply the same function to nearly the same
+//! evidence. [`Observer`] counts this proxy's attempts, [`Verdicts`] collects the reports of other proxies, and
+//! [`judge_node`] runs a sequential test over both in which the weight of each proxy is limited. None of them has I/O
+//! or a clock.
 //!
-//! What holds, whatever the network does:
+//! Invariants, whatever the network does:
 //!
-//! - no verdict rests on anything that was seen longer ago than [`Settings::max_evidence_age`], on this process's clock:
-//!   half of it is the window in which attempts are counted, half the age at which what others say is dropped;
-//! - one proxy, whatever it says, condemns nothing: it weighs at most 1 / [`Settings::quorum`] of what a verdict
-//!   needs, and nobody passes on what another saw. In a fleet too large for all to hear all, a proxy says as well
-//!   which verdicts it holds, which counts as much as the most that it could have seen, and how long ago what they
-//!   rest on was said, so that proxies can't keep one alive by telling each other;
-//! - at most [`Settings::max_ejected`] of the nodes are out, the worst, and never the last one of a cell;
-//! - an operator's word on a node goes before all that, everywhere where it is known, and ends nowhere later than where
-//!   it was said ([`OperatorOverrides`]);
-//! - evidence is of one start of a node: what began anew begins with none.
+//! - No verdict is based on anything observed more than [`Settings::max_evidence_age`] ago on this process's clock.
+//!   Half of that is the window in which attempts are counted, the other half the age at which reports expire.
+//! - No single proxy can bring about a verdict: it contributes at most 1 / [`Settings::quorum`] of the log odds that a
+//!   verdict requires, and proxies don't forward each other's reports. In a fleet too large for a full mesh a proxy
+//!   also reports which verdicts it holds. Such a claim counts as much as the largest amount of evidence, and carries
+//!   the age of the evidence behind it, so that proxies can't keep a verdict alive by repeating it to each other.
+//! - At most the fraction [`Settings::max_ejected`] of the nodes is ejected, the worst ones, and never the last node of
+//!   a cell.
+//! - An operator's override on a node takes precedence wherever it is known, and ends nowhere later than on the proxy
+//!   where it was set ([`OperatorOverrides`]).
+//! - Evidence belongs to one start of a node: a restarted node has none.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -39,12 +41,12 @@
 
 use std::time::Duration;
 
-/// One start of a node, the same at all proxies.
+/// Identifies a node at an address; the same on all proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NodeId(pub u64);
 
 impl NodeId {
-    /// A node by its name and where it listens: one that is elsewhere is another process.
+    /// Hashes the name and the address of a node: a node at another address is another process.
     pub fn new(name: &str, address: &str) -> Self {
         let mut hasher = xxhash_rust::xxh3::Xxh3::new();
         hasher.update(name.as_bytes());
@@ -54,24 +56,24 @@
     }
 }
 
-/// What verdicts are given by.
+/// The parameters of verdicts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Nothing that was seen longer ago counts. From 2 s.
+    /// The age at which observations no longer count; at least 2 s.
     pub max_evidence_age: Duration,
-    /// Chance of condemning a sound node, each time that what is known of it is new.
+    /// The probability of judging a healthy node bad, for each judgement on new evidence.
     pub false_rate: f64,
-    /// So many proxies at least have to have seen it. From 2.
+    /// The number of proxies that must have evidence against a node; at least 2.
     pub quorum: usize,
-    /// Part of the nodes that may be out at once.
+    /// The largest fraction of the nodes that may be ejected at once.
     pub max_ejected: f64,
-    /// An attempt that takes so many times what is usual is slow, and twice as many without an answer silent.
+    /// An answer is slow if it takes this many times the typical latency, and an attempt is silent after twice that.
     pub slow_factor: f64,
-    /// One without an answer for so long is silent in any case.
+    /// An attempt without an answer for this long is silent, whatever the typical latency is.
     pub silent_after: Duration,
-    /// Proxies in the fleet, this one included.
+    /// The number of proxies in the fleet, including this one.
     pub fleet_size: usize,
-    /// Attempts that the whole fleet makes at a node that is out, in a quarter of the bound on staleness.
+    /// The number of attempts that the whole fleet makes at an ejected node in a quarter of the maximum evidence age.
     pub trials_per_turn: f64,
 }
 
@@ -91,19 +93,20 @@
 }
 
 impl Settings {
-    /// In which attempts are counted, and at which age what others say is dropped: together the bound.
+    /// The window in which attempts are counted, and also the age at which the reports of other proxies expire:
+    /// together they make up the maximum evidence age.
     pub fn window(&self) -> Duration {
         self.max_evidence_age / 2
     }
 
-    /// Logarithm of the odds that a verdict needs (Wald 1945, with as many missed as false ones). As it may come of any
-    /// of the [`WINDOW_PARTS`] spans up to now, each may be wrong as seldom as all together.
+    /// The log odds that a new verdict requires: Wald's sequential test (1945) with equal rates of false and of missed
+    /// verdicts. The error rate is divided among the [`WINDOW_PARTS`] intervals that a judgement tests.
     pub fn required_log_odds(&self) -> f64 {
-        let each = self.false_rate / WINDOW_PARTS as f64;
-        ((1.0 - each) / each).ln()
+        let rate_per_interval = self.false_rate / WINDOW_PARTS as f64;
+        ((1.0 - rate_per_interval) / rate_per_interval).ln()
     }
 
-    /// What one proxy adds to that at most.
+    /// The most log odds that one proxy can contribute, for or against.
     pub fn max_log_odds_per_proxy(&self) -> f64 {
         self.required_log_odds() / self.quorum.max(2) as f64
     }
--- a/crates/verdicts/src/pool.rs
+++ b/crates/verdicts/src/pool.rs
@@ -1,29 +1,30 @@
-//! What all proxies say, what comes of it, and what is said to others.
+//! Collects the evidence of all proxies, keeps the verdicts that follow from it, and writes this proxy's own evidence
+//! for the others.
 
-mod came;
-mod kept;
+mod relisted;
+mod stored;
 
 use crate::evidence::{AttemptCounts, AttemptEnd, Observer, WINDOW_PARTS, WindowPart};
 use crate::judge::{Claim, Kind, ProxyEvidence, judge_node};
-use crate::wire::{AGE_UNIT, ENTRY_BYTES, EvidenceEntry, MOST_AGE};
+use crate::wire::{CLAIM_AGE_UNIT_MS, ENTRY_BYTES, EvidenceEntry, MAX_CLAIM_AGE};
 use crate::{NodeId, OverrideKind, Settings, trial};
 use dewpier_peers::{Process, ProxyId, Topic, TopicHandler};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::Duration;
 
-/// What proxies tell each other of nodes. A form that older ones can't read has another topic, so that they pass it over:
-/// 1 was evidence without parts.
+/// The topic of evidence. An incompatible format gets a new topic, which older proxies skip; topic 1 was evidence
+/// without window parts.
 pub const EVIDENCE_TOPIC: Topic = Topic(3);
-/// What is kept of a node: so many words of others, the youngest.
-const MOST_WORDS: usize = 64;
+/// The number of reports kept for each node, the youngest ones.
+const MAX_REPORTS_PER_NODE: usize = 64;
 
-/// One start of a proxy, as an observer.
+/// Identifies a process of a proxy by a hash.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ProcessId(pub u32);
 
 impl ProcessId {
-    /// That of a process.
+    /// Hashes the proxy and the incarnation of a process.
     pub fn from_process(process: Process) -> Self {
         let mut bytes = process.proxy.0.to_be_bytes().to_vec();
         bytes.extend(process.incarnation.to_be_bytes());
@@ -31,365 +32,401 @@
     }
 }
 
-/// A node that is listed.
+/// A node in the list of nodes in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListedNode {
-    /// Which.
+    /// The node's id.
     pub node: NodeId,
-    /// Its cell.
+    /// The cell that the node belongs to.
     pub cell: u32,
 }
 
-/// A word of another proxy.
+/// The latest evidence of another proxy on a node.
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct PeerReport {
+    /// The process that sent the report.
     incarnation: u32,
     entry: EvidenceEntry,
-    /// It was said no earlier, on this clock.
-    made: Duration,
-    /// What its verdict rests on was said no earlier, if it holds one.
-    rests: Option<Duration>,
+    /// The earliest time at which the report can have been written, on this process's clock.
+    written_at: Duration,
+    /// The earliest time of the latest evidence behind the verdict that the report claims, if it claims one.
+    claim_evidence_at: Option<Duration>,
 }
 
-/// A verdict that stands.
+/// A verdict that holds at present.
 #[derive(Clone, Debug)]
-struct Standing {
-    /// Who has sent there since it began, or shortly before: others do not, as the node is not among those that they
-    /// draw from, and can't try it. At most as many as there are words.
-    met: BTreeSet<ProxyId>,
-    /// This proxy is one of them.
-    mine: bool,
+struct ActiveVerdict {
+    /// Other proxies that have sent to the node since shortly before the verdict, at most [`MAX_REPORTS_PER_NODE`]. Only
+    /// they, and this proxy, have the node in their subset and can send trials.
+    senders: BTreeSet<ProxyId>,
+    /// This proxy has sent to the node since shortly before the verdict.
+    sent_from_here: bool,
     kind: Kind,
     claim: Claim,
     since: Duration,
-    /// The youngest word that speaks for it was said no earlier.
-    rests: Duration,
-    odds: f64,
+    /// The earliest time of the latest evidence for the verdict.
+    latest_evidence_at: Duration,
+    log_odds: f64,
     observers: usize,
 }
 
-/// A verdict, as it is told.
+/// A verdict or override on a node, in the form shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct VerdictSummary {
-    /// On which node.
+    /// The node.
     #[serde(skip)]
     pub node: NodeId,
-    /// What holds of it.
+    /// What is wrong with the node.
     pub kind: Kind,
-    /// It is kept out; otherwise as many others are out as may be.
+    /// The node is ejected. A bad node is not ejected if the limit is reached or an operator trusts it.
     #[serde(rename = "out")]
     pub ejected: bool,
-    /// This proxy is among those that try it.
+    /// This proxy is among those that send trial attempts to the ejected node.
     #[serde(rename = "tries")]
     pub sends_trials: bool,
-    /// What an operator says of it, and for how many milliseconds still.
+    /// The operator's override on the node, with its remaining time in milliseconds.
     #[serde(rename = "ruling")]
     pub operator_override: Option<(OverrideKind, u64)>,
-    /// For how long it has held, in milliseconds.
+    /// How long the verdict has been active, in milliseconds.
     #[serde(rename = "for_ms")]
     pub active_ms: u64,
-    /// How old the oldest word is that it rests on, at most; with it goes what that one saw before, for as long
-    /// as half of the bound.
+    /// The largest possible age of the oldest report behind the verdict, in milliseconds. A report covers the
+    /// attempts of half the maximum evidence age before it.
     #[serde(rename = "oldest_ms")]
     pub oldest_report_ms: u64,
-    /// How many proxies saw something go wrong.
+    /// The number of proxies with evidence against the node.
     pub observers: usize,
-    /// The logarithm of the odds, and what was needed.
+    /// The natural logarithm of the odds that the node is bad.
     #[serde(rename = "odds")]
     pub log_odds: f64,
-    /// What is needed for a new verdict.
+    /// The log odds that a new verdict requires.
     #[serde(rename = "needed")]
     pub required_log_odds: f64,
-    /// Attempts as this proxy and others saw them.
+    /// Attempts of all proxies that were answered within the typical time.
     pub good: u32,
-    /// Never connected.
+    /// Attempts without a connection.
     pub unreached: u32,
-    /// Failed.
+    /// Attempts answered with an error, or disconnected.
     pub failed: u32,
-    /// Silent.
+    /// Attempts without an answer.
     pub silent: u32,
-    /// Slow.
+    /// Attempts answered late.
     pub slow: u32,
 }
 
-/// What is known at a proxy. Bounds: [`MOST_WORDS`] words for each listed node; nothing of nodes that are not listed.
+/// The evidence and the verdicts that a proxy has. Its memory is bounded by [`MAX_REPORTS_PER_NODE`] reports for each
+/// listed node; nothing is kept for other nodes.
 #[derive(Debug)]
 pub struct Verdicts {
     settings: Settings,
-    origin: ProcessId,
-    zone: u16,
+    own_id: ProcessId,
+    zone_hash: u16,
     listed: Vec<ListedNode>,
-    known: HashSet<NodeId>,
-    came: came::Came,
-    /// By node, by who saw it.
-    words: HashMap<NodeId, BTreeMap<ProxyId, Word>>,
-    standing: HashMap<NodeId, Standing>,
-    out: HashSet<NodeId>,
-    /// Those that an operator keeps out.
-    ruled: HashSet<NodeId>,
-    seen: HashMap<NodeId, AttemptCounts>,
-    parts: HashMap<NodeId, [WindowPart; WINDOW_PARTS]>,
-    /// All of that together, but for nodes that verdicts stand on.
-    sum: [WindowPart; WINDOW_PARTS],
-    /// What this proxy sees.
+    listed_ids: HashSet<NodeId>,
+    relisted: relisted::RelistedNodes,
+    reports: HashMap<NodeId, BTreeMap<ProxyId, PeerReport>>,
+    active: HashMap<NodeId, ActiveVerdict>,
+    /// Nodes ejected by verdicts.
+    ejected: HashSet<NodeId>,
+    /// Nodes that operators' overrides keep out.
+    avoided_by_override: HashSet<NodeId>,
+    own_counts: HashMap<NodeId, AttemptCounts>,
+    own_parts: HashMap<NodeId, [WindowPart; WINDOW_PARTS]>,
+    /// The sum of this proxy's counts at all nodes without an active verdict.
+    own_parts_sum: [WindowPart; WINDOW_PARTS],
+    /// Counts the attempts of this proxy.
     pub observer: Observer,
-    /// What operators say, and until when: it goes before what is seen.
-    said: BTreeMap<NodeId, (OverrideKind, Duration)>,
+    /// Operators' overrides with the times at which they end.
+    overrides: BTreeMap<NodeId, (OverrideKind, Duration)>,
     version: u32,
-    /// Not all others are partners: what they hold counts too, where they saw what this one does not hear.
-    sampled: bool,
+    /// Not all other proxies are partners. Claims of partners then stand for proxies that this one does not hear.
+    is_partial_mesh: bool,
     partners: usize,
-    answering: usize,
-    /// Where the next datagram to each partner begins among what there is to say.
-    turns: BTreeMap<ProxyId, usize>,
+    answering_partners: usize,
+    /// The position of the first entry in the next datagram to each partner.
+    next_position: BTreeMap<ProxyId, usize>,
 }
 
 impl Verdicts {
-    /// That of a process in a zone, with so many partners to talk to.
+    /// Creates the state of a process in a zone, with a number of request classes and of partners.
     pub fn new(
         settings: Settings,
-        me: Process,
+        own_process: Process,
         zone: &str,
         classes: usize,
         partners: usize,
         now: Duration,
     ) -> Self {
-        let sampled = partners + 1 < settings.fleet_size;
+        let is_partial_mesh = partners + 1 < settings.fleet_size;
         Self {
             observer: Observer::new(settings.clone(), classes, now),
-            said: BTreeMap::new(),
+            overrides: BTreeMap::new(),
             settings,
-            origin: ProcessId::from_process(me),
-            zone: xxhash_rust::xxh3::xxh3_64(zone.as_bytes()) as u16,
+            own_id: ProcessId::from_process(own_process),
+            zone_hash: xxhash_rust::xxh3::xxh3_64(zone.as_bytes()) as u16,
             listed: Vec::new(),
-            known: HashSet::new(),
-            came: came::Came::default(),
-            words: HashMap::new(),
-            standing: HashMap::new(),
-            out: HashSet::new(),
-            ruled: HashSet::new(),
-            seen: HashMap::new(),
-            parts: HashMap::new(),
-            sum: Default::default(),
+            listed_ids: HashSet::new(),
+            relisted: relisted::RelistedNodes::default(),
+            reports: HashMap::new(),
+            active: HashMap::new(),
+            ejected: HashSet::new(),
+            avoided_by_override: HashSet::new(),
+            own_counts: HashMap::new(),
+            own_parts: HashMap::new(),
+            own_parts_sum: Default::default(),
             version: 0,
-            sampled,
+            is_partial_mesh,
             partners,
-            answering: partners,
-            turns: BTreeMap::new(),
+            answering_partners: partners,
+            next_position: BTreeMap::new(),
         }
     }
 
-    /// The nodes in service. What is known of others is forgotten; one that comes back is judged by what is seen of it
-    /// from then on, as another process may be there.
+    /// Sets the list of nodes in service and discards the evidence on all others. A node that returns to the list may be
+    /// another process, so that only evidence from after its return counts.
     pub fn set_nodes(&mut self, listed: Vec<ListedNode>, now: Duration) {
-        let before = std::mem::replace(&mut self.known, listed.iter().map(|m| m.node).collect());
-        self.came.list(&before, &self.known, now, self.settings.max_evidence_age);
+        let before = std::mem::replace(&mut self.listed_ids, listed.iter().map(|m| m.node).collect());
+        self.relisted.update(&before, &self.listed_ids, now, self.settings.max_evidence_age);
         self.listed = listed;
-        let known = &self.known;
-        self.observer.keep(|node| known.contains(node));
-        self.words.retain(|node, _| known.contains(node));
-        self.standing.retain(|node, _| known.contains(node));
-        self.out.retain(|node| known.contains(node));
-        self.ruled.retain(|node| known.contains(node));
+        let listed_ids = &self.listed_ids;
+        self.observer.retain_nodes(|node| listed_ids.contains(node));
+        self.reports.retain(|node, _| listed_ids.contains(node));
+        self.active.retain(|node, _| listed_ids.contains(node));
+        self.ejected.retain(|node| listed_ids.contains(node));
+        self.avoided_by_override.retain(|node| listed_ids.contains(node));
     }
 
-    /// So many of its partners answer, which says how many proxies there are to share trials with.
-    pub fn set_answering_partners(&mut self, answering: usize) {
-        self.answering = answering;
+    /// Sets the number of partners that answer, from which the number of proxies that share trials is estimated.
+    pub fn set_answering_partners(&mut self, answering_partners: usize) {
+        self.answering_partners = answering_partners;
     }
 
-    /// An attempt begins.
+    /// Records the start of an attempt, given as request id and number of the attempt.
     pub fn record_start(&mut self, attempt: (u64, usize), node: NodeId, class: usize, now: Duration) {
         self.observer.record_start(attempt, node, class, now);
     }
 
-    /// An attempt has ended.
+    /// Records the end of an attempt.
     pub fn record_end(&mut self, attempt: (u64, usize), end: AttemptEnd, now: Duration) {
         self.observer.record_end(attempt, end, now);
     }
 
-    /// What operators say of nodes and for how long still, all of it. Counts from the next judgement on, as long as that.
+    /// Replaces all operators' overrides, given with their remaining times. They apply from the next
+    /// [`Verdicts::tick`] on.
     pub fn set_overrides(
         &mut self,
-        said: impl Iterator<Item = (NodeId, OverrideKind, Duration)>,
+        overrides: impl Iterator<Item = (NodeId, OverrideKind, Duration)>,
         now: Duration,
     ) {
-        self.said = said.map(|(node, says, left)| (node, (says, now + left))).collect();
+        self.overrides = overrides.map(|(node, kind, remaining)| (node, (kind, now + remaining))).collect();
     }
 
-    /// What an operator says of a node now, and for how long.
-    fn said(&self, node: &NodeId, now: Duration) -> Option<(OverrideKind, Duration)> {
-        let (says, until) = self.said.get(node).filter(|(_, until)| *until > now)?;
-        Some((*says, *until - now))
+    /// The override on a node, with its remaining time.
+    fn active_override(&self, node: &NodeId, now: Duration) -> Option<(OverrideKind, Duration)> {
+        let (kind, ends_at) = self.overrides.get(node).filter(|(_, ends_at)| *ends_at > now)?;
+        Some((*kind, *ends_at - now))
     }
 
-    /// The part of this proxy's attempts at all other nodes that went badly, but for those that a verdict stands
-    /// on: what is known to be bad is not what its like do. The worst of all spans up to now: what goes wrong
-    /// everywhere since a moment ago is no node's own. One more than all, as a proxy that has sent little must not doubt
-    /// itself for one failure.
-    fn others(&self, node: NodeId) -> f64 {
-        let own = match self.standing.contains_key(&node) {
+    /// The fraction of this proxy's attempts at all other nodes that went wrong, without nodes that have an active
+    /// verdict, as these say nothing about healthy ones. It is the largest fraction over all intervals up to now, since
+    /// failures at all nodes in recent moments are not the fault of one. The number of attempts is raised by one, so
+    /// that a proxy with few attempts stays trusted after a single failure.
+    fn bad_fraction_elsewhere(&self, node: NodeId) -> f64 {
+        let at_node = match self.active.contains_key(&node) {
             true => Default::default(),
-            false => self.parts.get(&node).copied().unwrap_or_default(),
+            false => self.own_parts.get(&node).copied().unwrap_or_default(),
         };
-        let (mut bad, mut all, mut worst) = (0, 0, 0.0f64);
-        for (sum, own) in self.sum.iter().zip(&own) {
-            bad += sum.bad.saturating_sub(own.bad);
-            all += (sum.good + sum.bad).saturating_sub(own.good + own.bad);
-            worst = worst.max(f64::from(bad) / f64::from(all + 1));
+        let (mut bad, mut all, mut max_fraction) = (0, 0, 0.0f64);
+        for (sum, at_node) in self.own_parts_sum.iter().zip(&at_node) {
+            bad += sum.bad.saturating_sub(at_node.bad);
+            all += (sum.good + sum.bad).saturating_sub(at_node.good + at_node.bad);
+            max_fraction = max_fraction.max(f64::from(bad) / f64::from(all + 1));
         }
-        worst
+        max_fraction
     }
 
-    /// Drops what is too old and judges anew. To be called several times a second, and to be followed by
-    /// [`Verdicts::avoided_nodes`].
+    /// Discards expired evidence and judges all nodes again. To be called several times a second;
+    /// [`Verdicts::avoided_nodes`] then returns the result.
     pub fn tick(&mut self, now: Duration) {
         self.observer.tick(now);
-        self.seen = self.observer.counts_by_node();
-        self.parts = self.observer.parts_by_node(now);
-        self.sum = Default::default();
-        for (_, parts) in self.parts.iter().filter(|(node, _)| !self.standing.contains_key(node)) {
-            for (sum, part) in self.sum.iter_mut().zip(parts) {
+        self.own_counts = self.observer.counts_by_node();
+        self.own_parts = self.observer.parts_by_node(now);
+        self.own_parts_sum = Default::default();
+        for (_, parts) in self.own_parts.iter().filter(|(node, _)| !self.active.contains_key(node)) {
+            for (sum, part) in self.own_parts_sum.iter_mut().zip(parts) {
                 sum.good = sum.good.saturating_add(part.good);
                 sum.bad = sum.bad.saturating_add(part.bad);
             }
         }
         let window = self.settings.window();
-        for words in self.words.values_mut() {
-            words.retain(|_, word| now.saturating_sub(word.made) <= window);
-            for word in words.values_mut() {
-                word.rests = word.rests.filter(|at| now.saturating_sub(*at) <= window);
+        for reports in self.reports.values_mut() {
+            reports.retain(|_, report| now.saturating_sub(report.written_at) <= window);
+            for report in reports.values_mut() {
+                report.claim_evidence_at =
+                    report.claim_evidence_at.filter(|at| now.saturating_sub(*at) <= window);
             }
         }
-        self.words.retain(|_, words| !words.is_empty());
-        let mut standing = HashMap::new();
+        self.reports.retain(|_, reports| !reports.is_empty());
+        let mut active = HashMap::new();
         for member in &self.listed {
-            let stood = self.standing.get(&member.node);
-            let judged = judge_node(&self.settings, &self.weighed(member.node, now), stood.is_some());
-            if let Some(kind) = judged.kind {
-                let since = stood.map_or(now, |s| s.since);
-                let mut met = stood.map(|s| s.met.clone()).unwrap_or_default();
-                let words = self.words.get(&member.node).into_iter().flatten();
-                let told = words.filter(|(_, word)| word.entry.counts.total() > 0).map(|(name, _)| *name);
-                met.extend(told.take(MOST_WORDS.saturating_sub(met.len())));
-                let own = self.seen.get(&member.node).is_some_and(|counts| counts.total() > 0);
-                let mine = own || stood.is_some_and(|s| s.mine);
-                let rests = self.rests(member.node, now);
-                let claim = Claim { severe: judged.severe, kind };
-                let (odds, observers) = (judged.odds, judged.observers);
-                let found = Standing { met, mine, kind, claim, since, rests, odds, observers };
-                standing.insert(member.node, found);
+            let previous = self.active.get(&member.node);
+            let judgement =
+                judge_node(&self.settings, &self.collect_evidence(member.node, now), previous.is_some());
+            if let Some(kind) = judgement.kind {
+                let since = previous.map_or(now, |p| p.since);
+                let mut senders = previous.map(|p| p.senders.clone()).unwrap_or_default();
+                let reports = self.reports.get(&member.node).into_iter().flatten();
+                let reporting =
+                    reports.filter(|(_, report)| report.entry.counts.total() > 0).map(|(proxy, _)| *proxy);
+                senders.extend(reporting.take(MAX_REPORTS_PER_NODE.saturating_sub(senders.len())));
+                let has_own_counts =
+                    self.own_counts.get(&member.node).is_some_and(|counts| counts.total() > 0);
+                let sent_from_here = has_own_counts || previous.is_some_and(|p| p.sent_from_here);
+                let latest_evidence_at = self.latest_evidence_at(member.node, now);
+                let claim = Claim { severe: judgement.severe, kind };
+                let (log_odds, observers) = (judgement.log_odds, judgement.observers);
+                let verdict = ActiveVerdict {
+                    senders,
+                    sent_from_here,
+                    kind,
+                    claim,
+                    since,
+                    latest_evidence_at,
+                    log_odds,
+                    observers,
+                };
+                active.insert(member.node, verdict);
             }
         }
-        // The sum is of those that no verdict stood on before: the next round has it right.
-        self.standing = standing;
-        self.keep_out(now);
+        // `own_parts_sum` still follows the previous verdicts until the next tick.
+        self.active = active;
+        self.eject_worst(now);
     }
 
-    /// What each proxy brings.
-    fn weighed(&self, node: NodeId, now: Duration) -> Vec<ProxyEvidence> {
-        let each = self.settings.window() / WINDOW_PARTS as u32;
-        let own = self.seen.get(&node).map(|counts| ProxyEvidence {
-            claims: None,
-            near: true,
+    /// The evidence of this proxy and of all reports on a node.
+    fn collect_evidence(&self, node: NodeId, now: Duration) -> Vec<ProxyEvidence> {
+        let part_length = self.settings.window() / WINDOW_PARTS as u32;
+        let own = self.own_counts.get(&node).map(|counts| ProxyEvidence {
+            claim: None,
+            same_zone: true,
             counts: *counts,
-            parts: self.parts.get(&node).copied().unwrap_or_default(),
-            others: self.others(node),
+            parts: self.own_parts.get(&node).copied().unwrap_or_default(),
+            bad_fraction_elsewhere: self.bad_fraction_elsewhere(node),
         });
-        let lately = self.came.lately(node, now, self.settings.window());
-        let words = self.words.get(&node).into_iter().flat_map(BTreeMap::values).map(|word| {
-            let parts = older_by(word.entry.parts, now.saturating_sub(word.made), each);
-            let (counts, parts) = self.came.since(&self.settings, node, word.entry.counts, parts, now);
+        let ignores_claims = self.relisted.was_relisted_within(node, now, self.settings.window());
+        let reports = self.reports.get(&node).into_iter().flat_map(BTreeMap::values).map(|report| {
+            let parts = shift_parts(report.entry.parts, now.saturating_sub(report.written_at), part_length);
+            let (counts, parts) =
+                self.relisted.restrict_to_relisted(&self.settings, node, report.entry.counts, parts, now);
             ProxyEvidence {
-                claims: word.rests.and(word.entry.claim).filter(|_| !lately).map(|(claim, _)| claim),
-                near: word.entry.zone == self.zone,
+                claim: report
+                    .claim_evidence_at
+                    .and(report.entry.claim)
+                    .filter(|_| !ignores_claims)
+                    .map(|(claim, _)| claim),
+                same_zone: report.entry.zone == self.zone_hash,
                 counts,
                 parts,
-                others: f64::from(word.entry.others) / 255.0,
+                bad_fraction_elsewhere: f64::from(report.entry.bad_elsewhere_255ths) / 255.0,
             }
         });
-        own.into_iter().chain(words).collect()
+        own.into_iter().chain(reports).collect()
     }
 
-    /// When the youngest word was said that speaks for a verdict. For a claim that is when what it rests on was, so
-    /// that proxies can't keep a verdict alive by telling each other: nothing here is younger than what somebody saw.
-    fn rests(&self, node: NodeId, now: Duration) -> Duration {
-        let own = self.seen.get(&node).filter(|counts| counts.bad() > 0).map(|_| now);
-        let words = self.words.get(&node).into_iter().flat_map(BTreeMap::values);
-        let words =
-            words.filter_map(|word| word.rests.or((word.entry.counts.bad() > 0).then_some(word.made)));
-        own.into_iter().chain(words).max().unwrap_or_default()
+    /// The earliest time of the latest evidence against a node. A claim counts with the time of the evidence behind it,
+    /// so that proxies can't keep a verdict alive by repeating it to each other.
+    fn latest_evidence_at(&self, node: NodeId, now: Duration) -> Duration {
+        let own = self.own_counts.get(&node).filter(|counts| counts.bad() > 0).map(|_| now);
+        let reports = self.reports.get(&node).into_iter().flat_map(BTreeMap::values);
+        let reports = reports.filter_map(|report| {
+            report.claim_evidence_at.or((report.entry.counts.bad() > 0).then_some(report.written_at))
+        });
+        own.into_iter().chain(reports).max().unwrap_or_default()
     }
 
-    /// What operators say is out, and behind that the worst, as many as may be; never the last of a cell.
-    fn keep_out(&mut self, now: Duration) {
-        let most = (self.settings.max_ejected * self.listed.len() as f64) as usize;
+    /// Keeps out the nodes that operators avoid, then ejects the worst nodes with verdicts up to the limit; never the
+    /// last node of a cell.
+    fn eject_worst(&mut self, now: Duration) {
+        let max_ejected = (self.settings.max_ejected * self.listed.len() as f64) as usize;
         let cells: HashMap<NodeId, u32> = self.listed.iter().map(|m| (m.node, m.cell)).collect();
-        let mut left: HashMap<u32, usize> = HashMap::new();
-        self.listed.iter().for_each(|m| *left.entry(m.cell).or_default() += 1);
-        let mut take = |node: &NodeId| {
-            let in_cell = cells.get(node).and_then(|cell| left.get_mut(cell)).filter(|left| **left > 1);
-            in_cell.map(|left| *left -= 1).is_some()
+        let mut remaining: HashMap<u32, usize> = HashMap::new();
+        self.listed.iter().for_each(|m| *remaining.entry(m.cell).or_default() += 1);
+        let mut remove_from_cell = |node: &NodeId| {
+            let in_cell =
+                cells.get(node).and_then(|cell| remaining.get_mut(cell)).filter(|remaining| **remaining > 1);
+            in_cell.map(|remaining| *remaining -= 1).is_some()
         };
-        let says = |node: &NodeId| self.said(node, now).map(|(says, _)| says);
-        let avoided = self.listed.iter().filter(|m| says(&m.node) == Some(OverrideKind::Avoid));
-        let ruled = avoided.map(|m| m.node).filter(|node| take(node)).collect();
-        let judged = self.standing.iter().filter(|(node, _)| says(node).is_none());
-        let mut worst: Vec<(&NodeId, &Standing)> = judged.collect();
-        // What is out stays so before one that is as bad, lest they take turns.
+        let override_kind = |node: &NodeId| self.active_override(node, now).map(|(kind, _)| kind);
+        let avoided = self.listed.iter().filter(|m| override_kind(&m.node) == Some(OverrideKind::Avoid));
+        let avoided_by_override = avoided.map(|m| m.node).filter(|node| remove_from_cell(node)).collect();
+        let not_overridden = self.active.iter().filter(|(node, _)| override_kind(node).is_none());
+        let mut worst: Vec<(&NodeId, &ActiveVerdict)> = not_overridden.collect();
+        // Of equally bad nodes those already ejected come first, so that nodes don't alternate.
         worst.sort_by(|a, b| {
-            let key = |(node, s): &(&NodeId, &Standing)| (s.odds, self.out.contains(node), **node);
-            let ((x, was_x, i), (y, was_y, j)) = (key(a), key(b));
-            y.total_cmp(&x).then(was_y.cmp(&was_x)).then(i.cmp(&j))
+            let key = |(node, verdict): &(&NodeId, &ActiveVerdict)| {
+                (verdict.log_odds, self.ejected.contains(node), **node)
+            };
+            let ((odds_a, ejected_a, node_a), (odds_b, ejected_b, node_b)) = (key(a), key(b));
+            odds_b.total_cmp(&odds_a).then(ejected_b.cmp(&ejected_a)).then(node_a.cmp(&node_b))
         });
-        let mut out = HashSet::new();
+        let mut ejected = HashSet::new();
         for (node, _) in worst {
-            if out.len() < most && take(node) {
-                out.insert(*node);
+            if ejected.len() < max_ejected && remove_from_cell(node) {
+                ejected.insert(*node);
             }
         }
-        self.out = out;
-        self.ruled = ruled;
+        self.ejected = ejected;
+        self.avoided_by_override = avoided_by_override;
     }
 
-    /// Attempts a second that this proxy would send to each node that it uses.
-    fn each(&self) -> f64 {
-        let all: u32 = self.seen.values().map(AttemptCounts::total).sum();
-        f64::from(all) / self.settings.window().as_secs_f64() / self.seen.len().max(1) as f64
+    /// The mean number of attempts a second that this proxy makes at each node that it uses.
+    fn attempts_per_second_per_node(&self) -> f64 {
+        let all: u32 = self.own_counts.values().map(AttemptCounts::total).sum();
+        f64::from(all) / self.settings.window().as_secs_f64() / self.own_counts.len().max(1) as f64
     }
 
-    /// Nodes that this proxy is to avoid now, and what holds of them: those that an operator keeps out, and those that
-    /// a verdict does, but for those that it is among the few to try.
+    /// The nodes that this proxy has to avoid now, with the reasons: those that operators' overrides keep out, and the
+    /// ejected ones to which this proxy sends no trials.
     pub fn avoided_nodes(&self, now: Duration) -> Vec<(NodeId, Kind)> {
-        let ruled = self.ruled.iter().map(|node| (*node, Kind::Ruled));
-        let out = self.out.iter().filter_map(|node| Some((*node, self.standing.get(node)?)));
-        let out = out.filter(|(node, s)| !self.tries(*node, s, now)).map(|(node, s)| (node, s.kind));
-        ruled.chain(out).collect()
+        let by_override = self.avoided_by_override.iter().map(|node| (*node, Kind::Ruled));
+        let ejected = self.ejected.iter().filter_map(|node| Some((*node, self.active.get(node)?)));
+        let ejected = ejected
+            .filter(|(node, verdict)| !self.sends_trials(*node, verdict, now))
+            .map(|(node, verdict)| (node, verdict.kind));
+        by_override.chain(ejected).collect()
     }
 
-    fn tries(&self, node: NodeId, standing: &Standing, now: Duration) -> bool {
-        // Those that are not heard are as many again, in a fleet where not all hear all; those that are gone try nothing.
-        let others = self.settings.fleet_size.saturating_sub(1) as f64 / self.partners.max(1) as f64;
-        let answering = self.answering as f64 / self.partners.max(1) as f64;
-        let fleet = (1.0 + standing.met.len() as f64 * others * answering) * self.each();
-        standing.mine
-            && trial::tries(&self.settings, self.origin, node, now.saturating_sub(standing.since), fleet)
+    fn sends_trials(&self, node: NodeId, verdict: &ActiveVerdict, now: Duration) -> bool {
+        // Scales the known senders up to the whole fleet, and down by the partners that don't answer.
+        let peers_per_partner =
+            self.settings.fleet_size.saturating_sub(1) as f64 / self.partners.max(1) as f64;
+        let answering_fraction = self.answering_partners as f64 / self.partners.max(1) as f64;
+        let fleet_rate = (1.0 + verdict.senders.len() as f64 * peers_per_partner * answering_fraction)
+            * self.attempts_per_second_per_node();
+        verdict.sent_from_here
+            && trial::is_drawn_for_trials(
+                &self.settings,
+                self.own_id,
+                node,
+                now.saturating_sub(verdict.since),
+                fleet_rate,
+            )
     }
 
-    /// All verdicts that stand, and nodes that operators speak of; the clearest first.
+    /// Summaries of all active verdicts and overrides, sorted by descending log odds.
     pub fn summaries(&self, now: Duration) -> Vec<VerdictSummary> {
-        let mut reports = self.judged(now);
-        for node in self.said.keys().copied().filter(|node| self.known.contains(node)) {
-            let Some((says, left)) = self.said(&node, now) else { continue };
-            let ruling = Some((says, left.as_millis() as u64));
-            match reports.iter_mut().find(|report| report.node == node) {
-                Some(report) => report.operator_override = ruling,
-                None => reports.push(VerdictSummary {
+        let mut summaries = self.verdict_summaries(now);
+        for node in self.overrides.keys().copied().filter(|node| self.listed_ids.contains(node)) {
+            let Some((kind, remaining)) = self.active_override(&node, now) else { continue };
+            let operator_override = Some((kind, remaining.as_millis() as u64));
+            match summaries.iter_mut().find(|summary| summary.node == node) {
+                Some(summary) => summary.operator_override = operator_override,
+                None => summaries.push(VerdictSummary {
                     node,
                     kind: Kind::Ruled,
                     ejected: false,
                     sends_trials: false,
-                    operator_override: ruling,
+                    operator_override,
                     active_ms: 0,
                     oldest_report_ms: 0,
                     observers: 0,
@@ -403,33 +440,34 @@
                 }),
             }
         }
-        for report in &mut reports {
-            report.ejected |= self.ruled.contains(&report.node);
+        for summary in &mut summaries {
+            summary.ejected |= self.avoided_by_override.contains(&summary.node);
         }
-        reports.sort_by(|a, b| b.log_odds.total_cmp(&a.log_odds).then(a.node.cmp(&b.node)));
-        reports
+        summaries.sort_by(|a, b| b.log_odds.total_cmp(&a.log_odds).then(a.node.cmp(&b.node)));
+        summaries
     }
 
-    fn judged(&self, now: Duration) -> Vec<VerdictSummary> {
-        let reports: Vec<VerdictSummary> = self
-            .standing
+    fn verdict_summaries(&self, now: Duration) -> Vec<VerdictSummary> {
+        let summaries: Vec<VerdictSummary> = self
+            .active
             .iter()
-            .map(|(node, standing)| {
+            .map(|(node, verdict)| {
                 let mut sum = AttemptCounts::default();
-                self.weighed(*node, now).iter().for_each(|w| sum.add(&w.counts));
-                let words = self.words.get(node).into_iter().flat_map(BTreeMap::values);
-                let ages = words.map(|word| now.saturating_sub(word.rests.unwrap_or(word.made)));
+                self.collect_evidence(*node, now).iter().for_each(|evidence| sum.add(&evidence.counts));
+                let reports = self.reports.get(node).into_iter().flat_map(BTreeMap::values);
+                let ages = reports
+                    .map(|report| now.saturating_sub(report.claim_evidence_at.unwrap_or(report.written_at)));
                 let oldest = ages.max().unwrap_or_default();
                 VerdictSummary {
                     node: *node,
-                    kind: standing.kind,
-                    ejected: self.out.contains(node),
-                    sends_trials: self.out.contains(node) && self.tries(*node, standing, now),
+                    kind: verdict.kind,
+                    ejected: self.ejected.contains(node),
+                    sends_trials: self.ejected.contains(node) && self.sends_trials(*node, verdict, now),
                     operator_override: None,
-                    active_ms: now.saturating_sub(standing.since).as_millis() as u64,
+                    active_ms: now.saturating_sub(verdict.since).as_millis() as u64,
                     oldest_report_ms: oldest.as_millis() as u64,
-                    observers: standing.observers,
-                    log_odds: standing.odds,
+                    observers: verdict.observers,
+                    log_odds: verdict.log_odds,
                     required_log_odds: self.settings.required_log_odds(),
                     good: sum.good,
                     unreached: sum.unreached,
@@ -439,27 +477,45 @@
                 }
             })
             .collect();
-        reports
+        summaries
     }
 
-    /// What this proxy has seen of a node, and what it holds of it, as it says so.
-    fn own(&self, node: NodeId, counts: AttemptCounts, now: Duration) -> EvidenceEntry {
-        let others = (self.others(node) * 255.0).round() as u8;
-        let held = self.standing.get(&node).filter(|s| self.sampled && s.kind != Kind::Link);
-        let age = |s: &Standing| {
-            u16::try_from(now.saturating_sub(s.rests).as_millis().div_ceil(u128::from(AGE_UNIT)))
+    /// The entry with this proxy's counts and, in a partial mesh, its verdict on a node.
+    fn own_entry(&self, node: NodeId, counts: AttemptCounts, now: Duration) -> EvidenceEntry {
+        let bad_elsewhere_255ths = (self.bad_fraction_elsewhere(node) * 255.0).round() as u8;
+        let claimable =
+            self.active.get(&node).filter(|verdict| self.is_partial_mesh && verdict.kind != Kind::Link);
+        let evidence_age = |verdict: &ActiveVerdict| {
+            u16::try_from(
+                now.saturating_sub(verdict.latest_evidence_at)
+                    .as_millis()
+                    .div_ceil(u128::from(CLAIM_AGE_UNIT_MS)),
+            )
         };
-        let claim = held.and_then(|s| Some((s.claim, age(s).ok().filter(|age| *age <= MOST_AGE)?)));
-        let parts = self.parts.get(&node).copied().unwrap_or_default();
-        EvidenceEntry { version: self.version, zone: self.zone, node, counts, parts, others, claim }
+        let claim = claimable.and_then(|verdict| {
+            Some((verdict.claim, evidence_age(verdict).ok().filter(|age| *age <= MAX_CLAIM_AGE)?))
+        });
+        let parts = self.own_parts.get(&node).copied().unwrap_or_default();
+        EvidenceEntry {
+            version: self.version,
+            zone: self.zone_hash,
+            node,
+            counts,
+            parts,
+            bad_elsewhere_255ths,
+            claim,
+        }
     }
 }
 
-/// A verdict or something that went wrong makes a node one that all are asked of.
-fn in_question(verdicts: &Verdicts, node: NodeId) -> bool {
-    verdicts.standing.contains_key(&node)
-        || verdicts.seen.get(&node).is_some_and(|counts| counts.bad() > 0)
-        || verdicts.words.get(&node).is_some_and(|words| words.values().any(|w| w.entry.counts.bad() > 0))
+/// Whether there is a verdict or any evidence against a node, so that proxies exchange their evidence on it.
+fn is_suspect(verdicts: &Verdicts, node: NodeId) -> bool {
+    verdicts.active.contains_key(&node)
+        || verdicts.own_counts.get(&node).is_some_and(|counts| counts.bad() > 0)
+        || verdicts
+            .reports
+            .get(&node)
+            .is_some_and(|reports| reports.values().any(|report| report.entry.counts.bad() > 0))
 }
 
 impl TopicHandler for Verdicts {
@@ -467,23 +523,25 @@
         EVIDENCE_TOPIC
     }
 
-    /// What was seen of nodes that are in question, in turns where there is more than fits.
-    fn write_payload(&mut self, to: ProxyId, room: usize, now: Duration) -> Vec<u8> {
+    /// Writes entries on suspect nodes. If there are more than fit, each datagram to a partner continues where the
+    /// previous one ended.
+    fn write_payload(&mut self, to: ProxyId, capacity: usize, now: Duration) -> Vec<u8> {
         self.version = self.version.wrapping_add(1);
-        let fits = room / ENTRY_BYTES;
-        let seen = |node: NodeId| self.seen.get(&node).copied().unwrap_or_default();
-        let all = self.listed.iter().map(|m| m.node).filter(|node| in_question(self, *node));
-        let mut own: Vec<EvidenceEntry> = all.map(|node| self.own(node, seen(node), now)).collect();
-        own.retain(|entry| entry.counts.total() > 0 || entry.claim.is_some());
-        if own.len() > fits {
-            // For each partner by itself: a count over all would show each always the same part, where their number fits.
-            let turn = self.turns.entry(to).or_default();
-            let by = *turn % own.len();
-            *turn = by + fits;
-            own.rotate_left(by);
+        let max_entries = capacity / ENTRY_BYTES;
+        let own_counts = |node: NodeId| self.own_counts.get(&node).copied().unwrap_or_default();
+        let suspects = self.listed.iter().map(|m| m.node).filter(|node| is_suspect(self, *node));
+        let mut entries: Vec<EvidenceEntry> =
+            suspects.map(|node| self.own_entry(node, own_counts(node), now)).collect();
+        entries.retain(|entry| entry.counts.total() > 0 || entry.claim.is_some());
+        if entries.len() > max_entries {
+            // One position for all partners could show each partner the same entries every time.
+            let next_position = self.next_position.entry(to).or_default();
+            let start = *next_position % entries.len();
+            *next_position = start + max_entries;
+            entries.rotate_left(start);
         }
-        let mut bytes = Vec::with_capacity(room);
-        own.iter().take(fits).for_each(|entry| entry.write(&mut bytes));
+        let mut bytes = Vec::with_capacity(capacity);
+        entries.iter().take(max_entries).for_each(|entry| entry.write(&mut bytes));
         bytes
     }
 
@@ -493,46 +551,57 @@
         if age > window {
             return true;
         }
-        let made = now.saturating_sub(age);
+        let written_at = now.saturating_sub(age);
         for entry in entries {
-            if !self.known.contains(&entry.node) {
+            if !self.listed_ids.contains(&entry.node) {
                 continue;
             }
-            // What lies beyond the window speaks for nothing any more.
-            let rested =
-                |(_, rested)| age.saturating_add(Duration::from_millis(AGE_UNIT * u64::from(rested)));
-            let rested = entry.claim.map(rested).filter(|rested| self.sampled && *rested <= window);
-            let rests = rested.map(|rested| now.saturating_sub(rested));
-            let words = self.words.entry(entry.node).or_default();
-            let new = Word { incarnation: from.incarnation, entry, made, rests };
-            match words.get_mut(&from.proxy) {
-                // It came late: what is here was said after it.
-                Some(word)
-                    if word.incarnation == from.incarnation && older(entry.version, word.entry.version) => {}
-                Some(word) => *word = new,
+            let evidence_age = |(_, claim_age)| {
+                age.saturating_add(Duration::from_millis(CLAIM_AGE_UNIT_MS * u64::from(claim_age)))
+            };
+            // A claim whose evidence is older than the window is ignored.
+            let evidence_age = entry
+                .claim
+                .map(evidence_age)
+                .filter(|evidence_age| self.is_partial_mesh && *evidence_age <= window);
+            let claim_evidence_at = evidence_age.map(|evidence_age| now.saturating_sub(evidence_age));
+            let reports = self.reports.entry(entry.node).or_default();
+            let new = PeerReport { incarnation: from.incarnation, entry, written_at, claim_evidence_at };
+            match reports.get_mut(&from.proxy) {
+                // The datagram was overtaken by a later one.
+                Some(report)
+                    if report.incarnation == from.incarnation
+                        && is_older_version(entry.version, report.entry.version) => {}
+                Some(report) => *report = new,
                 None => {
-                    words.insert(from.proxy, new);
+                    reports.insert(from.proxy, new);
                 }
             }
-            if words.len() > MOST_WORDS {
-                let oldest = words.iter().min_by_key(|(_, word)| word.made).map(|(name, _)| *name);
-                oldest.map(|name| words.remove(&name));
+            if reports.len() > MAX_REPORTS_PER_NODE {
+                let oldest =
+                    reports.iter().min_by_key(|(_, report)| report.written_at).map(|(proxy, _)| *proxy);
+                oldest.map(|proxy| reports.remove(&proxy));
             }
         }
         true
     }
 }
 
-/// What was seen, by parts, once it is so much older: what leaves the window is in none.
-fn older_by(parts: [WindowPart; WINDOW_PARTS], age: Duration, each: Duration) -> [WindowPart; WINDOW_PARTS] {
-    let by =
-        usize::try_from(age.as_nanos() / each.as_nanos().max(1)).unwrap_or(WINDOW_PARTS).min(WINDOW_PARTS);
-    let mut older = [WindowPart::default(); WINDOW_PARTS];
-    older[by..].copy_from_slice(&parts[..WINDOW_PARTS - by]);
-    older
+/// Shifts the parts of a report by its age; attempts beyond the window are dropped.
+fn shift_parts(
+    parts: [WindowPart; WINDOW_PARTS],
+    age: Duration,
+    part_length: Duration,
+) -> [WindowPart; WINDOW_PARTS] {
+    let shift = usize::try_from(age.as_nanos() / part_length.as_nanos().max(1))
+        .unwrap_or(WINDOW_PARTS)
+        .min(WINDOW_PARTS);
+    let mut shifted = [WindowPart::default(); WINDOW_PARTS];
+    shifted[shift..].copy_from_slice(&parts[..WINDOW_PARTS - shift]);
+    shifted
 }
 
-/// Versions begin anew behind the last one.
-fn older(version: u32, than: u32) -> bool {
+/// Whether a version precedes another one; versions wrap around.
+fn is_older_version(version: u32, than: u32) -> bool {
     version.wrapping_sub(than) > u32::MAX / 2
 }
--- a/crates/verdicts/src/snapshot.rs
+++ b/crates/verdicts/src/snapshot.rs
@@ -1,17 +1,17 @@
-//! What a process knew, as bytes for the one that comes after it at the same place: attempts that it saw, words that it
-//! heard, verdicts, operators' words, and what is usual for each class.
+//! Stores the state of a process as bytes for its successor on the same host: attempt counts, reports of other proxies,
+//! verdicts, operators' overrides, and the typical latency of each class.
 //!
-//! What holds:
+//! Invariants:
 //!
-//! - *Age.* Each thing is kept with its greatest age, and counts on from there by the clock of the machine, which goes
-//!   on while no process runs and while the machine sleeps ([`BootTime`]). So nothing seems younger to the new process than
-//!   it was: the bound on staleness and the ends of rulings hold across a start. A snapshot of before a start of the
-//!   machine is refused, as no clock tells its age.
-//! - *Whole.* It is sealed with the fleet's key for one proxy, and refused whole where a byte of it, its version, or its
-//!   time is not as it must be.
-//! - *Bounds.* At most [`MAX_SNAPSHOT_BYTES`] bytes: what does not fit is left out, the words of others first, as they are
-//!   told anew.
-//! - *Nothing by itself.* A verdict that was held is weighed anew on what is left of its evidence.
+//! - *Age.* Everything is stored with its largest age, which continues by the host's clock while no process runs and
+//!   while the host sleeps ([`BootTime`]). So nothing seems younger to the successor than it is, and the limits on the
+//!   age of evidence and on the duration of overrides hold across a restart. A snapshot of an earlier boot is refused,
+//!   as no clock tells its age.
+//! - *Integrity.* A snapshot carries an authentication tag made with the fleet's key for one proxy. It is refused as a
+//!   whole if a byte of it was changed, or if its version or its time is invalid.
+//! - *Size.* A snapshot has at most [`MAX_SNAPSHOT_BYTES`]. What does not fit is left out, first the reports of other
+//!   proxies, as these send them again.
+//! - *Evidence.* A restored verdict stays active only if the remaining evidence supports it.
 
 use crate::wire::ENTRY_BYTES;
 use crate::{AttemptCounts, OperatorOverrides, Verdicts};
@@ -20,249 +20,284 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Bytes of a snapshot at most.
+/// The largest length of a snapshot.
 pub const MAX_SNAPSHOT_BYTES: usize = 1 << 20;
 const MAGIC: [u8; 8] = *b"dewpknow";
 const VERSION: u16 = 1;
-/// Magic, version, boot, time.
-const HEAD: usize = 8 + 2 + 16 + 8;
-/// One that is older holds nothing that could count: the longest ruling has ended.
-const OLDEST: Duration = crate::MAX_OVERRIDE_DURATION;
+/// The length of magic number, version, boot id and time.
+const HEADER_BYTES: usize = 8 + 2 + 16 + 8;
+/// In an older snapshot even the longest override has ended.
+const MAX_SNAPSHOT_AGE: Duration = crate::MAX_OVERRIDE_DURATION;
 
-/// A moment on the clock of a machine, which begins at its start and goes on while it sleeps.
+/// A point in time on the host's clock, which starts at boot and continues while the host sleeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BootTime {
-    /// Which start of which machine.
+    /// A random number that identifies the boot.
     pub boot_id: u128,
-    /// How long after it.
+    /// The time since boot.
     pub since_boot: Duration,
 }
 
-/// Why a snapshot counts for nothing.
+/// Why a snapshot was refused.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// Too long, or too short to be one.
-    #[error("{0} bytes: expected {least} to {MAX_SNAPSHOT_BYTES}", least = HEAD + TAG_BYTES)]
+    /// The length, given in bytes, is out of range.
+    #[error("{0} bytes: expected {min} to {MAX_SNAPSHOT_BYTES}", min = HEADER_BYTES + TAG_BYTES)]
     Size(usize),
-    /// It begins with something else.
+    /// The magic number is missing.
     #[error("byte 0: expected a snapshot of verdicts, which begins with 'dewpknow'")]
-    Other,
-    /// Of a version that can't be read here.
+    NotASnapshot,
+    /// The version is not supported.
     #[error("byte 8: version {0}, expected {VERSION}")]
     Version(u16),
-    /// Bytes were changed, or it is of another proxy or another key.
-    #[error("its seal does not fit: expected one of this proxy with this fleet's key")]
-    Seal,
-    /// The machine was started since, or it is another one.
-    #[error("byte 10: kept before this start of the machine, so that its age is not known")]
-    Boot,
-    /// Of the future, or too old.
-    #[error("byte 26: kept {kept_ms} ms after the start of the machine, at {now_ms} ms now: expected 0 s to {most} s ago", most = OLDEST.as_secs())]
+    /// Bytes were changed, or the snapshot is of another proxy or made with another key.
+    #[error("the authentication tag does not match: expected that of this proxy with the key of its fleet")]
+    InvalidTag,
+    /// The host was booted since, or the snapshot is of another host.
+    #[error("byte 10: stored in another boot of the host, so that its age is not known: expected this boot")]
+    OtherBoot,
+    /// The snapshot is of the future or too old.
+    #[error("byte 26: stored {stored_ms} ms after boot, read {now_ms} ms after boot: expected an age of 0 s to {max} s", max = MAX_SNAPSHOT_AGE.as_secs())]
     Time {
-        /// When it was kept,
-        kept_ms: u64,
-        /// and when it was read.
+        /// When the snapshot was stored, in milliseconds since boot.
+        stored_ms: u64,
+        /// When it was read, in milliseconds since boot.
         now_ms: u64,
     },
-    /// The seal fits, and what is in it does not.
-    #[error("byte {at}: {0}", at = HEAD)]
+    /// The authentication tag is valid, but the content can't be decoded.
+    #[error("byte {at}: {0}", at = HEADER_BYTES)]
     Body(String),
 }
 
-/// Attempts at a node, none longer ago than that.
+/// Counts of attempts at a node, none of them older than the age.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct KeptSeen {
+pub(crate) struct StoredCounts {
     pub node: u64,
     pub age_ms: u64,
     #[serde(rename = "tally")]
     pub counts: AttemptCounts,
 }
 
-/// What is usual for a class.
+/// The typical latency of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct KeptUsual {
+pub(crate) struct StoredLatency {
+    /// The hash of the name of the class.
     pub class: u64,
     pub samples: u64,
-    pub log: f64,
+    #[serde(rename = "log")]
+    pub mean_log_seconds: f64,
 }
 
-/// An operator's word, with the time that is left.
+/// An operator's override.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct KeptRuling {
+pub(crate) struct StoredOverride {
     pub node: u64,
     #[serde(rename = "says")]
     pub kind: u8,
-    pub holds_ms: u64,
-    pub kept_ms: u64,
+    /// The time until the override ends.
+    #[serde(rename = "holds_ms")]
+    pub remaining_ms: u64,
+    /// The time until the override is forgotten.
+    #[serde(rename = "kept_ms")]
+    pub remembered_ms: u64,
     pub version: u32,
     pub origin: u32,
 }
 
-/// A word of another proxy.
+/// A report of another proxy on a node.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct KeptWord {
-    pub name: u64,
+pub(crate) struct StoredReport {
+    #[serde(rename = "name")]
+    pub proxy: u64,
     #[serde(rename = "life")]
     pub incarnation: u32,
     pub age_ms: u64,
-    pub rests_ms: Option<u64>,
+    /// The age of the evidence behind the verdict that the report claims.
+    #[serde(rename = "rests_ms")]
+    pub claim_evidence_age_ms: Option<u64>,
     pub entry: [u8; ENTRY_BYTES],
 }
 
-/// A verdict that stands.
+/// An active verdict on a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct KeptStanding {
+pub(crate) struct StoredVerdict {
     pub node: u64,
     pub kind: u8,
     #[serde(rename = "plain")]
     pub severe: bool,
-    pub since_ms: u64,
-    pub rests_ms: u64,
-    pub mine: bool,
-    pub met: Vec<u64>,
+    /// The age of the verdict.
+    #[serde(rename = "since_ms")]
+    pub age_ms: u64,
+    /// The age of the latest evidence for the verdict.
+    #[serde(rename = "rests_ms")]
+    pub evidence_age_ms: u64,
+    #[serde(rename = "mine")]
+    pub sent_from_here: bool,
+    #[serde(rename = "met")]
+    pub senders: Vec<u64>,
 }
 
-/// What a process knew at one moment.
+/// The state of a process at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    usual: Vec<KeptUsual>,
-    rulings: Vec<KeptRuling>,
-    seen: Vec<KeptSeen>,
-    standing: Vec<KeptStanding>,
-    words: Vec<KeptWord>,
+    #[serde(rename = "usual")]
+    latencies: Vec<StoredLatency>,
+    #[serde(rename = "rulings")]
+    overrides: Vec<StoredOverride>,
+    #[serde(rename = "seen")]
+    counts: Vec<StoredCounts>,
+    #[serde(rename = "standing")]
+    verdicts: Vec<StoredVerdict>,
+    #[serde(rename = "words")]
+    reports: Vec<StoredReport>,
 }
 
-/// What a process knows that a snapshot is of, or goes to.
+/// The live state that a snapshot is captured from or restored into.
 pub struct LiveState<'a> {
     /// Evidence and verdicts.
     pub verdicts: &'a mut Verdicts,
-    /// Operators' words.
+    /// Operators' overrides.
     pub overrides: &'a mut OperatorOverrides,
-    /// The names of its classes, in their order.
+    /// The names of the request classes, in their order.
     pub classes: &'a [String],
 }
 
-/// How much was taken up: what is too old, not of the fleet or not listed is not.
+/// The numbers of restored items. Items that are too old, of proxies outside the fleet, or on unlisted nodes are not
+/// restored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Restored {
-    /// Tallies of attempts, by node and slot.
+    /// Attempt counts, by node and slot of the window.
     pub attempt_counts: usize,
-    /// Words of other proxies.
+    /// Reports of other proxies.
     pub reports: usize,
-    /// Verdicts, to be weighed anew.
+    /// Verdicts, which the next judgement confirms or ends.
     pub verdicts: usize,
-    /// Operators' words.
+    /// Operators' overrides.
     pub overrides: usize,
 }
 
-/// Milliseconds, rounded up: an age must not come out smaller.
-pub(crate) fn millis_up(age: Duration) -> u64 {
+/// Converts an age to milliseconds, rounded up so that it does not get smaller.
+pub(crate) fn millis_rounded_up(age: Duration) -> u64 {
     u64::try_from(age.as_nanos().div_ceil(1_000_000)).unwrap_or(u64::MAX)
 }
 
-fn keys(classes: &[String]) -> Vec<u64> {
+fn hash_class_names(classes: &[String]) -> Vec<u64> {
     classes.iter().map(|name| xxhash_rust::xxh3::xxh3_64(name.as_bytes())).collect()
 }
 
 impl Snapshot {
-    /// What is known now.
-    pub fn capture(known: &LiveState, now: Duration) -> Self {
-        let LiveState { verdicts, overrides: rulings, classes } = known;
+    /// Captures the current state.
+    pub fn capture(state: &LiveState, now: Duration) -> Self {
+        let LiveState { verdicts, overrides, classes } = state;
         Self {
-            usual: verdicts.observer.usual(&keys(classes)),
-            rulings: rulings.kept(now),
-            seen: verdicts.observer.kept(now),
-            standing: verdicts.kept_standing(now),
-            words: verdicts.kept_words(now),
+            latencies: verdicts.observer.stored_latencies(&hash_class_names(classes)),
+            overrides: overrides.stored(now),
+            counts: verdicts.observer.stored_counts(now),
+            verdicts: verdicts.stored_verdicts(now),
+            reports: verdicts.stored_reports(now),
         }
     }
 
-    /// Goes on from it, `since` after it was kept. Nodes have to be listed by then, words count of proxies that `others`
-    /// knows; what has come to be known since the start goes before what was kept.
+    /// Restores the state that was stored `elapsed` ago. Nodes have to be listed before; reports are restored only of
+    /// proxies for which `is_peer` is true. State acquired since the start takes precedence.
     pub fn restore(
         &self,
-        known: &mut LiveState,
-        others: impl Fn(ProxyId) -> bool,
-        since: Duration,
+        state: &mut LiveState,
+        is_peer: impl Fn(ProxyId) -> bool,
+        elapsed: Duration,
         now: Duration,
     ) -> Restored {
-        let LiveState { verdicts, overrides: rulings, classes } = known;
-        verdicts.observer.take_up_usual(&self.usual, &keys(classes));
+        let LiveState { verdicts, overrides, classes } = state;
+        verdicts.observer.restore_latencies(&self.latencies, &hash_class_names(classes));
         Restored {
-            attempt_counts: verdicts.observer.restore(&self.seen, since, now),
-            reports: verdicts.take_up_words(&self.words, others, since, now),
-            verdicts: verdicts.take_up_standing(&self.standing, since, now),
-            overrides: rulings.restore(&self.rulings, since, now),
+            attempt_counts: verdicts.observer.restore_counts(&self.counts, elapsed, now),
+            reports: verdicts.restore_reports(&self.reports, is_peer, elapsed, now),
+            verdicts: verdicts.restore_verdicts(&self.verdicts, elapsed, now),
+            overrides: overrides.restore(&self.overrides, elapsed, now),
         }
     }
 
-    /// The bytes that are kept, sealed for that proxy. `when` has to be read before [`Snapshot::capture`], so that no age
-    /// comes out smaller.
-    pub fn encode(mut self, key: &Key, me: ProxyId, when: BootTime) -> Result<Vec<u8>, SnapshotError> {
+    /// Encodes the snapshot with an authentication tag of that proxy. `stored_at` has to be read before
+    /// [`Snapshot::capture`], so that no age gets smaller. Fails if the snapshot is too long even without reports,
+    /// counts and verdicts.
+    pub fn encode(
+        mut self,
+        key: &Key,
+        own_id: ProxyId,
+        stored_at: BootTime,
+    ) -> Result<Vec<u8>, SnapshotError> {
         let fits = |bytes: &Vec<u8>| bytes.len() <= MAX_SNAPSHOT_BYTES;
-        let mut bytes = self.bytes(key, me, when)?;
+        let mut bytes = self.to_bytes(key, own_id, stored_at)?;
         if !fits(&bytes) {
-            // Others tell it anew in a round or two.
-            self.words.clear();
-            bytes = self.bytes(key, me, when)?;
+            // Other proxies send their reports again.
+            self.reports.clear();
+            bytes = self.to_bytes(key, own_id, stored_at)?;
         }
         if !fits(&bytes) {
-            (self.seen, self.standing) = (Vec::new(), Vec::new());
-            bytes = self.bytes(key, me, when)?;
+            (self.counts, self.verdicts) = (Vec::new(), Vec::new());
+            bytes = self.to_bytes(key, own_id, stored_at)?;
         }
         Some(bytes).filter(fits).ok_or(SnapshotError::Size(MAX_SNAPSHOT_BYTES + 1))
     }
 
-    fn bytes(&self, key: &Key, me: ProxyId, when: BootTime) -> Result<Vec<u8>, SnapshotError> {
+    fn to_bytes(&self, key: &Key, own_id: ProxyId, stored_at: BootTime) -> Result<Vec<u8>, SnapshotError> {
         let mut bytes = MAGIC.to_vec();
         bytes.extend(VERSION.to_be_bytes());
-        bytes.extend(when.boot_id.to_be_bytes());
-        // Rounded down, and up where it is read: its age is not smaller than it is.
-        bytes.extend(u64::try_from(when.since_boot.as_millis()).unwrap_or(u64::MAX).to_be_bytes());
-        let said = |error: postcard::Error| SnapshotError::Body(error.to_string());
-        bytes.extend(postcard::to_stdvec(self).map_err(said)?);
-        let seal = key.compute_tag(me, &bytes);
-        bytes.extend(seal);
+        bytes.extend(stored_at.boot_id.to_be_bytes());
+        // Rounded down here and up when read, so that the age does not get smaller.
+        bytes.extend(u64::try_from(stored_at.since_boot.as_millis()).unwrap_or(u64::MAX).to_be_bytes());
+        let to_body_error = |error: postcard::Error| SnapshotError::Body(error.to_string());
+        bytes.extend(postcard::to_stdvec(self).map_err(to_body_error)?);
+        let tag = key.compute_tag(own_id, &bytes);
+        bytes.extend(tag);
         Ok(bytes)
     }
 
-    /// Reads what was kept, whole or not at all, and how long ago that was at `now`.
+    /// Authenticates and decodes a snapshot. Returns it with the time since it was stored.
     pub fn decode(
         bytes: &[u8],
         key: &Key,
-        me: ProxyId,
+        own_id: ProxyId,
         now: BootTime,
     ) -> Result<(Self, Duration), SnapshotError> {
-        let size = SnapshotError::Size(bytes.len());
+        let size_error = SnapshotError::Size(bytes.len());
         if bytes.len() > MAX_SNAPSHOT_BYTES {
-            return Err(size);
+            return Err(size_error);
         }
-        let Some((said, seal)) = bytes.split_last_chunk::<TAG_BYTES>() else { return Err(size) };
-        let Some((head, body)) = said.split_first_chunk::<HEAD>() else { return Err(size) };
+        let Some((content, tag)) = bytes.split_last_chunk::<TAG_BYTES>() else { return Err(size_error) };
+        let Some((header, body)) = content.split_first_chunk::<HEADER_BYTES>() else {
+            return Err(size_error);
+        };
         let number = |from: usize, to: usize| {
-            head[from..to].iter().fold(0u128, |number, byte| number << 8 | u128::from(*byte))
+            header[from..to].iter().fold(0u128, |number, byte| number << 8 | u128::from(*byte))
         };
-        if head[..8] != MAGIC {
-            return Err(SnapshotError::Other);
+        if header[..8] != MAGIC {
+            return Err(SnapshotError::NotASnapshot);
         }
         let version = number(8, 10) as u16;
         if version != VERSION {
             return Err(SnapshotError::Version(version));
         }
-        if !key.is_valid_tag(me, said, seal) {
-            return Err(SnapshotError::Seal);
+        if !key.is_valid_tag(own_id, content, tag) {
+            return Err(SnapshotError::InvalidTag);
         }
         if number(10, 26) != now.boot_id {
-            return Err(SnapshotError::Boot);
+            return Err(SnapshotError::OtherBoot);
         }
-        let (kept_ms, now_ms) = (number(26, 34) as u64, millis_up(now.since_boot));
-        let since = now_ms.checked_sub(kept_ms).map(Duration::from_millis).filter(|since| *since <= OLDEST);
-        let Some(since) = since else { return Err(SnapshotError::Time { kept_ms, now_ms }) };
-        let unreadable = |error: postcard::Error| SnapshotError::Body(error.to_string());
-        let (snapshot, rest) = postcard::take_from_bytes(body).map_err(unreadable)?;
+        let (stored_ms, now_ms) = (number(26, 34) as u64, millis_rounded_up(now.since_boot));
+        let elapsed = now_ms
+            .checked_sub(stored_ms)
+            .map(Duration::from_millis)
+            .filter(|elapsed| *elapsed <= MAX_SNAPSHOT_AGE);
+        let Some(elapsed) = elapsed else { return Err(SnapshotError::Time { stored_ms, now_ms }) };
+        let to_body_error = |error: postcard::Error| SnapshotError::Body(error.to_string());
+        let (snapshot, rest) = postcard::take_from_bytes(body).map_err(to_body_error)?;
         match rest {
-            [] => Ok((snapshot, since)),
-            more => Err(SnapshotError::Body(format!("expected its end, found {} bytes more", more.len()))),
+            [] => Ok((snapshot, elapsed)),
+            rest => Err(SnapshotError::Body(format!(
+                "expected the end of the snapshot, found {} more bytes",
+                rest.len()
+            ))),
         }
     }
 }
--- a/crates/verdicts/src/trial.rs
+++ b/crates/verdicts/src/trial.rs
@@ -1,27 +1,35 @@
-//! Who tries a node that is out: a few of the fleet in each turn, each coming to that by itself.
+//! Selects the proxies that send trial attempts to an ejected node: a few in each turn, drawn without coordination.
 
 use crate::{NodeId, ProcessId, Settings};
 use std::time::Duration;
 
-/// Turns in the bound on staleness. What was seen in one counts over two of them, so that a verdict which the
-/// trials bear out does not lapse in between.
+/// The number of turns in the maximum evidence age. An observation counts for two turns, so that a verdict which
+/// trials confirm does not lapse between them.
 const TURNS: u32 = 4;
 
-/// This proxy may send to it now. `fleet` is the rate at which all proxies would send there, in attempts a second,
-/// were the node sound. Drawn by hash anew in each turn, so that a proxy that can't tell takes none of the fleet's chances
-/// for long; the turns of all proxies need not begin together.
-pub fn tries(settings: &Settings, me: ProcessId, node: NodeId, out_for: Duration, fleet: f64) -> bool {
-    let turn = settings.max_evidence_age / TURNS;
-    let number = out_for.as_millis() / turn.as_millis().max(1);
-    if number == 0 {
-        return false; // what condemned it is as fresh
+/// Whether this process is drawn to send requests to an ejected node now. `fleet_rate` is the number of attempts a
+/// second that all proxies together would make at the node if it were healthy. The draw is a hash that changes each
+/// turn, so that a proxy which cannot reach the node does not occupy a place for long; turns of different proxies need
+/// not start together.
+pub fn is_drawn_for_trials(
+    settings: &Settings,
+    own_id: ProcessId,
+    node: NodeId,
+    ejected_for: Duration,
+    fleet_rate: f64,
+) -> bool {
+    let turn_length = settings.max_evidence_age / TURNS;
+    let turn = ejected_for.as_millis() / turn_length.as_millis().max(1);
+    if turn == 0 {
+        return false; // the evidence for the verdict is no older than a turn
     }
-    let part = (settings.trials_per_turn / (fleet * turn.as_secs_f64()).max(f64::MIN_POSITIVE)).min(1.0);
+    let drawn_fraction =
+        (settings.trials_per_turn / (fleet_rate * turn_length.as_secs_f64()).max(f64::MIN_POSITIVE)).min(1.0);
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
     hasher.update(&node.0.to_be_bytes());
-    hasher.update(&me.0.to_be_bytes());
-    hasher.update(&number.to_be_bytes());
-    (hasher.digest() as f64) < part * u64::MAX as f64
+    hasher.update(&own_id.0.to_be_bytes());
+    hasher.update(&turn.to_be_bytes());
+    (hasher.digest() as f64) < drawn_fraction * u64::MAX as f64
 }
 
 #[cfg(test)]
@@ -29,30 +37,44 @@
     use super::*;
 
     #[test]
-    fn the_fleet_tries_about_as_often_as_it_is_set_whatever_its_size() {
+    fn fleets_of_any_size_make_about_the_configured_number_of_trials() {
         for proxies in [10usize, 100, 1000] {
             let settings = Settings::default();
             // 40 attempts a second in all, at 8 nodes.
-            let each = 5.0 / proxies as f64;
-            let turn = settings.max_evidence_age.as_secs_f64() / 4.0;
+            let rate_per_proxy = 5.0 / proxies as f64;
+            let turn_seconds = settings.max_evidence_age.as_secs_f64() / 4.0;
             let turns = 200;
-            let tried: usize = (1..=turns)
-                .map(|n| {
-                    let out_for = settings.max_evidence_age / 4 * n;
+            let drawn: usize = (1..=turns)
+                .map(|turn| {
+                    let ejected_for = settings.max_evidence_age / 4 * turn;
                     (0..proxies)
-                        .filter(|me| tries(&settings, ProcessId(*me as u32), NodeId(5), out_for, 5.0))
+                        .filter(|id| {
+                            is_drawn_for_trials(&settings, ProcessId(*id as u32), NodeId(5), ejected_for, 5.0)
+                        })
                         .count()
                 })
                 .sum();
-            let attempts = tried as f64 * each * turn / f64::from(turns);
+            let attempts = drawn as f64 * rate_per_proxy * turn_seconds / f64::from(turns);
             assert!((2.3..3.7).contains(&attempts), "{proxies}: {attempts} a turn");
-            assert!(!tries(&settings, ProcessId(0), NodeId(5), settings.max_evidence_age / 5, 5.0));
+            assert!(!is_drawn_for_trials(
+                &settings,
+                ProcessId(0),
+                NodeId(5),
+                settings.max_evidence_age / 5,
+                5.0
+            ));
         }
     }
 
     #[test]
-    fn where_little_is_sent_all_try() {
+    fn all_proxies_send_trials_where_traffic_is_low() {
         let settings = Settings::default();
-        assert!((0..3).all(|me| tries(&settings, ProcessId(me), NodeId(1), Duration::from_secs(8), 0.03)));
+        assert!((0..3).all(|id| is_drawn_for_trials(
+            &settings,
+            ProcessId(id),
+            NodeId(1),
+            Duration::from_secs(8),
+            0.03
+        )));
     }
 }
--- a/crates/verdicts/tests/kept.rs
+++ b/crates/verdicts/tests/kept.rs
@@ -116,8 +116,8 @@
     let error_text = |bytes: &[u8], key: &Key, proxy, now| {
         Snapshot::decode(bytes, key, proxy_id(proxy), now).unwrap_err().to_string()
     };
-    assert!(error_text(&bytes, &key(), 4, stored_at).contains("seal"), "of another proxy");
-    assert!(error_text(&bytes, &Key::from_secret(b"y"), 3, stored_at).contains("seal"));
+    assert!(error_text(&bytes, &key(), 4, stored_at).contains("authentication tag"), "of another proxy");
+    assert!(error_text(&bytes, &Key::from_secret(b"y"), 3, stored_at).contains("authentication tag"));
     assert!(error_text(&bytes, &key(), 3, BootTime { boot_id: 1, ..stored_at }).starts_with("byte 10"));
     for at in [stored_at.since_boot - seconds(1), stored_at.since_boot + MAX_OVERRIDE_DURATION + seconds(1)] {
         assert!(
