--- a/crates/dewpier/src/config/planners.rs
+++ b/crates/dewpier/src/config/planners.rs
@@ -5,7 +5,7 @@
 use super::secured::{RawTls, drain_bound, fitting, reached, secured};
 use dewpier_plan::io::Files;
 use dewpier_plan::{DrainBound, MOST_NAME, MOST_NODES, MOST_PLANNERS};
-use gannetproxy::engine::MOST_HELD;
+use gannetproxy::engine::MAX_QUEUED_SECONDS;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -64,7 +64,7 @@
     let nodes = whole(&raw.nodes, "nodes", [1, MOST_NODES as i64], 1)?;
     let drains = drain_bound(&raw.drain_ms)?;
     let beat = fitting(&raw.beat_ms, "beat_ms", drains, drains.beats(), drains.beat())?;
-    let spreads = drains.spreads(beat, Duration::from_secs_f64(MOST_HELD));
+    let spreads = drains.spreads(beat, Duration::from_secs_f64(MAX_QUEUED_SECONDS));
     let spread = drains.left(beat);
     let spread = fitting(&raw.own_watch_spread_ms, "own_watch_spread_ms", drains, spreads, spread)?;
     Ok(Planners {
--- a/crates/dewpier/src/feed.rs
+++ b/crates/dewpier/src/feed.rs
@@ -8,7 +8,7 @@
 use dewpier_inventory::{Backend, State};
 use dewpier_plan::{Digest, MOST_COUNTED};
 use gannetproxy::BackendId;
-use gannetproxy::engine::{Counts, Engine, Lease, News, Upstream};
+use gannetproxy::engine::{BackendCounts, BackendListUpdate, Engine, Lease, Upstream};
 use std::cmp::Reverse;
 use std::collections::HashMap;
 use std::collections::hash_map::RandomState;
@@ -53,8 +53,8 @@
         let first = std::mem::take(&mut self.first);
         let news = self.members.news(&pairs(&first), &self.lists.ages(), engine.clock().now());
         self.fleet.iter().for_each(|fleet| fleet.list(self.members.nodes()));
-        engine.news(match news {
-            News::Full(list) => News::Remembered(list),
+        engine.update_list(match news {
+            BackendListUpdate::Full(list) => BackendListUpdate::Remembered(list),
             other => other,
         });
         self.lists.taken();
@@ -74,14 +74,14 @@
                     Ok(list) => {
                         let news = members.news(&pairs(&list), &lists.ages(), engine.clock().now());
                         fleet.iter().for_each(|fleet| fleet.list(members.nodes()));
-                        engine.news(news);
+                        engine.update_list(news);
                         lists.taken();
-                        members.forget(|id| engine.knows(id));
+                        members.forget(|id| engine.has_backend(id));
                         eprintln!("dewpier: {}", summary(&list, lists.from()));
                     }
                     Err(why) => eprintln!("dewpier: the last good list serves on: {why}"),
                 },
-                usual = Lists::budgets(&mut budgets) => engine.news(members.budgets(usual)),
+                usual = Lists::budgets(&mut budgets) => engine.update_list(members.budgets(usual)),
                 _ = digest.tick(), if digests.is_some() => {
                     let span = last.elapsed();
                     last = Instant::now();
@@ -100,7 +100,11 @@
 }
 
 /// What was seen lately, for planners: by node for those that were sent most.
-fn digested(mut seen: Vec<(BackendId, Counts)>, names: &HashMap<BackendId, &str>, span: Duration) -> Digest {
+fn digested(
+    mut seen: Vec<(BackendId, BackendCounts)>,
+    names: &HashMap<BackendId, &str>,
+    span: Duration,
+) -> Digest {
     seen.sort_by_key(|(_, counts)| Reverse((counts.sent, counts.in_flight)));
     let mut digest =
         Digest { span_ms: u32::try_from(span.as_millis()).unwrap_or(u32::MAX).max(1), ..Digest::default() };
@@ -112,7 +116,7 @@
                 sent: counts.sent,
                 served: counts.served,
                 failed: counts.failed,
-                took_ms: (counts.took * 1000.0) as u64,
+                took_ms: (counts.served_time * 1000.0) as u64,
             }),
             _ => digest.rest = digest.rest.saturating_add(counts.served),
         }
--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -10,7 +10,7 @@
 use dewpier_verdicts::{
     End, Kind, Known, Member, NodeId, Origin, Report, Rulings, Says, Snapshot, SnapshotError, Verdicts, When,
 };
-use gannetproxy::engine::{Engine, Seen, Upstream};
+use gannetproxy::engine::{AttemptEvent, Engine, Upstream};
 use gannetproxy::{BackendId, Outcome};
 use serde::Serialize;
 use std::cell::RefCell;
@@ -204,16 +204,16 @@
     /// Goes by what an engine sees.
     pub fn watch<U: Upstream>(self: &Rc<Self>, engine: &Engine<U>) {
         let fleet = self.clone();
-        engine.observe(move |id, attempt, seen| {
+        engine.set_observer(move |id, attempt, seen| {
             let now = fleet.now();
             let mut state = fleet.state.borrow_mut();
             match seen {
-                Seen::Began(backend, class) => {
+                AttemptEvent::Started(backend, class) => {
                     if let Some(node) = state.nodes.get(&backend).copied() {
                         state.verdicts.began((id.0, attempt), node, class, now);
                     }
                 }
-                Seen::Ended(outcome) => {
+                AttemptEvent::Ended(outcome) => {
                     let end = match outcome {
                         Outcome::Served => End::Served,
                         Outcome::Error | Outcome::Reset => End::Failed,
@@ -253,7 +253,7 @@
                 rounds.tick().await;
                 let changed = self.judge();
                 if !changed.is_empty() {
-                    engine.believe(&changed);
+                    engine.apply_backend_hints(&changed);
                 }
             }
         };
--- a/crates/dewpier/src/lists/lent.rs
+++ b/crates/dewpier/src/lists/lent.rs
@@ -17,7 +17,7 @@
     /// Over until somebody vouches.
     pub(super) fn new(start: Instant) -> Rc<Self> {
         let lease = Rc::new(Lease::default());
-        lease.set(Some(start));
+        lease.set_expiry(Some(start));
         Rc::new(Self { lease, wanted: Cell::new(Some(start)), waiting: Cell::new(false) })
     }
 
@@ -30,7 +30,7 @@
     pub(super) fn lend(&self, until: Option<Instant>) {
         self.wanted.set(until);
         if !self.waiting.get() {
-            self.lease.set(until);
+            self.lease.set_expiry(until);
         }
     }
 
@@ -42,6 +42,6 @@
     /// The latest list has been taken.
     pub(super) fn taken(&self) {
         self.waiting.set(false);
-        self.lease.set(self.wanted.get());
+        self.lease.set_expiry(self.wanted.get());
     }
 }
--- a/crates/dewpier/src/members.rs
+++ b/crates/dewpier/src/members.rs
@@ -4,7 +4,7 @@
 use dewpier_http::listing::{self, Names};
 use dewpier_inventory::{Backend, State};
 use dewpier_verdicts::NodeId;
-use gannetproxy::engine::{Listed, News};
+use gannetproxy::engine::{BackendListUpdate, ListedBackend};
 use gannetproxy::{Entry, Status, Time};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -49,7 +49,12 @@
     /// started, as far as anyone can tell: it is sent only what a cold one can take. Which number
     /// it has follows from its id alone, whatever its row or address. `ages` says how long ago nodes started,
     /// in seconds, where somebody else has watched for longer.
-    pub fn news(&mut self, list: &[(&Backend, SocketAddr)], ages: &HashMap<String, f64>, now: Time) -> News {
+    pub fn news(
+        &mut self,
+        list: &[(&Backend, SocketAddr)],
+        ages: &HashMap<String, f64>,
+        now: Time,
+    ) -> BackendListUpdate {
         let before = std::mem::take(&mut self.members);
         let mut listed = Vec::with_capacity(list.len());
         for (backend, address) in list {
@@ -73,14 +78,14 @@
             };
             let member = Member { entry: entry.clone(), address: *address, serving };
             self.members.insert(backend.id.clone(), member);
-            listed.push(Listed { entry, address: *address });
+            listed.push(ListedBackend { entry, address: *address });
         }
         self.first = false;
-        News::Full(listed)
+        BackendListUpdate::Full(listed)
     }
 
     /// What cold nodes may be sent, as planners say now. The news is of those for which that has changed.
-    pub fn budgets(&mut self, usual: HashMap<String, f64>) -> News {
+    pub fn budgets(&mut self, usual: HashMap<String, f64>) -> BackendListUpdate {
         let before = std::mem::replace(&mut self.usual, usual);
         let mut changed = Vec::new();
         for id in before.keys().chain(self.usual.keys()) {
@@ -88,10 +93,10 @@
             let usual = self.usual.get(id).copied();
             if member.entry.usual != usual {
                 member.entry.usual = usual;
-                changed.push(Listed { entry: member.entry.clone(), address: member.address });
+                changed.push(ListedBackend { entry: member.entry.clone(), address: member.address });
             }
         }
-        News::Changes(changed)
+        BackendListUpdate::Changes(changed)
     }
 
     /// The nodes, as a fleet knows them.
@@ -129,11 +134,11 @@
     use super::*;
     use dewpier_inventory::Options;
 
-    fn list(members: &mut Members, text: &str, now: Time) -> Vec<Listed> {
+    fn list(members: &mut Members, text: &str, now: Time) -> Vec<ListedBackend> {
         let read = dewpier_inventory::read(text.as_bytes(), "n.csv", &Options::default()).unwrap();
         let all: Vec<_> = read.backends.iter().map(|b| (b, b.address.socket().unwrap())).collect();
         match members.news(&all, &HashMap::new(), now) {
-            News::Full(list) => list,
+            BackendListUpdate::Full(list) => list,
             other => panic!("{other:?}"),
         }
     }
@@ -151,7 +156,7 @@
     #[test]
     fn what_returns_is_cold_and_what_stays_is_not() {
         let mut members = Members::new(Vec::new());
-        let started = |l: &[Listed]| l.iter().map(|l| l.entry.started).collect::<Vec<_>>();
+        let started = |l: &[ListedBackend]| l.iter().map(|l| l.entry.started).collect::<Vec<_>>();
         let row = |state: &str| format!("id,address,state\na,10.0.0.1:1,\nb,10.0.0.1:2,{state}\n");
         assert_eq!(started(&list(&mut members, &row("serving"), 0.0)), [None, None]);
         let drained = list(&mut members, &row("draining"), 1.0);
@@ -179,16 +184,18 @@
         let read = read.unwrap();
         let all: Vec<_> = read.backends.iter().map(|b| (b, b.address.socket().unwrap())).collect();
         let ages = HashMap::from([("b".to_string(), 3.0)]);
-        let News::Full(list) = members.news(&all, &ages, 10.0) else { panic!() };
+        let BackendListUpdate::Full(list) = members.news(&all, &ages, 10.0) else { panic!() };
         assert_eq!([list[0].entry.started, list[1].entry.started], [None, Some(7.0)]);
         // What it has seen itself is not forgotten for it.
-        let News::Full(list) = members.news(&all, &HashMap::from([("a".to_string(), 0.0)]), 12.0) else {
+        let BackendListUpdate::Full(list) =
+            members.news(&all, &HashMap::from([("a".to_string(), 0.0)]), 12.0)
+        else {
             panic!()
         };
         assert_eq!([list[0].entry.started, list[1].entry.started], [None, Some(7.0)]);
         let mut told = |usual: &[(&str, f64)]| {
             let usual = usual.iter().map(|(id, rate)| (id.to_string(), *rate)).collect();
-            let News::Changes(list) = members.budgets(usual) else { panic!() };
+            let BackendListUpdate::Changes(list) = members.budgets(usual) else { panic!() };
             list.iter().map(|l| l.entry.usual).collect::<Vec<_>>()
         };
         assert_eq!(told(&[("b", 5.0), ("unknown", 1.0)]), [Some(5.0)]);
--- a/crates/dewpier/src/mysql.rs
+++ b/crates/dewpier/src/mysql.rs
@@ -6,7 +6,7 @@
 use crate::lists::Lists;
 use dewpier_mysql::io::{Front, MySql, Role};
 use dewpier_mysql::login::Credentials;
-use gannetproxy::engine::{Bounds, Budget, Engine};
+use gannetproxy::engine::{Budget, Engine, EngineLimits};
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
@@ -46,8 +46,10 @@
             own: own.clone(),
             role,
         };
-        let bounds = Bounds { drain_grace: config.drain_grace, max_open: config.front.most_sessions };
-        let engine = Engine::leased(config.settings.clone(), bounds, seed(), upstream, feed.lease());
+        let bounds =
+            EngineLimits { drain_grace: config.drain_grace, max_open_requests: config.front.most_sessions };
+        let engine =
+            Engine::start_with_lease(config.settings.clone(), bounds, seed(), upstream, feed.lease());
         feed.begin(&engine);
         Ok(Self { feed, engine })
     }
--- a/crates/dewpier/src/run.rs
+++ b/crates/dewpier/src/run.rs
@@ -80,7 +80,7 @@
     if let Some(operators) = &operators {
         eprintln!("dewpier: operators call at {}", operators.local_addr()?);
     }
-    let engine = Engine::leased(settings.clone(), wire.bounds(), seed(), upstream, feed.lease());
+    let engine = Engine::start_with_lease(settings.clone(), wire.bounds(), seed(), upstream, feed.lease());
     let carrier = fleet.as_ref().map(|told| told.carrier.clone());
     let fleet = fleet.map(|told| Fleet::start(told, &zone, wire.classes.clone()));
     let carries = match carrier {
--- a/crates/dewpier/tests/levels/forwarder.rs
+++ b/crates/dewpier/tests/levels/forwarder.rs
@@ -3,7 +3,7 @@
 use dewpier::lists::nodes::backend;
 use dewpier::members::Members;
 use dewpier_plan::{Counts, Digest, DrainBound, Follower, Node, Rules, Slice, Standby};
-use gannetproxy::engine::{Listed, News};
+use gannetproxy::engine::{BackendListUpdate, ListedBackend};
 use gannetproxy::{Action, BackendId, Balancer, Entry, Event, ListUpdate, Settings, Status};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -90,13 +90,13 @@
         let ages = nodes.iter().filter_map(age).collect();
         let grace = if self.lent(now) { self.grace } else { 0 };
         let news = self.members.news(&pairs, &ages, now as f64 / 1e6);
-        let News::Full(list) = news else { panic!("{news:?}") };
+        let BackendListUpdate::Full(list) = news else { panic!("{news:?}") };
         for (id, gate) in &mut self.gates {
             if list.iter().all(|l| l.entry.id != *id) {
                 gate.get_or_insert(now + grace);
             }
         }
-        for Listed { entry, .. } in &list {
+        for ListedBackend { entry, .. } in &list {
             let gate = self.gates.entry(entry.id).or_default();
             match entry.status {
                 Status::InService => *gate = None,
@@ -110,7 +110,7 @@
     }
 
     pub fn budgets(&mut self, now: u64, actions: &mut Vec<Action>) {
-        if let News::Changes(list) = self.members.budgets(self.follower.budgets()) {
+        if let BackendListUpdate::Changes(list) = self.members.budgets(self.follower.budgets()) {
             let entries: Vec<Entry> = list.into_iter().map(|l| l.entry).collect();
             self.event(now, Event::List(ListUpdate::Changes(&entries)), actions);
         }
--- a/crates/dewpier/tests/proxy.rs
+++ b/crates/dewpier/tests/proxy.rs
@@ -7,7 +7,7 @@
 use dewpier_http::backend::{Answers, Http, Reuse};
 use dewpier_http::limits::Budget;
 use dewpier_http::payload::{Carried, Payload};
-use gannetproxy::engine::{Attempt, Clock, Gate, Upstream};
+use gannetproxy::engine::{Attempt, Clock, SendGate, Upstream};
 use gannetproxy::{BackendId, Outcome};
 use serde_json::json;
 use std::io::Write;
@@ -200,17 +200,17 @@
             answers: Answers::Platform,
             attempts: Default::default(),
         };
-        let gate = std::rc::Rc::new(Gate::default());
-        gate.update(last_send);
+        let gate = std::rc::Rc::new(SendGate::default());
+        gate.set_send_deadline(last_send);
         let made = Attempt {
             gate,
             backend: BackendId(1),
             clock: Clock::start(),
-            until: 20.0,
+            deadline: 20.0,
             written: Default::default(),
-            wanted: std::rc::Rc::new(std::cell::Cell::new(true)),
-            begin: Default::default(),
-            keep: Default::default(),
+            request_open: std::rc::Rc::new(std::cell::Cell::new(true)),
+            reply_sink: Default::default(),
+            exclusive_claim: Default::default(),
         };
         let payload = Payload {
             method: "POST".parse().unwrap(),
@@ -220,7 +220,7 @@
             stake: dewpier_reuse::Stake::Whole,
             lost: Default::default(),
         };
-        let attempted = http.attempt(http.endpoint(backend.address).into(), payload.into(), made);
+        let attempted = http.attempt(http.create_endpoint(backend.address).into(), payload.into(), made);
         runtime.block_on(attempted).outcome
     };
     assert_eq!(attempt(Some(0.0)), Outcome::NoConnection);
--- a/crates/dewpier/tests/streams.rs
+++ b/crates/dewpier/tests/streams.rs
@@ -6,7 +6,9 @@
 use dewpier_standins::bulk::{self, Bulk, Came, Framing};
 use dewpier_standins::message::read_head;
 use dewpier_standins::rng::Rng;
-use gannetproxy::engine::{Answer, Attempt, Bounds, Done, Engine, Listed, News, Upstream};
+use gannetproxy::engine::{
+    Answer, Attempt, AttemptResult, BackendListUpdate, Engine, EngineLimits, ListedBackend, Upstream,
+};
 use gannetproxy::{BackendId, Class, Effect, Entry, Outcome, Request, Settings};
 use serde_json::json;
 use sockets::*;
@@ -276,24 +278,24 @@
     type Reply = ();
     type Endpoint = ();
 
-    fn endpoint(&self, _: std::net::SocketAddr) {}
-    fn moved(&self, _: &(), _: std::net::SocketAddr) {}
-    fn release(&self, _: &()) {}
-    fn sweep(&self, _: &()) {}
-    fn full(&self) -> bool {
+    fn create_endpoint(&self, _: std::net::SocketAddr) {}
+    fn set_address(&self, _: &(), _: std::net::SocketAddr) {}
+    fn release_connections(&self, _: &()) {}
+    fn close_expired(&self, _: &()) {}
+    fn is_full(&self) -> bool {
         false
     }
-    fn idle_since(&self, _: &()) -> Option<tokio::time::Instant> {
+    fn oldest_idle_since(&self, _: &()) -> Option<tokio::time::Instant> {
         None
     }
-    fn evict(&self, _: &()) {}
+    fn close_oldest_idle(&self, _: &()) {}
 
     fn attempt(
         &self,
         _: Rc<()>,
         _: Rc<()>,
         attempt: Attempt<()>,
-    ) -> impl Future<Output = Done<()>> + 'static {
+    ) -> impl Future<Output = AttemptResult<()>> + 'static {
         let seen = self.0.clone();
         async move {
             // Until another attempt is out too.
@@ -302,18 +304,18 @@
             while out.borrow().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
-            let only = attempt.keep.only();
+            let only = attempt.exclusive_claim.claim();
             seen.borrow_mut().push(only);
             tokio::time::sleep(Duration::from_millis(50)).await;
             match only {
-                true => Done { served: Some(()), ..Done::without_answer(Outcome::Served) },
-                false => Done::without_answer(Outcome::NeverSent),
+                true => AttemptResult { reply: Some(()), ..AttemptResult::without_reply(Outcome::Served) },
+                false => AttemptResult::without_reply(Outcome::NeverSent),
             }
         }
     }
 
-    fn probe(&self, _: Rc<()>, _: Attempt<()>) -> impl Future<Output = Done<()>> + 'static {
-        std::future::ready(Done::without_answer(Outcome::Served))
+    fn probe(&self, _: Rc<()>, _: Attempt<()>) -> impl Future<Output = AttemptResult<()>> + 'static {
+        std::future::ready(AttemptResult::without_reply(Outcome::Served))
     }
 }
 
@@ -331,15 +333,15 @@
             max_attempts: 4,
             ..Settings::default()
         };
-        let bounds = Bounds { drain_grace: LONG, max_open: 10 };
+        let bounds = EngineLimits { drain_grace: LONG, max_open_requests: 10 };
         let engine = Engine::start(settings, bounds, 7, Waits(seen.clone()));
-        let listed = |n| Listed {
+        let listed = |n| ListedBackend {
             entry: Entry { id: BackendId(n), ..Entry::default() },
             address: ([127, 0, 0, 1], 1).into(),
         };
-        engine.news(News::Remembered(vec![listed(1), listed(2), listed(3)]));
+        engine.update_list(BackendListUpdate::Remembered(vec![listed(1), listed(2), listed(3)]));
         let request = Request { budget: 15.0, ..Request::default() };
-        let (_, answer) = engine.request(None, request, ()).unwrap();
+        let (_, answer) = engine.submit_request(None, request, ()).unwrap();
         let answered = tokio::time::timeout(LONG, answer).await.expect("an answer in time");
         assert!(matches!(answered, Ok(Answer::Served(()))));
         tokio::time::sleep(Duration::from_millis(200)).await;
--- a/crates/http/src/backend.rs
+++ b/crates/http/src/backend.rs
@@ -8,7 +8,7 @@
 use crate::peer::{Came, HELD, Peer, Spoilt, connect};
 use dewpier_operate::figures::Attempts;
 use dewpier_reuse::{Odds, Price, Shared, Stake};
-use gannetproxy::engine::{Attempt, Done, Upstream};
+use gannetproxy::engine::{Attempt, AttemptResult, Upstream};
 use gannetproxy::{Outcome, Report};
 use hyper::body::Body;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
@@ -141,7 +141,7 @@
         // Where there is no room for one more, a connection that still has to settle goes for it.
         // Guards against attempts that fail while the backend is idle: at many requests a second
         // more connections settle than may be open.
-        let permit = match self.budget.take(1) {
+        let permit = match self.budget.try_acquire(1) {
             Some(permit) => permit,
             None => {
                 let mut idle = self.idle.borrow_mut();
@@ -199,7 +199,7 @@
     type Reply = Served;
     type Endpoint = Endpoint;
 
-    fn endpoint(&self, address: SocketAddr) -> Endpoint {
+    fn create_endpoint(&self, address: SocketAddr) -> Endpoint {
         Endpoint {
             address: Cell::new(address),
             idle: RefCell::default(),
@@ -213,29 +213,29 @@
         }
     }
 
-    fn moved(&self, endpoint: &Endpoint, address: SocketAddr) {
+    fn set_address(&self, endpoint: &Endpoint, address: SocketAddr) {
         if endpoint.address.replace(address) != address {
             endpoint.release();
         }
     }
 
-    fn release(&self, endpoint: &Endpoint) {
+    fn release_connections(&self, endpoint: &Endpoint) {
         endpoint.release();
     }
 
-    fn sweep(&self, endpoint: &Endpoint) {
+    fn close_expired(&self, endpoint: &Endpoint) {
         endpoint.sweep();
     }
 
-    fn full(&self) -> bool {
-        self.connections.full()
+    fn is_full(&self) -> bool {
+        self.connections.is_full()
     }
 
-    fn idle_since(&self, endpoint: &Endpoint) -> Option<Instant> {
+    fn oldest_idle_since(&self, endpoint: &Endpoint) -> Option<Instant> {
         endpoint.idle.borrow().first().map(|idle| idle.since)
     }
 
-    fn evict(&self, endpoint: &Endpoint) {
+    fn close_oldest_idle(&self, endpoint: &Endpoint) {
         let mut idle = endpoint.idle.borrow_mut();
         if !idle.is_empty() {
             drop(idle.remove(0));
@@ -247,21 +247,22 @@
         endpoint: Rc<Endpoint>,
         payload: Rc<Payload>,
         attempt: Attempt<Served>,
-    ) -> impl Future<Output = Done<Served>> + 'static {
+    ) -> impl Future<Output = AttemptResult<Served>> + 'static {
         let (answers, attempts) = (self.answers, self.attempts.clone());
         async move {
             let passes = match payload.passes() {
                 // What is passed on is out already, with another attempt: this one has nothing to send.
-                Some(None) => return Done::without_answer(Outcome::NeverSent),
+                Some(None) => return AttemptResult::without_reply(Outcome::NeverSent),
                 Some(passes) => passes,
                 None => None,
             };
             let stake = (!payload.lost.get()).then_some(payload.stake);
             let lost = Some(&payload.lost);
             let asks = Asks { answers, counts: Some(attempts), stake, lost, passes, long: true };
-            let request =
-                |progress: Option<&Progress>| payload.request(attempt.until - attempt.clock.now(), progress);
-            let long = |served| attempt.begin.with(served);
+            let request = |progress: Option<&Progress>| {
+                payload.request(attempt.deadline - attempt.clock.now(), progress)
+            };
+            let long = |served| attempt.reply_sink.send(served);
             exchange(&endpoint, &attempt, asks, payload.method == Method::HEAD, request, long).await
         }
     }
@@ -270,7 +271,7 @@
         &self,
         endpoint: Rc<Endpoint>,
         attempt: Attempt<()>,
-    ) -> impl Future<Output = Done<()>> + 'static {
+    ) -> impl Future<Output = AttemptResult<()>> + 'static {
         let path = self.probe_path;
         async move {
             let request = |_: Option<&Progress>| {
@@ -289,13 +290,13 @@
                 long: false,
             };
             let probed = exchange(&endpoint, &attempt, asks, false, request, |_| false);
-            let late = Done::without_answer(Outcome::Timeout);
+            let late = AttemptResult::without_reply(Outcome::Timeout);
             let done = tokio::time::timeout(within, probed).await.unwrap_or(late);
-            let body = done.served.as_ref().and_then(|s| match &s.body {
+            let body = done.reply.as_ref().and_then(|s| match &s.body {
                 Given::Whole(body) => report(body),
                 Given::Passed(_) => None,
             });
-            Done { outcome: done.outcome, served: None, fallback: None, report: done.report.or(body) }
+            AttemptResult { outcome: done.outcome, reply: None, fallback: None, report: done.report.or(body) }
         }
     }
 }
@@ -321,29 +322,29 @@
     head_only: bool,
     request: impl Fn(Option<&Progress>) -> Option<Request<Outgoing>>,
     begin: impl Fn(Served) -> bool,
-) -> Done<Served> {
+) -> AttemptResult<Served> {
     let Asks { answers, counts, stake, lost, passes, long } = asks;
     let written = &attempt.written;
     let era = endpoint.era.get();
     let mut again = false;
     let (peer, permit, came) = loop {
         let Some(Ready { mut peer, permit, idle }) = endpoint.peer(stake).await else {
-            return Done::without_answer(Outcome::NoConnection);
+            return AttemptResult::without_reply(Outcome::NoConnection);
         };
         // Its client may have left while the connection was made; and that the whole list is over says nothing
         // against this backend.
-        if !attempt.wanted.get() || !attempt.gate.lent() {
-            return Done::without_answer(Outcome::NeverSent);
+        if !attempt.request_open.get() || !attempt.gate.is_lease_valid() {
+            return AttemptResult::without_reply(Outcome::NeverSent);
         }
         // The news of a drain may have come while the connection was made.
-        if !attempt.gate.may_send(&attempt.clock) {
-            return Done::without_answer(Outcome::NoConnection);
+        if !attempt.gate.can_send(&attempt.clock) {
+            return AttemptResult::without_reply(Outcome::NoConnection);
         }
-        if passes.is_some() && !attempt.keep.only() {
-            return Done::without_answer(Outcome::NeverSent);
+        if passes.is_some() && !attempt.exclusive_claim.claim() {
+            return AttemptResult::without_reply(Outcome::NeverSent);
         }
         let Some(outgoing) = request(passes.as_ref().map(|(progress, _)| progress)) else {
-            return Done::without_answer(Outcome::NeverSent);
+            return AttemptResult::without_reply(Outcome::NeverSent);
         };
         written.set(true);
         let new = idle.is_none();
@@ -355,11 +356,13 @@
             }
             // Some of what is passed on is gone with it.
             Err(spoilt @ Spoilt::Unsent) if passes.is_some() => {
-                return Done::without_answer(spoilt.outcome());
+                return AttemptResult::without_reply(spoilt.outcome());
             }
-            Err(spoilt @ Spoilt::Late) => return Done::without_answer(spoilt.outcome()),
+            Err(spoilt @ Spoilt::Late) => return AttemptResult::without_reply(spoilt.outcome()),
             // One that was kept may have ended meanwhile; a second new one would end again.
-            Err(spoilt @ Spoilt::Unsent) if new && again => return Done::without_answer(spoilt.outcome()),
+            Err(spoilt @ Spoilt::Unsent) if new && again => {
+                return AttemptResult::without_reply(spoilt.outcome());
+            }
             Err(Spoilt::Unsent) => {
                 if idle.is_some() {
                     endpoint.used(idle, true);
@@ -371,7 +374,7 @@
                 let soon = begun.elapsed() < HELD + SWALLOWED + 2 * endpoint.way.get();
                 endpoint.used(idle, soon && !peer.heard());
                 lost.filter(|_| !new).into_iter().for_each(|lost| lost.set(true));
-                return Done::without_answer(spoilt.outcome());
+                return AttemptResult::without_reply(spoilt.outcome());
             }
         }
     };
@@ -389,7 +392,7 @@
         }
         Came::Begun(head, first, body) => {
             if !long {
-                return Done::without_answer(Outcome::Reset);
+                return AttemptResult::without_reply(Outcome::Reset);
             }
             let left = body.size_hint().exact();
             let (passing, passed) = Passing::begin(first, left);
@@ -418,34 +421,34 @@
     }
     if let Some((mut peer, permit, mut body, passing)) = rest {
         let Some(answer) = answer.filter(|_| outcome == Outcome::Served) else {
-            return Done { outcome, served: None, fallback: None, report };
+            return AttemptResult { outcome, reply: None, fallback: None, report };
         };
         if !begin(answer) {
-            return Done::without_answer(Outcome::Cancelled);
+            return AttemptResult::without_reply(Outcome::Cancelled);
         }
         loop {
             // Read on where there is room for it; a client that leaves ends it.
             let piece = tokio::select! {
                 piece = peer.piece(&mut body) => piece,
-                () = passing.gone() => return Done::without_answer(Outcome::Cancelled),
+                () = passing.gone() => return AttemptResult::without_reply(Outcome::Cancelled),
             };
             match piece {
                 Ok(Some(data)) if data.is_empty() => {}
                 Ok(Some(data)) => {
                     if !passing.piece(data).await {
-                        return Done::without_answer(Outcome::Cancelled);
+                        return AttemptResult::without_reply(Outcome::Cancelled);
                     }
                 }
                 Ok(None) => break,
-                Err(_) => return Done::without_answer(Outcome::Reset),
+                Err(_) => return AttemptResult::without_reply(Outcome::Reset),
             }
         }
         passing.end().await;
         keep(peer, permit);
-        return Done { outcome, served: None, fallback: None, report };
+        return AttemptResult { outcome, reply: None, fallback: None, report };
     }
     let (served, fallback) = if outcome == Outcome::Served { (answer, None) } else { (None, answer) };
-    Done { outcome, served, fallback, report }
+    AttemptResult { outcome, reply: served, fallback, report }
 }
 
 /// Reads a load report; what the decisions can't use is skipped.
--- a/crates/http/src/config.rs
+++ b/crates/http/src/config.rs
@@ -1,7 +1,7 @@
 //! What a proxy is told at its start: environment and JSON, turned into the module's settings.
 
 use crate::listing::{self, RawList};
-use gannetproxy::engine::Bounds;
+use gannetproxy::engine::EngineLimits;
 use gannetproxy::{Class, Effect, Group, Settings, Time};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -89,8 +89,8 @@
 
 impl WireSettings {
     /// What bounds the engine.
-    pub fn bounds(&self) -> Bounds {
-        Bounds { drain_grace: self.drain_grace, max_open: self.max_open }
+    pub fn bounds(&self) -> EngineLimits {
+        EngineLimits { drain_grace: self.drain_grace, max_open_requests: self.max_open }
     }
 }
 
--- a/crates/http/src/discovery/mod.rs
+++ b/crates/http/src/discovery/mod.rs
@@ -10,7 +10,7 @@
 use crate::listing::{Names, RawList};
 use crate::peer::{self, Peer};
 use gannetproxy::Settings;
-use gannetproxy::engine::{Ask, Engine, News};
+use gannetproxy::engine::{BackendListUpdate, Engine, ListRequest};
 use http_body_util::{BodyExt, Limited};
 use hyper::Request;
 use schedule::{Call, Pace, Schedule};
@@ -111,17 +111,17 @@
             engine,
         });
         let asked = Rc::downgrade(&discovery);
-        discovery.engine.asks(move |ask| {
+        discovery.engine.set_list_source(move |ask| {
             let Some(discovery) = asked.upgrade() else {
                 return;
             };
             match ask {
-                Ask::Watch(on) => discovery.watch(on),
-                Ask::Fetch => discovery.fetch(),
+                ListRequest::Watch(on) => discovery.watch(on),
+                ListRequest::Fetch => discovery.fetch(),
             }
         });
         let listed = discovery.names.borrow_mut().list(known.instances, discovery.engine.clock());
-        discovery.engine.news(News::Remembered(listed));
+        discovery.engine.update_list(BackendListUpdate::Remembered(listed));
         tokio::task::spawn_local(discovery.clone().run());
         discovery
     }
@@ -198,9 +198,13 @@
                 wanted.whole = false;
                 drop(wanted); // the engine may ask for something
                 let listed = self.names.borrow_mut().list(list.instances, self.engine.clock());
-                let news = if list.reset { News::Full(listed) } else { News::Changes(listed) };
-                self.engine.news(news);
-                self.names.borrow_mut().forget(|id| self.engine.knows(id));
+                let news = if list.reset {
+                    BackendListUpdate::Full(listed)
+                } else {
+                    BackendListUpdate::Changes(listed)
+                };
+                self.engine.update_list(news);
+                self.names.borrow_mut().forget(|id| self.engine.has_backend(id));
             }
             Err(error) => {
                 if matches!(error, CallError::Status(400..500)) {
--- a/crates/http/src/listing.rs
+++ b/crates/http/src/listing.rs
@@ -1,6 +1,6 @@
 //! Lists of backends as discovery writes them, and their names in the module's terms.
 
-use gannetproxy::engine::{Clock, Listed};
+use gannetproxy::engine::{Clock, ListedBackend};
 use gannetproxy::{BackendId, Entry, Status};
 use serde::Deserialize;
 use std::collections::{HashMap, HashSet};
@@ -87,8 +87,8 @@
     }
 
     /// A list in the module's terms.
-    pub fn list(&mut self, raw: Vec<RawEntry>, clock: &Clock) -> Vec<Listed> {
-        let listed = |raw: RawEntry| Listed {
+    pub fn list(&mut self, raw: Vec<RawEntry>, clock: &Clock) -> Vec<ListedBackend> {
+        let listed = |raw: RawEntry| ListedBackend {
             entry: Entry {
                 id: self.id(&raw.instance_id),
                 cell: raw.cell,
@@ -99,7 +99,7 @@
                     Lifecycle::Draining => Status::Draining,
                     Lifecycle::Deleted => Status::Gone,
                 },
-                started: (raw.started_at_ms > 0.0).then(|| clock.of_unix(raw.started_at_ms / 1000.0)),
+                started: (raw.started_at_ms > 0.0).then(|| clock.from_unix(raw.started_at_ms / 1000.0)),
                 usual: None,
             },
             address: raw.host_port,
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -139,12 +139,12 @@
     let long = length.is_some_and(|length| length > MOST_BODY as u64);
     let most = length.map_or(MOST_BODY, |l| usize::try_from(l).unwrap_or(MOST_BODY).min(MOST_BODY));
     let (bodies, streams) = (&room.bodies, &room.streams);
-    let room = if long { streams } else { bodies }.take(most).ok_or(Unfit::NoRoom)?;
+    let room = if long { streams } else { bodies }.try_acquire(most).ok_or(Unfit::NoRoom)?;
     let (body, room) = match whole(body, length).await? {
         Read::Whole(body) => (Carried::Whole(body), Some(room)),
         Read::Begun(first, rest) => {
             // One that turns out to be long goes over to the room for those.
-            let room = if long { room } else { streams.take(most).ok_or(Unfit::NoRoom)? };
+            let room = if long { room } else { streams.try_acquire(most).ok_or(Unfit::NoRoom)? };
             let left = length.map(|length| length.saturating_sub(first.len() as u64));
             let patience = Duration::try_from_secs_f64(request.budget).unwrap_or_default();
             (Carried::Passed(RefCell::new(Some(Begun { first, rest, left, room })), patience), None)
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -71,7 +71,7 @@
 
 impl Drop for Leaving<'_> {
     fn drop(&mut self) {
-        self.0.client_left(self.1);
+        self.0.client_disconnected(self.1);
     }
 }
 
@@ -154,7 +154,7 @@
             stop.await;
             let serves = self.life.borrow_mut().stop(self.now());
             let left = self.life.borrow().left(self.now());
-            left.into_iter().for_each(|left| self.engine.answer_within(left));
+            left.into_iter().for_each(|left| self.engine.cap_deadlines(left));
             let waits = async {
                 // After a handover nobody new comes, and who is left is told with an answer.
                 while self.life.borrow().accepts() || !self.clients.is_empty() {
@@ -185,7 +185,7 @@
             self.clients.one_left(STEP).await;
             let left = self.life.borrow().left(self.now()).is_none_or(|left| !left.is_zero());
             let coming = self.figures.pending() > 0 || self.clients.are_reading();
-            let owes = self.engine.owes_answers() || (coming && left);
+            let owes = self.engine.has_open_requests() || (coming && left);
             idle = if owes { 0 } else { idle + 1 };
         }
     }
@@ -197,7 +197,7 @@
 
     /// There is a list to go by.
     pub fn listed(&self) -> bool {
-        self.engine.listed()
+        self.engine.has_list()
     }
 
     /// Another process shares the limits from now on, or one does no longer.
@@ -206,9 +206,9 @@
         self.others.set(if beside { others + 1 } else { others.saturating_sub(1) });
         let caps = self.caps.shared(self.others.get() > 0);
         self.clients.bound(caps.clients);
-        self.room.bodies.bound(caps.bodies);
-        self.room.streams.bound(caps.streams);
-        self.engine.upstream().connections.bound(caps.backends);
+        self.room.bodies.set_capacity(caps.bodies);
+        self.room.streams.set_capacity(caps.streams);
+        self.engine.upstream().connections.set_capacity(caps.backends);
     }
 
     /// Another process accepts what comes to the address from now on.
@@ -227,11 +227,11 @@
     pub fn operate(&self, call: Call) -> String {
         let mut life = self.life.borrow_mut();
         match call {
-            Call::Check if !self.engine.listed() => "NO no list of backends yet\n".into(),
+            Call::Check if !self.engine.has_list() => "NO no list of backends yet\n".into(),
             Call::Check if !life.takes_clients() => "NO takes no clients\n".into(),
             Call::Check => "YES takes clients\n".into(),
             Call::Vars => {
-                let (listed, avoided) = self.engine.members();
+                let (listed, avoided) = self.engine.count_backends();
                 calls::vars(&self.figures, Members { listed, avoided })
             }
             Call::Verdicts | Call::VerdictsJson | Call::Rule { .. } => "NO it belongs to no fleet\n".into(),
@@ -365,7 +365,7 @@
 
     async fn reply(&self, request: hyper::Request<Incoming>, client: &Rc<Client>, full: bool) -> Reply {
         if request.uri().path() == "/-/ready" {
-            return match self.engine.listed() && self.life.borrow().ready() {
+            return match self.engine.has_list() && self.life.borrow().ready() {
                 true => plain(StatusCode::OK, "ready\n"),
                 false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             };
@@ -388,7 +388,7 @@
         if let Some(left) = self.life.borrow().left(self.now()) {
             asked.request.budget = asked.request.budget.min(left.as_secs_f64());
         }
-        let Some((id, answer)) = self.engine.request(asked.txn, asked.request, asked.payload) else {
+        let Some((id, answer)) = self.engine.submit_request(asked.txn, asked.request, asked.payload) else {
             return plain(StatusCode::BAD_REQUEST, "X-Txn is in use\n");
         };
         let leaving = Leaving(&self.engine, id);
@@ -409,7 +409,7 @@
         };
         taken.end(match answer {
             Ok(Answer::Served(_)) => Ending::Completed,
-            Ok(Answer::Refused(..)) => Ending::Rejected,
+            Ok(Answer::Rejected(..)) => Ending::Rejected,
             Ok(Answer::Failed(_)) | Err(_) => Ending::Failed,
         });
         match answer {
@@ -422,14 +422,14 @@
                 reply
             }
             Ok(Answer::Served(served)) | Ok(Answer::Failed(Some(served))) => passed_on(served),
-            Ok(Answer::Refused(wait, Some(served))) => {
+            Ok(Answer::Rejected(wait, Some(served))) => {
                 let mut reply = passed_on(served);
                 if !reply.headers().contains_key(RETRY_AFTER) {
                     come_again(&mut reply, wait, &self.dialect);
                 }
                 reply
             }
-            Ok(Answer::Refused(wait, None)) => {
+            Ok(Answer::Rejected(wait, None)) => {
                 let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "refused, try again\n");
                 come_again(&mut reply, wait, &self.dialect);
                 reply
--- a/crates/http/tests/kept_connections.rs
+++ b/crates/http/tests/kept_connections.rs
@@ -8,7 +8,7 @@
 use dewpier_http::payload::{Carried, Payload};
 use dewpier_standins::LONG;
 use dewpier_standins::message::{answer, read, reset};
-use gannetproxy::engine::{Attempt, Clock, Done, Gate, Upstream};
+use gannetproxy::engine::{Attempt, AttemptResult, Clock, SendGate, Upstream};
 use gannetproxy::{BackendId, Outcome};
 use std::cell::Cell;
 use std::io::{BufReader, Write};
@@ -84,14 +84,14 @@
 
 async fn attempt(http: &Http, endpoint: &Rc<<Http as Upstream>::Endpoint>) -> (Outcome, Bytes) {
     let made = Attempt {
-        gate: Rc::new(Gate::default()),
+        gate: Rc::new(SendGate::default()),
         backend: BackendId(1),
         clock: Clock::start(),
-        until: 20.0,
+        deadline: 20.0,
         written: Default::default(),
-        wanted: Rc::new(Cell::new(true)),
-        begin: Default::default(),
-        keep: Default::default(),
+        request_open: Rc::new(Cell::new(true)),
+        reply_sink: Default::default(),
+        exclusive_claim: Default::default(),
     };
     let payload = Payload {
         method: "POST".parse().unwrap(),
@@ -101,7 +101,8 @@
         stake: dewpier_reuse::Stake::Wait,
         lost: Default::default(),
     };
-    let Done { outcome, served, .. } = http.attempt(endpoint.clone(), payload.into(), made).await;
+    let AttemptResult { outcome, reply: served, .. } =
+        http.attempt(endpoint.clone(), payload.into(), made).await;
     let body = served.map(|served| match served.body {
         Given::Whole(body) => body,
         Given::Passed(_) => unreachable!("it is short"),
@@ -130,7 +131,7 @@
             answers: Answers::Platform,
             attempts: Default::default(),
         };
-        let endpoint = Rc::new(http.endpoint(backend.address));
+        let endpoint = Rc::new(http.create_endpoint(backend.address));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(async {
             assert_eq!(attempt(&http, &endpoint).await, (Outcome::Served, "good".into()));
--- a/crates/mysql/src/io/answer.rs
+++ b/crates/mysql/src/io/answer.rs
@@ -7,7 +7,7 @@
 use crate::reply::{Ended, HEAD, Reply};
 use crate::session::Hold;
 use bytes::{Bytes, BytesMut};
-use gannetproxy::engine::{Begin, Permit};
+use gannetproxy::engine::{Permit, ReplySink};
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -85,7 +85,7 @@
         &self,
         wire: &mut Wire,
         mut reply: Reply,
-        begin: &Begin<Served>,
+        begin: &ReplySink<Served>,
         begun: &Cell<bool>,
     ) -> Result<Answered, Cut> {
         let (mut frames, mut room, mut to) = (BytesMut::new(), Vec::new(), None::<mpsc::Sender<Piece>>);
@@ -113,7 +113,7 @@
                 Some(_) => {}
                 None => {
                     while room.len() * PIECE < frames.len() {
-                        let Some(permit) = self.answers.take(PIECE) else { break };
+                        let Some(permit) = self.answers.try_acquire(PIECE) else { break };
                         room.push(permit);
                     }
                     if frames.len() > self.held || room.len() * PIECE < frames.len() {
@@ -121,7 +121,7 @@
                         let (frames, next) = (frames.split().freeze(), wire.sequence());
                         let rest = Rest::Streams(receiver);
                         let _room = std::mem::take(&mut room);
-                        if !begin.with(Served { frames, next, rest, _room }) {
+                        if !begin.send(Served { frames, next, rest, _room }) {
                             return Err(Cut::Untaken);
                         }
                         begun.set(true);
--- a/crates/mysql/src/io/conn.rs
+++ b/crates/mysql/src/io/conn.rs
@@ -54,7 +54,7 @@
 impl Ways {
     /// A new connection, logged in.
     pub(super) async fn connect(&self, address: SocketAddr, shape: Shape, session: u64) -> Option<Conn> {
-        let permit = self.connections.take(1)?;
+        let permit = self.connections.try_acquire(1)?;
         let connected = async {
             let mut wire = Wire::new(TcpStream::connect(address).await.ok()?, MOST_PACKET);
             let mut entry = Entry::new(shape);
--- a/crates/mysql/src/io/front.rs
+++ b/crates/mysql/src/io/front.rs
@@ -67,7 +67,7 @@
 
 impl Drop for Leaving<'_> {
     fn drop(&mut self) {
-        self.0.client_left(self.1);
+        self.0.client_disconnected(self.1);
     }
 }
 
@@ -123,7 +123,8 @@
         let mut idle = Duration::ZERO;
         while self.sessions.get() > 0 && idle < 2 * HELD_AFTER_STOP {
             tokio::time::sleep(STEP).await;
-            let owes = self.primary.owes_answers() || self.replicas.iter().any(|r| r.owes_answers());
+            let owes =
+                self.primary.has_open_requests() || self.replicas.iter().any(|r| r.has_open_requests());
             idle = if owes { Duration::ZERO } else { idle + STEP };
         }
     }
@@ -310,10 +311,10 @@
                 () = wire.left() => return None,
             };
             let lost = match answer {
-                Answer::Served(served) | Answer::Refused(_, Some(served)) | Answer::Failed(Some(served)) => {
+                Answer::Served(served) | Answer::Rejected(_, Some(served)) | Answer::Failed(Some(served)) => {
                     return Some(Told::Frames(Box::new((served, sent))));
                 }
-                Answer::Refused(wait, None) => Lost::Refused(wait),
+                Answer::Rejected(wait, None) => Lost::Refused(wait),
                 Answer::Failed(None) => Lost::Failed,
             };
             asked.slot.clear();
@@ -352,18 +353,18 @@
         let budget = self.settings.deadlines[class];
         let engine;
         let (id, answer) = if sent.held {
-            let Some((role, backend)) = asked.slot.backend() else { return Answer::Refused(None, None) };
+            let Some((role, backend)) = asked.slot.backend() else { return Answer::Rejected(None, None) };
             engine = match (role, &self.replicas) {
                 (Role::Replica, Some(replicas)) => replicas,
                 _ => &self.primary,
             };
-            engine.request_to(backend, budget, payload)
+            engine.submit_request_to(backend, budget, payload)
         } else {
             let request = Request { class, budget, ..Request::default() };
             engine = self.engine(asked, sent);
-            match engine.request(None, request, payload) {
+            match engine.submit_request(None, request, payload) {
                 Some(asked) => asked,
-                None => return Answer::Refused(None, None),
+                None => return Answer::Rejected(None, None),
             }
         };
         if !sent.read {
--- a/crates/mysql/src/io/upstream.rs
+++ b/crates/mysql/src/io/upstream.rs
@@ -9,7 +9,7 @@
 use crate::reply::{Answers, Ended, Reply};
 use crate::session::{Hold, PING};
 use bytes::Bytes;
-use gannetproxy::engine::{Attempt, Budget, Done, Upstream};
+use gannetproxy::engine::{Attempt, AttemptResult, Budget, Upstream};
 use gannetproxy::{BackendId, Outcome};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -146,34 +146,34 @@
     type Reply = Served;
     type Endpoint = Endpoint;
 
-    fn endpoint(&self, address: SocketAddr) -> Endpoint {
+    fn create_endpoint(&self, address: SocketAddr) -> Endpoint {
         Endpoint { address: Cell::new(address), idle: RefCell::default(), era: Cell::new(0) }
     }
 
-    fn moved(&self, endpoint: &Endpoint, address: SocketAddr) {
+    fn set_address(&self, endpoint: &Endpoint, address: SocketAddr) {
         if endpoint.address.replace(address) != address {
             endpoint.release();
         }
     }
 
-    fn release(&self, endpoint: &Endpoint) {
+    fn release_connections(&self, endpoint: &Endpoint) {
         endpoint.release();
     }
 
-    fn sweep(&self, endpoint: &Endpoint) {
+    fn close_expired(&self, endpoint: &Endpoint) {
         let within = self.idle_close.mul_f64(REUSE_WITHIN);
         endpoint.idle.borrow_mut().retain(|idle| idle.since.elapsed() < within && idle.conn.wire.quiet());
     }
 
-    fn full(&self) -> bool {
-        self.connections.full()
+    fn is_full(&self) -> bool {
+        self.connections.is_full()
     }
 
-    fn idle_since(&self, endpoint: &Endpoint) -> Option<Instant> {
+    fn oldest_idle_since(&self, endpoint: &Endpoint) -> Option<Instant> {
         endpoint.idle.borrow().first().map(|idle| idle.since)
     }
 
-    fn evict(&self, endpoint: &Endpoint) {
+    fn close_oldest_idle(&self, endpoint: &Endpoint) {
         let mut idle = endpoint.idle.borrow_mut();
         if !idle.is_empty() {
             drop(idle.remove(0));
@@ -185,7 +185,7 @@
         endpoint: Rc<Endpoint>,
         payload: Rc<Payload>,
         attempt: Attempt<Served>,
-    ) -> impl Future<Output = Done<Served>> + 'static {
+    ) -> impl Future<Output = AttemptResult<Served>> + 'static {
         let (ways, role) = (self.ways(), self.role);
         async move { exchange(&endpoint, &payload, &attempt, &ways, role).await }
     }
@@ -194,7 +194,7 @@
         &self,
         endpoint: Rc<Endpoint>,
         attempt: Attempt<()>,
-    ) -> impl Future<Output = Done<()>> + 'static {
+    ) -> impl Future<Output = AttemptResult<()>> + 'static {
         let ways = self.ways();
         async move {
             let within = 4 * ways.connect_timeout;
@@ -202,7 +202,7 @@
                 let Some(mut conn) = ways.connect(endpoint.address.get(), PROBED, 0).await else {
                     return Outcome::NoConnection;
                 };
-                if !attempt.gate.may_send(&attempt.clock) {
+                if !attempt.gate.can_send(&attempt.clock) {
                     return Outcome::NoConnection;
                 }
                 match conn.asked(&[PING]).await {
@@ -211,13 +211,13 @@
                     Err(_) => Outcome::Reset,
                 }
             };
-            Done::without_answer(timeout(within, probed).await.unwrap_or(Outcome::Timeout))
+            AttemptResult::without_reply(timeout(within, probed).await.unwrap_or(Outcome::Timeout))
         }
     }
 }
 
-fn done(outcome: Outcome, served: Option<Served>) -> Done<Served> {
-    Done { outcome, served, fallback: None, report: None }
+fn done(outcome: Outcome, served: Option<Served>) -> AttemptResult<Served> {
+    AttemptResult { outcome, reply: served, fallback: None, report: None }
 }
 
 /// Puts a connection where it belongs after an exchange: with its session, or where others find it.
@@ -235,7 +235,7 @@
     attempt: &Attempt<Served>,
     ways: &Ways,
     role: Role,
-) -> Done<Served> {
+) -> AttemptResult<Served> {
     let (era, whose) = (endpoint.era.get(), (role, attempt.backend));
     let mut conn = loop {
         let kept = match payload.held {
@@ -255,11 +255,11 @@
         };
         // Its client may have left while the connection was made; and that the whole list is over says nothing
         // against this server.
-        if !attempt.wanted.get() || !attempt.gate.lent() {
+        if !attempt.request_open.get() || !attempt.gate.is_lease_valid() {
             return done(Outcome::NeverSent, None);
         }
         // The news of a drain may have come while the connection was made.
-        if !attempt.gate.may_send(&attempt.clock) {
+        if !attempt.gate.can_send(&attempt.clock) {
             return done(Outcome::NoConnection, None);
         }
         match conn.made_fit(&payload.wanted).await {
@@ -275,10 +275,10 @@
             None => {}
         }
     };
-    if !attempt.wanted.get() {
+    if !attempt.request_open.get() {
         return done(Outcome::NeverSent, None);
     }
-    if !attempt.gate.may_send(&attempt.clock) {
+    if !attempt.gate.can_send(&attempt.clock) {
         return done(Outcome::NoConnection, None);
     }
     attempt.written.set(true);
@@ -287,7 +287,7 @@
     }
     let reply = Reply::new(payload.answers, payload.wanted.deprecate_eof());
     let begun = Cell::new(false);
-    let answered = ways.answer(&mut conn.wire, reply, &attempt.begin, &begun).await;
+    let answered = ways.answer(&mut conn.wire, reply, &attempt.reply_sink, &begun).await;
     let Answered { mut frames, next, room, ended, leaves, to } = match answered {
         Ok(answered) => answered,
         Err(Cut::Untaken) => return done(Outcome::Cancelled, None),
@@ -337,7 +337,7 @@
     let answer = Some(Served { frames: frames.freeze(), next, rest: Rest::Over(ended, hold), _room: room });
     match never_ran {
         // Another server may do it; else the client hears what this one said.
-        true => Done { fallback: answer, ..done(Outcome::Full, None) },
+        true => AttemptResult { fallback: answer, ..done(Outcome::Full, None) },
         false => done(Outcome::Served, answer),
     }
 }
--- a/crates/mysql/tests/common/mod.rs
+++ b/crates/mysql/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use dewpier_mysql::io::{Front, FrontSettings, MySql, Role};
 use dewpier_mysql::login::Credentials;
 use dewpier_standins::mysql::{Asked, MySqlServer, Reply};
-use gannetproxy::engine::{Bounds, Budget, Engine, Listed, News};
+use gannetproxy::engine::{BackendListUpdate, Budget, Engine, EngineLimits, ListedBackend};
 use gannetproxy::{BackendId, Class, Effect, Entry, Settings, Status};
 use mysql::prelude::Queryable;
 use std::net::SocketAddr;
@@ -21,13 +21,13 @@
 
 pub struct Proxy {
     pub address: SocketAddr,
-    news: mpsc::UnboundedSender<News>,
+    news: mpsc::UnboundedSender<BackendListUpdate>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-pub fn listed(id: u32, address: SocketAddr, status: Status) -> Listed {
-    Listed { entry: Entry { id: BackendId(id), status, ..Entry::default() }, address }
+pub fn listed(id: u32, address: SocketAddr, status: Status) -> ListedBackend {
+    ListedBackend { entry: Entry { id: BackendId(id), status, ..Entry::default() }, address }
 }
 
 fn addresses(servers: &[&MySqlServer]) -> Vec<SocketAddr> {
@@ -55,7 +55,7 @@
     }
 
     fn start(servers: &[SocketAddr], replicas: Option<&[SocketAddr]>, held: usize) -> Self {
-        let list = |servers: &[SocketAddr]| -> Vec<Listed> {
+        let list = |servers: &[SocketAddr]| -> Vec<ListedBackend> {
             (0..).zip(servers).map(|(id, address)| listed(id, *address, Status::InService)).collect()
         };
         let (list, replicas) = (list(servers), replicas.map(list));
@@ -88,12 +88,12 @@
                     idle_close: Duration::from_secs(60),
                     own: Rc::new(Credentials { user: "dewpier".into(), password: OWN.into() }),
                 };
-                let bounds = Bounds { drain_grace: GRACE, max_open: 1000 };
+                let bounds = EngineLimits { drain_grace: GRACE, max_open_requests: 1000 };
                 let engine = Engine::start(settings.clone(), bounds, 7, upstream(Role::Primary));
-                engine.news(News::Remembered(list));
+                engine.update_list(BackendListUpdate::Remembered(list));
                 let replicas = replicas.map(|list| {
                     let engine = Engine::start(settings, bounds, 8, upstream(Role::Replica));
-                    engine.news(News::Remembered(list));
+                    engine.update_list(BackendListUpdate::Remembered(list));
                     engine
                 });
                 let front = FrontSettings {
@@ -114,7 +114,7 @@
                 ready.send(listener.local_addr().unwrap()).unwrap();
                 let listing = async move {
                     while let Some(news) = told.recv().await {
-                        engine.news(news);
+                        engine.update_list(news);
                     }
                     std::future::pending::<()>().await;
                 };
@@ -129,8 +129,8 @@
     }
 
     /// News of its list.
-    pub fn news(&self, list: Vec<Listed>) {
-        self.news.send(News::Full(list)).expect("it runs");
+    pub fn news(&self, list: Vec<ListedBackend>) {
+        self.news.send(BackendListUpdate::Full(list)).expect("it runs");
     }
 
     /// Asks it to stop, and waits until it has.
--- a/src/engine/affine.rs
+++ b/src/engine/affine.rs
@@ -11,7 +11,7 @@
 impl<U: Upstream> Engine<U> {
     /// Takes in a request for that backend, whose client will wait for `budget` seconds. It gets one attempt. It is
     /// refused where nothing of it was sent, and failed where it may have run.
-    pub fn request_to(
+    pub fn submit_request_to(
         &self,
         backend: BackendId,
         budget: Time,
@@ -22,7 +22,7 @@
         state.requests += 1;
         let id = RequestId(state.requests);
         if state.open.len() >= self.max_open || !state.endpoints.contains_key(&backend) {
-            let _ = sender.send(Answer::Refused(None, None)); // the receiver is still here
+            let _ = sender.send(Answer::Rejected(None, None)); // the receiver is still here
             return (id, receiver);
         }
         let now = self.clock.now();
@@ -39,7 +39,7 @@
             class: 0,
             kept: None,
             fallback: None,
-            wanted: Rc::new(Cell::new(true)),
+            request_open: Rc::new(Cell::new(true)),
         };
         state.open.insert(id, open);
         self.set_timer(&mut state, until, Due::Request(id));
@@ -59,7 +59,7 @@
     give_answer(
         state,
         id,
-        |_| if unsent { Answer::Refused(None, fallback) } else { Answer::Failed(fallback) },
+        |_| if unsent { Answer::Rejected(None, fallback) } else { Answer::Failed(fallback) },
     );
 }
 
@@ -67,5 +67,5 @@
 pub(super) fn late<U: Upstream>(state: &mut State<U>, id: RequestId) {
     let written = state.running.get(&(id, 0)).is_some_and(|running| running.written.get());
     give_up(state, id, 0);
-    give_answer(state, id, |_| if written { Answer::Failed(None) } else { Answer::Refused(None, None) });
+    give_answer(state, id, |_| if written { Answer::Failed(None) } else { Answer::Rejected(None, None) });
 }
--- a/src/engine/budget.rs
+++ b/src/engine/budget.rs
@@ -24,17 +24,17 @@
     }
 
     /// Room for so much from now on. What is out beyond that stays until it comes back.
-    pub fn bound(&self, most: usize) {
+    pub fn set_capacity(&self, most: usize) {
         self.most.set(most);
     }
 
     /// There is room for none.
-    pub fn full(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.used.get() >= self.most.get()
     }
 
     /// Takes a part, if there is room for it.
-    pub fn take(self: &Rc<Self>, part: usize) -> Option<Permit> {
+    pub fn try_acquire(self: &Rc<Self>, part: usize) -> Option<Permit> {
         (part <= self.most.get().saturating_sub(self.used.get())).then(|| {
             self.used.set(self.used.get() + part);
             Permit { budget: self.clone(), part }
--- a/src/engine/clock.rs
+++ b/src/engine/clock.rs
@@ -23,12 +23,12 @@
     }
 
     /// A Unix time, in seconds. The same for the same input as long as the proxy runs.
-    pub fn of_unix(&self, unix: Time) -> Time {
+    pub fn from_unix(&self, unix: Time) -> Time {
         unix - self.unix
     }
 
     /// When `time` is, for sleeping until then.
-    pub(crate) fn at(&self, time: Time) -> tokio::time::Instant {
+    pub(crate) fn instant_at(&self, time: Time) -> tokio::time::Instant {
         (self.start + Duration::try_from_secs_f64(time).unwrap_or_default()).into()
     }
 }
--- a/src/engine/list.rs
+++ b/src/engine/list.rs
@@ -5,20 +5,20 @@
 
 /// News of the list, as the engine hands it to the module.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum BackendListUpdate {
     /// Entries that changed.
-    Changes(Vec<Listed>),
+    Changes(Vec<ListedBackend>),
     /// All entries.
-    Full(Vec<Listed>),
+    Full(Vec<ListedBackend>),
     /// All entries, as last had before the start.
-    Remembered(Vec<Listed>),
+    Remembered(Vec<ListedBackend>),
     /// A call failed.
-    Refused,
+    Failed,
 }
 
 /// A backend of a list, and where it listens.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedBackend {
     /// The module's part.
     pub entry: Entry,
     /// Its address.
@@ -27,7 +27,7 @@
 
 /// What the module asks of the source of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum ListRequest {
     /// Tell of changes as they come, or no longer.
     Watch(bool),
     /// Tell the whole list once.
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,6 +1,6 @@
 //! The one place where the module meets the world: its clock, its timers, the open requests
 //! and their attempts. It knows no protocol and no source of lists: attempts are made by an
-//! [`Upstream`], and [`News`] of the list come as values. Events become calls of the module, its actions become I/O, and every
+//! [`Upstream`], and [`BackendListUpdate`] of the list come as values. Events become calls of the module, its actions become I/O, and every
 //! request gets exactly one final answer.
 
 mod affine;
@@ -12,8 +12,8 @@
 
 pub use budget::{Budget, Permit};
 pub use clock::Clock;
-pub use list::{Ask, Listed, News};
-pub use upstream::{Attempt, Begin, Done, Gate, Keep, Lease, Upstream};
+pub use list::{BackendListUpdate, ListRequest, ListedBackend};
+pub use upstream::{Attempt, AttemptResult, ExclusiveClaim, Lease, ReplySink, SendGate, Upstream};
 
 use crate::{
     Action, BackendId, Balancer, Ended, Entry, Event, ListUpdate, Outcome, Report, Request, RequestId,
@@ -36,7 +36,7 @@
 const GRACE_USED: f64 = 0.5;
 /// While nothing may be sent by the whole list, new requests are held back from the module for so long
 /// at most, in seconds: a source that is to lend its list again does so within this, or not soon.
-pub const MOST_HELD: Time = 0.5;
+pub const MAX_QUEUED_SECONDS: Time = 0.5;
 /// How often it is seen whether it is lent again, in seconds.
 const LOOK: Time = 0.005;
 /// How often idle connections are looked through.
@@ -50,7 +50,7 @@
     Served(R),
     /// Not done; trying again is harmless, after so long if that is said. With it the last error
     /// that a backend worded, where clients are to see it.
-    Refused(Option<Time>, Option<R>),
+    Rejected(Option<Time>, Option<R>),
     /// It may have been done. With it the same.
     Failed(Option<R>),
 }
@@ -83,9 +83,9 @@
 }
 
 /// An event that owns what it tells.
-enum Told {
+enum QueuedEvent {
     Event(Event<'static>),
-    List(News),
+    List(BackendListUpdate),
 }
 
 struct Open<U: Upstream> {
@@ -104,7 +104,7 @@
     /// The last error that a backend worded.
     fallback: Option<U::Reply>,
     /// True until it has its answer or its client has left.
-    wanted: Rc<Cell<bool>>,
+    request_open: Rc<Cell<bool>>,
 }
 
 struct Running {
@@ -122,7 +122,7 @@
 
 /// What was seen of a backend since that was asked last.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
+pub struct BackendCounts {
     /// Attempts that are out now.
     pub in_flight: u32,
     /// Attempts that were begun.
@@ -132,19 +132,19 @@
     /// Those that ended otherwise, but for those that were cancelled or never left.
     pub failed: u32,
     /// How long those that were served took together, in seconds.
-    pub took: Time,
+    pub served_time: Time,
 }
 
 /// A listed backend: what the list allows, the connections to it, and what was seen of it.
 struct Known<U: Upstream> {
-    gate: Rc<Gate>,
+    gate: Rc<SendGate>,
     endpoint: Rc<U::Endpoint>,
-    counts: Counts,
+    counts: BackendCounts,
 }
 
 struct State<U: Upstream> {
     balancer: Balancer,
-    told: VecDeque<Told>,
+    told: VecDeque<QueuedEvent>,
     timers: BinaryHeap<Reverse<(At, u64, Due)>>,
     timers_set: u64,
     /// Requests without a final answer, by a number that is never used twice: the ids of clients
@@ -162,26 +162,26 @@
 
 /// What an observer is told of attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum AttemptEvent {
     /// One begins, of a request of that class.
-    Began(BackendId, usize),
+    Started(BackendId, usize),
     /// It has ended.
     Ended(Outcome),
 }
 
 /// Who is told of attempts, each by its request and its number there.
-type Observer = Box<dyn Fn(RequestId, usize, Seen)>;
+type Observer = Box<dyn Fn(RequestId, usize, AttemptEvent)>;
 
 /// Where wishes for the list go.
-type Source = Box<dyn Fn(Ask)>;
+type Source = Box<dyn Fn(ListRequest)>;
 
 /// What bounds an engine besides the module's settings.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct EngineLimits {
     /// Nothing new to a backend this long after the news that it drains or is gone.
     pub drain_grace: Duration,
     /// Requests that may be open at once; what comes beyond is refused.
-    pub max_open: usize,
+    pub max_open_requests: usize,
 }
 
 /// Drives the module, with one kind of backends.
@@ -205,12 +205,18 @@
 
 impl<U: Upstream> Engine<U> {
     /// An engine with a module of its own, and its timers running. Its lists hold for good.
-    pub fn start(settings: Settings, bounds: Bounds, seed: u64, upstream: U) -> Rc<Self> {
-        Self::leased(settings, bounds, seed, upstream, Rc::default())
+    pub fn start(settings: Settings, bounds: EngineLimits, seed: u64, upstream: U) -> Rc<Self> {
+        Self::start_with_lease(settings, bounds, seed, upstream, Rc::default())
     }
 
     /// The same, with lists that are lent.
-    pub fn leased(settings: Settings, bounds: Bounds, seed: u64, upstream: U, lease: Rc<Lease>) -> Rc<Self> {
+    pub fn start_with_lease(
+        settings: Settings,
+        bounds: EngineLimits,
+        seed: u64,
+        upstream: U,
+        lease: Rc<Lease>,
+    ) -> Rc<Self> {
         let clock = Clock::start();
         let engine = Rc::new_cyclic(|this| Self {
             this: this.clone(),
@@ -223,7 +229,7 @@
             source: RefCell::default(),
             observer: RefCell::default(),
             drain_grace: bounds.drain_grace.as_secs_f64(),
-            max_open: bounds.max_open,
+            max_open: bounds.max_open_requests,
             max_attempts: settings.max_attempts,
             state: RefCell::new(State {
                 balancer: Balancer::new(clock.now(), seed, settings),
@@ -255,65 +261,65 @@
 
     /// Hands the module's wishes for the list to `source`. It is called while the engine is at
     /// work, and must not call back.
-    pub fn asks(&self, source: impl Fn(Ask) + 'static) {
+    pub fn set_list_source(&self, source: impl Fn(ListRequest) + 'static) {
         *self.source.borrow_mut() = Some(Box::new(source));
     }
 
     /// Tells `observer` of every attempt. It is called while the engine is at work, and must not call back.
-    pub fn observe(&self, observer: impl Fn(RequestId, usize, Seen) + 'static) {
+    pub fn set_observer(&self, observer: impl Fn(RequestId, usize, AttemptEvent) + 'static) {
         *self.observer.borrow_mut() = Some(Box::new(observer));
     }
 
-    fn observed(&self, id: RequestId, attempt: usize, seen: Seen) {
+    fn observed(&self, id: RequestId, attempt: usize, seen: AttemptEvent) {
         self.observer.borrow().iter().for_each(|observer| observer(id, attempt, seen));
     }
 
     /// What many proxies together hold of backends: how many times slower than normal they are, 0 taking it back.
-    pub fn believe(&self, held: &[(BackendId, f64)]) {
+    pub fn apply_backend_hints(&self, held: &[(BackendId, f64)]) {
         let mut state = self.state.borrow_mut();
         let believed = |(backend, slowness): &(BackendId, f64)| {
-            Told::Event(Event::Believed { backend: *backend, slowness: *slowness })
+            QueuedEvent::Event(Event::Believed { backend: *backend, slowness: *slowness })
         };
         state.told.extend(held.iter().map(believed));
         self.decide(state);
     }
 
     /// It has been listed, and not been gone for longer than sends to it may take.
-    pub fn knows(&self, backend: BackendId) -> bool {
+    pub fn has_backend(&self, backend: BackendId) -> bool {
         self.state.borrow().endpoints.contains_key(&backend)
     }
 
     /// What was seen of each backend since this was called last, where that is anything.
-    pub fn take_counts(&self) -> Vec<(BackendId, Counts)> {
+    pub fn take_counts(&self) -> Vec<(BackendId, BackendCounts)> {
         let mut state = self.state.borrow_mut();
-        let seen = state.endpoints.iter_mut().filter(|(_, k)| k.counts != Counts::default());
+        let seen = state.endpoints.iter_mut().filter(|(_, k)| k.counts != BackendCounts::default());
         let take = |known: &mut Known<U>| {
             let in_flight = known.counts.in_flight;
-            std::mem::replace(&mut known.counts, Counts { in_flight, ..Counts::default() })
+            std::mem::replace(&mut known.counts, BackendCounts { in_flight, ..BackendCounts::default() })
         };
         seen.map(|(id, known)| (*id, take(known))).collect()
     }
 
     /// How many backends the list names, and how many of them are avoided now.
-    pub fn members(&self) -> (usize, usize) {
+    pub fn count_backends(&self) -> (usize, usize) {
         let state = self.state.borrow();
-        let listed = state.endpoints.values().filter(|known| known.gate.listed()).count();
+        let listed = state.endpoints.values().filter(|known| known.gate.is_listed()).count();
         (listed, state.balancer.avoided().min(listed))
     }
 
     /// There is a list to go by.
-    pub fn listed(&self) -> bool {
+    pub fn has_list(&self) -> bool {
         self.listed.get()
     }
 
     /// There are requests without a final answer.
-    pub fn owes_answers(&self) -> bool {
+    pub fn has_open_requests(&self) -> bool {
         !self.state.borrow().open.is_empty()
     }
 
     /// Takes in a request, perhaps named `txn` by its client, which will wait for `request.budget` seconds.
     /// The answer comes to the receiver in that time. None if the name is in use.
-    pub fn request(
+    pub fn submit_request(
         &self,
         txn: Option<u64>,
         mut request: Request,
@@ -327,7 +333,7 @@
         state.requests += 1;
         request.id = RequestId(state.requests);
         if state.open.len() >= self.max_open {
-            let _ = answer.send(Answer::Refused(None, None)); // the receiver is still here
+            let _ = answer.send(Answer::Rejected(None, None)); // the receiver is still here
             return Some((request.id, receiver));
         }
         state.in_use.extend(txn);
@@ -347,33 +353,33 @@
             class: request.class,
             kept: None,
             fallback: None,
-            wanted: Rc::new(Cell::new(true)),
+            request_open: Rc::new(Cell::new(true)),
         };
         state.open.insert(request.id, open);
         self.set_timer(&mut state, until, Due::Request(request.id));
         let id = request.id;
-        if !self.lease.holds() || !state.held.is_empty() {
+        if !self.lease.is_valid() || !state.held.is_empty() {
             if state.held.is_empty() {
                 self.set_timer(&mut state, now + LOOK, Due::Held);
             }
             state.held.push_back((now, request));
             return Some((id, receiver));
         }
-        state.told.push_back(Told::Event(Event::Request(request)));
+        state.told.push_back(QueuedEvent::Event(Event::Request(request)));
         self.decide(state);
         Some((id, receiver))
     }
 
     /// The client has left. Nothing happens if the request has had its answer.
-    pub fn client_left(&self, id: RequestId) {
+    pub fn client_disconnected(&self, id: RequestId) {
         let mut state = self.state.borrow_mut();
         let Some(open) = close(&mut state, id) else { return };
         if open.affine {
-            self.observed(id, 0, Seen::Ended(Outcome::Cancelled));
+            self.observed(id, 0, AttemptEvent::Ended(Outcome::Cancelled));
             return give_up(&mut state, id, 0);
         }
         if let Some(attempt) = open.kept {
-            self.observed(id, attempt, Seen::Ended(Outcome::Cancelled));
+            self.observed(id, attempt, AttemptEvent::Ended(Outcome::Cancelled));
             let backend = state.running.get(&(id, attempt)).map(|running| running.backend);
             give_up(&mut state, id, attempt);
             if let Some(backend) = backend {
@@ -386,12 +392,12 @@
                     over: true,
                     report: None,
                 };
-                state.told.push_back(Told::Event(Event::Outcome(ended)));
+                state.told.push_back(QueuedEvent::Event(Event::Outcome(ended)));
             }
             return self.decide(state);
         }
         if !unheld(&mut state, id) {
-            state.told.push_back(Told::Event(Event::ClientLeft(id)));
+            state.told.push_back(QueuedEvent::Event(Event::ClientLeft(id)));
             self.withdraw_unsent(&mut state, id, open.attempts);
             self.decide(state);
         }
@@ -401,7 +407,7 @@
     fn withdraw_unsent(&self, state: &mut State<U>, id: RequestId, attempts: usize) {
         for attempt in 0..attempts {
             if state.running.get(&(id, attempt)).is_some_and(|running| !running.written.get()) {
-                self.ended(state, id, attempt, Done::without_answer(Outcome::NeverSent));
+                self.ended(state, id, attempt, AttemptResult::without_reply(Outcome::NeverSent));
             }
         }
     }
@@ -419,7 +425,7 @@
     }
 
     /// The process is to end: what is open now has its final answer after so long at the latest.
-    pub fn answer_within(&self, within: Duration) {
+    pub fn cap_deadlines(&self, within: Duration) {
         let mut state = self.state.borrow_mut();
         let last = self.clock.now() + within.as_secs_f64();
         let late: Vec<RequestId> =
@@ -433,76 +439,76 @@
     }
 
     /// News of the list, from whichever source.
-    pub fn news(&self, news: News) {
+    pub fn update_list(&self, news: BackendListUpdate) {
         let mut state = self.state.borrow_mut();
         // Where nothing may be sent by the list before any more, the news may be old: there is no grace.
-        let grace = if self.lease.holds() { GRACE_USED * self.drain_grace } else { 0.0 };
+        let grace = if self.lease.is_valid() { GRACE_USED * self.drain_grace } else { 0.0 };
         let last_send = self.clock.now() + grace;
-        let listed: &[Listed] = match &news {
-            News::Full(list) | News::Remembered(list) => {
+        let listed: &[ListedBackend] = match &news {
+            BackendListUpdate::Full(list) | BackendListUpdate::Remembered(list) => {
                 let named: HashSet<BackendId> = list.iter().map(|l| l.entry.id).collect();
                 let gone = state.endpoints.iter().filter(|(id, _)| !named.contains(id));
                 gone.for_each(|(_, known)| self.end(known, last_send));
                 list
             }
-            News::Changes(list) => list,
-            News::Refused => &[],
+            BackendListUpdate::Changes(list) => list,
+            BackendListUpdate::Failed => &[],
         };
-        for Listed { entry, address } in listed {
+        for ListedBackend { entry, address } in listed {
             if entry.status == Status::Gone {
                 state.endpoints.get(&entry.id).into_iter().for_each(|known| self.end(known, last_send));
                 continue;
             }
             let drained = (entry.status != Status::InService).then_some(last_send);
             let known = state.endpoints.entry(entry.id).or_insert_with(|| Known {
-                gate: Rc::new(Gate::leased(self.lease.clone())),
-                endpoint: Rc::new(self.upstream.endpoint(*address)),
-                counts: Counts::default(),
+                gate: Rc::new(SendGate::with_lease(self.lease.clone())),
+                endpoint: Rc::new(self.upstream.create_endpoint(*address)),
+                counts: BackendCounts::default(),
             });
-            self.upstream.moved(&known.endpoint, *address);
+            self.upstream.set_address(&known.endpoint, *address);
             if drained.is_some() {
-                self.upstream.release(&known.endpoint);
+                self.upstream.release_connections(&known.endpoint);
             }
-            known.gate.update(drained);
+            known.gate.set_send_deadline(drained);
         }
         self.listed.set(self.listed.get() || listed.iter().any(|l| l.entry.status == Status::InService));
-        state.told.push_back(Told::List(news));
+        state.told.push_back(QueuedEvent::List(news));
         self.decide(state);
     }
 
     /// A backend is gone from the list.
     fn end(&self, known: &Known<U>, last_send: Time) {
-        self.upstream.release(&known.endpoint);
-        known.gate.end(last_send);
+        self.upstream.release_connections(&known.endpoint);
+        known.gate.mark_gone(last_send);
     }
 
     /// An attempt has ended by itself.
-    fn attempt_done(&self, id: RequestId, attempt: usize, done: Done<U::Reply>) {
+    fn attempt_done(&self, id: RequestId, attempt: usize, done: AttemptResult<U::Reply>) {
         let mut state = self.state.borrow_mut();
         self.ended(&mut state, id, attempt, done);
         self.decide(state);
     }
 
     /// Tells the module of the end of an attempt, once, and the client of the first answer.
-    fn ended(&self, state: &mut State<U>, id: RequestId, attempt: usize, done: Done<U::Reply>) {
+    fn ended(&self, state: &mut State<U>, id: RequestId, attempt: usize, done: AttemptResult<U::Reply>) {
         let Some(running) = state.running.remove(&(id, attempt)) else {
             return; // ended otherwise before
         };
         running.task.abort();
-        self.observed(id, attempt, Seen::Ended(done.outcome));
+        self.observed(id, attempt, AttemptEvent::Ended(done.outcome));
         if let Some(Known { counts, .. }) = state.endpoints.get_mut(&running.backend) {
             counts.in_flight = counts.in_flight.saturating_sub(1);
             match done.outcome {
                 Outcome::Served => {
                     counts.served += 1;
-                    counts.took += self.clock.now() - running.sent;
+                    counts.served_time += self.clock.now() - running.sent;
                 }
                 Outcome::Cancelled | Outcome::NeverSent => {}
                 _ => counts.failed += 1,
             }
         }
         let mut closed = 0;
-        if let Some(served) = done.served
+        if let Some(served) = done.reply
             && let Some(open) = close(state, id)
         {
             let _ = open.answer.send(Answer::Served(served)); // if it has left, its guard tells
@@ -516,7 +522,7 @@
         } else if let (Some(fallback), Some(open)) = (done.fallback, state.open.get_mut(&id)) {
             open.fallback = Some(fallback);
         }
-        state.told.push_back(Told::Event(Event::Outcome(Ended {
+        state.told.push_back(QueuedEvent::Event(Event::Outcome(Ended {
             id,
             backend: running.backend,
             attempt,
@@ -530,7 +536,7 @@
 
     fn probed(&self, backend: BackendId, outcome: Outcome, report: Option<Report>) {
         let mut state = self.state.borrow_mut();
-        state.told.push_back(Told::Event(Event::Probed { backend, outcome, report }));
+        state.told.push_back(QueuedEvent::Event(Event::Probed { backend, outcome, report }));
         self.decide(state);
     }
 
@@ -539,25 +545,26 @@
         let mut actions = Vec::new();
         while let Some(told) = state.told.pop_front() {
             let now = self.clock.now();
-            let entries = |list: Vec<Listed>| list.into_iter().map(|l| l.entry).collect::<Vec<Entry>>();
+            let entries =
+                |list: Vec<ListedBackend>| list.into_iter().map(|l| l.entry).collect::<Vec<Entry>>();
             match told {
-                Told::Event(event) => state.balancer.handle(now, event, &mut actions),
-                Told::List(news) => {
+                QueuedEvent::Event(event) => state.balancer.handle(now, event, &mut actions),
+                QueuedEvent::List(news) => {
                     let list;
                     let update = match news {
-                        News::Changes(l) => {
+                        BackendListUpdate::Changes(l) => {
                             list = entries(l);
                             ListUpdate::Changes(&list)
                         }
-                        News::Full(l) => {
+                        BackendListUpdate::Full(l) => {
                             list = entries(l);
                             ListUpdate::Full(&list)
                         }
-                        News::Remembered(l) => {
+                        BackendListUpdate::Remembered(l) => {
                             list = entries(l);
                             ListUpdate::Remembered(&list)
                         }
-                        News::Refused => ListUpdate::Refused,
+                        BackendListUpdate::Failed => ListUpdate::Refused,
                     };
                     state.balancer.handle(now, Event::List(update), &mut actions);
                 }
@@ -572,25 +579,25 @@
         match action {
             Action::Send { id, backend, timeout } => self.send(state, id, backend, timeout, now),
             Action::Cancel { id, attempt } => {
-                self.ended(state, id, attempt, Done::without_answer(Outcome::Cancelled));
+                self.ended(state, id, attempt, AttemptResult::without_reply(Outcome::Cancelled));
             }
             Action::Refuse { id, retry_after } => {
-                self.answer(state, id, |fallback| Answer::Refused(retry_after, fallback));
+                self.answer(state, id, |fallback| Answer::Rejected(retry_after, fallback));
             }
             Action::Fail { id } => self.answer(state, id, Answer::Failed),
             Action::Timer { at, token } => self.set_timer(state, at, Due::Token(token)),
             Action::Probe(backend) => self.probe(state, backend),
             Action::Release(backend) => {
                 let known = state.endpoints.get(&backend);
-                known.into_iter().for_each(|known| self.upstream.release(&known.endpoint));
+                known.into_iter().for_each(|known| self.upstream.release_connections(&known.endpoint));
             }
-            Action::Watch(on) => self.ask(Ask::Watch(on)),
-            Action::Fetch => self.ask(Ask::Fetch),
+            Action::Watch(on) => self.ask(ListRequest::Watch(on)),
+            Action::Fetch => self.ask(ListRequest::Fetch),
             Action::Log(text) => eprintln!("{text}"),
         }
     }
 
-    fn ask(&self, ask: Ask) {
+    fn ask(&self, ask: ListRequest) {
         self.source.borrow().iter().for_each(|source| source(ask));
     }
 
@@ -600,7 +607,7 @@
         let open = state.open.get_mut(&id).filter(|open| open.attempts < most);
         let (Some(open), Some((gate, endpoint)), Some(engine)) = (open, known, self.this.upgrade()) else {
             let attempt = state.open.get(&id).map_or(0, |open| open.attempts);
-            return state.told.push_back(Told::Event(Event::Outcome(Ended {
+            return state.told.push_back(QueuedEvent::Event(Event::Outcome(Ended {
                 id,
                 backend,
                 attempt,
@@ -610,22 +617,32 @@
                 report: None,
             })));
         };
-        if self.upstream.full() {
+        if self.upstream.is_full() {
             // Room for a connection that may be needed, at the cost of one that is not.
-            let idle =
-                |known: &Known<U>| Some((self.upstream.idle_since(&known.endpoint)?, known.endpoint.clone()));
+            let idle = |known: &Known<U>| {
+                Some((self.upstream.oldest_idle_since(&known.endpoint)?, known.endpoint.clone()))
+            };
             let longest = state.endpoints.values().filter_map(idle).min_by_key(|(since, _)| *since);
-            longest.into_iter().for_each(|(_, endpoint)| self.upstream.evict(&endpoint));
+            longest.into_iter().for_each(|(_, endpoint)| self.upstream.close_oldest_idle(&endpoint));
         }
         let attempt = open.attempts;
         open.attempts += 1;
         let until = if timeout == 0.0 { open.until } else { (now + timeout).min(open.until) };
         let written = Rc::new(Cell::new(false));
-        let (affine, wanted) = (open.affine, open.wanted.clone());
-        self.observed(id, attempt, Seen::Began(backend, open.class));
-        let (begin, keep) = (self.begins(id, attempt), self.keeps(id, attempt));
+        let (affine, request_open) = (open.affine, open.request_open.clone());
+        self.observed(id, attempt, AttemptEvent::Started(backend, open.class));
+        let (reply_sink, exclusive_claim) = (self.begins(id, attempt), self.keeps(id, attempt));
         let clock = self.clock;
-        let made = Attempt { gate, backend, clock, until, written: written.clone(), wanted, begin, keep };
+        let made = Attempt {
+            gate,
+            backend,
+            clock,
+            deadline: until,
+            written: written.clone(),
+            request_open,
+            reply_sink,
+            exclusive_claim,
+        };
         let attempted = self.upstream.attempt(endpoint, open.payload.clone(), made);
         let task = tokio::task::spawn_local(async move {
             let done = attempted.await;
@@ -650,11 +667,11 @@
                 gate,
                 backend,
                 clock: self.clock,
-                until: Time::INFINITY,
+                deadline: Time::INFINITY,
                 written,
-                wanted: Rc::new(Cell::new(true)),
-                begin: Begin::default(),
-                keep: Keep::default(),
+                request_open: Rc::new(Cell::new(true)),
+                reply_sink: ReplySink::default(),
+                exclusive_claim: ExclusiveClaim::default(),
             };
             let probed = self.upstream.probe(known.endpoint.clone(), made);
             tokio::task::spawn_local(async move {
@@ -667,13 +684,13 @@
     /// Hands the module what was held back, where something may be sent again or it has waited for long
     /// enough: then the module refuses it.
     fn release(&self, state: &mut State<U>, now: Time) {
-        let lent = self.lease.holds();
+        let lent = self.lease.is_valid();
         while let Some((since, _)) = state.held.front()
-            && (lent || now - since >= MOST_HELD)
+            && (lent || now - since >= MAX_QUEUED_SECONDS)
         {
             let Some((since, mut request)) = state.held.pop_front() else { break };
             request.budget -= now - since;
-            state.told.push_back(Told::Event(Event::Request(request)));
+            state.told.push_back(QueuedEvent::Event(Event::Request(request)));
         }
         if !state.held.is_empty() {
             self.set_timer(state, now + LOOK, Due::Held);
@@ -691,7 +708,7 @@
 
     async fn run_timers(self: Rc<Self>) {
         loop {
-            let next = self.state.borrow().timers.peek().map(|Reverse((at, ..))| self.clock.at(at.0));
+            let next = self.state.borrow().timers.peek().map(|Reverse((at, ..))| self.clock.instant_at(at.0));
             match next {
                 None => self.timer_set.notified().await,
                 Some(next) => tokio::select! {
@@ -714,33 +731,33 @@
             };
             late = late.max(now - at.0);
             match due {
-                Due::Token(token) => state.told.push_back(Told::Event(Event::Timer(token))),
+                Due::Token(token) => state.told.push_back(QueuedEvent::Event(Event::Timer(token))),
                 Due::Attempt(id, attempt) if state.running.get(&(id, attempt)).is_some_and(|r| r.streams) => {
                 }
                 Due::Attempt(id, attempt) => {
                     let written = state.running.get(&(id, attempt)).is_some_and(|r| r.written.get());
                     let outcome = if written { Outcome::Timeout } else { Outcome::NoConnection };
-                    self.ended(&mut state, id, attempt, Done::without_answer(outcome));
+                    self.ended(&mut state, id, attempt, AttemptResult::without_reply(outcome));
                 }
                 // The module has not answered in time: the client must not be left without.
                 Due::Request(id) if unheld(&mut state, id) => {
-                    self.answer(&mut state, id, |fallback| Answer::Refused(None, fallback));
+                    self.answer(&mut state, id, |fallback| Answer::Rejected(None, fallback));
                 }
                 Due::Held => self.release(&mut state, now),
                 // Its time counts from the last byte that its client sends; its attempt keeps to that.
                 Due::Request(id) if state.open.get(&id).is_some_and(|open| open.kept.is_some()) => {}
                 Due::Request(id) => {
                     if state.open.get(&id).is_some_and(|open| open.affine) {
-                        self.observed(id, 0, Seen::Ended(Outcome::Timeout));
+                        self.observed(id, 0, AttemptEvent::Ended(Outcome::Timeout));
                         affine::late(&mut state, id);
                     } else if state.open.contains_key(&id) {
                         let unsent = state.open.get(&id).is_some_and(|open| open.attempts == 0);
                         let answer = |fallback| match unsent {
-                            true => Answer::Refused(None, fallback),
+                            true => Answer::Rejected(None, fallback),
                             false => Answer::Failed(fallback),
                         };
                         self.answer(&mut state, id, answer);
-                        state.told.push_back(Told::Event(Event::ClientLeft(id)));
+                        state.told.push_back(QueuedEvent::Event(Event::ClientLeft(id)));
                     }
                 }
             }
@@ -758,12 +775,12 @@
             // Where backends are ever new, the gone ones must not be kept. The map's handle is the
             // last one when no attempt or probe is out.
             let ended = |known: &Known<U>| {
-                Rc::strong_count(&known.endpoint) == 1 && known.gate.forgettable(&self.clock)
+                Rc::strong_count(&known.endpoint) == 1 && known.gate.can_be_forgotten(&self.clock)
             };
             if looks.is_multiple_of(FORGET_EVERY) {
                 state.endpoints.retain(|_, known| !ended(known));
             }
-            state.endpoints.values().for_each(|known| self.upstream.sweep(&known.endpoint));
+            state.endpoints.values().for_each(|known| self.upstream.close_expired(&known.endpoint));
         }
     }
 }
@@ -771,7 +788,7 @@
 /// Takes out a request that has its final answer or wants none.
 fn close<U: Upstream>(state: &mut State<U>, id: RequestId) -> Option<Open<U>> {
     let open = state.open.remove(&id)?;
-    open.wanted.set(false);
+    open.request_open.set(false);
     if let Some(txn) = open.txn {
         state.in_use.remove(&txn);
     }
--- a/src/engine/streamed.rs
+++ b/src/engine/streamed.rs
@@ -1,22 +1,22 @@
 //! Answers that have begun and go on: the client has its answer from the first part on.
 
-use super::{Answer, Begin, Engine, Keep, Told, Upstream, close};
+use super::{Answer, Engine, ExclusiveClaim, QueuedEvent, ReplySink, Upstream, close};
 use crate::{Event, RequestId};
 use std::rc::Rc;
 
 impl<U: Upstream> Engine<U> {
     /// What an attempt is given to hand on an answer that has begun.
-    pub(super) fn begins(&self, id: RequestId, attempt: usize) -> Begin<U::Reply> {
+    pub(super) fn begins(&self, id: RequestId, attempt: usize) -> ReplySink<U::Reply> {
         let engine = self.this.clone();
-        Begin(Some(Rc::new(move |reply| {
+        ReplySink(Some(Rc::new(move |reply| {
             engine.upgrade().is_some_and(|engine| engine.begun(id, attempt, reply))
         })))
     }
 
     /// What an attempt is given to become its request's only one.
-    pub(super) fn keeps(&self, id: RequestId, attempt: usize) -> Keep {
+    pub(super) fn keeps(&self, id: RequestId, attempt: usize) -> ExclusiveClaim {
         let engine = self.this.clone();
-        Keep(Some(Rc::new(move || engine.upgrade().is_some_and(|engine| engine.kept(id, attempt)))))
+        ExclusiveClaim(Some(Rc::new(move || engine.upgrade().is_some_and(|engine| engine.kept(id, attempt)))))
     }
 
     /// The module has done what it can for it: it would wait at its timers for what can't come before the client
@@ -34,7 +34,7 @@
         running.streams = true;
         running.kept = true;
         if !open.affine {
-            state.told.push_back(Told::Event(Event::Started { id, attempt }));
+            state.told.push_back(QueuedEvent::Event(Event::Started { id, attempt }));
             self.decide(state);
         }
         true
@@ -51,7 +51,7 @@
         }
         let _ = open.answer.send(Answer::Served(reply)); // where it has left, what comes finds nobody
         if !open.affine && open.kept.is_none() {
-            state.told.push_back(Told::Event(Event::Started { id, attempt }));
+            state.told.push_back(QueuedEvent::Event(Event::Started { id, attempt }));
             self.withdraw_unsent(&mut state, id, open.attempts);
             self.decide(state);
         }
--- a/src/engine/upstream.rs
+++ b/src/engine/upstream.rs
@@ -19,12 +19,12 @@
 
 impl Lease {
     /// Until then; None: for good.
-    pub fn set(&self, until: Option<std::time::Instant>) {
+    pub fn set_expiry(&self, until: Option<std::time::Instant>) {
         self.until.set(until);
     }
 
     /// The list may be gone by.
-    pub fn holds(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         self.until.get().is_none_or(|until| std::time::Instant::now() < until)
     }
 }
@@ -32,7 +32,7 @@
 /// When sends to a backend must end, and whether it is gone: the engine sets it by the list, and
 /// an attempt asks it right before its first byte goes out.
 #[derive(Debug, Default)]
-pub struct Gate {
+pub struct SendGate {
     lease: Rc<Lease>,
     /// Set while it drains or is gone.
     last_send: Cell<Option<Time>>,
@@ -40,34 +40,34 @@
     gone: Cell<bool>,
 }
 
-impl Gate {
+impl SendGate {
     /// A gate that is shut while the lease on the list is over.
-    pub fn leased(lease: Rc<Lease>) -> Self {
+    pub fn with_lease(lease: Rc<Lease>) -> Self {
         Self { lease, ..Self::default() }
     }
 
     /// What the list now says: nothing against it, or when sends must end. Hearing of the same
     /// drain again doesn't extend the grace.
-    pub fn update(&self, last_send: Option<Time>) {
+    pub fn set_send_deadline(&self, last_send: Option<Time>) {
         let earlier = self.last_send.get().filter(|_| last_send.is_some());
         self.last_send.set(earlier.or(last_send));
         self.gone.set(false);
     }
 
     /// It is gone from the list: sends must end by `last_send`.
-    pub fn end(&self, last_send: Time) {
-        self.update(Some(last_send));
+    pub fn mark_gone(&self, last_send: Time) {
+        self.set_send_deadline(Some(last_send));
         self.gone.set(true);
     }
 
     /// The list that names it may be gone by.
-    pub fn lent(&self) -> bool {
-        self.lease.holds()
+    pub fn is_lease_valid(&self) -> bool {
+        self.lease.is_valid()
     }
 
     /// Something new may be sent now.
-    pub fn may_send(&self, clock: &Clock) -> bool {
-        self.lent() && !self.ended(clock)
+    pub fn can_send(&self, clock: &Clock) -> bool {
+        self.is_lease_valid() && !self.ended(clock)
     }
 
     /// Its last send is past.
@@ -76,12 +76,12 @@
     }
 
     /// The list still names it.
-    pub fn listed(&self) -> bool {
+    pub fn is_listed(&self) -> bool {
         !self.gone.get()
     }
 
     /// It is gone, and its grace is over.
-    pub fn forgettable(&self, clock: &Clock) -> bool {
+    pub fn can_be_forgotten(&self, clock: &Clock) -> bool {
         self.gone.get() && self.ended(clock)
     }
 }
@@ -91,38 +91,38 @@
 pub struct Attempt<R> {
     /// To be asked right before the first byte goes out: where it says no, the attempt ends with
     /// [`Outcome::NoConnection`], or with [`Outcome::NeverSent`] where the whole list is not lent any more.
-    pub gate: Rc<Gate>,
+    pub gate: Rc<SendGate>,
     /// Which backend it goes to.
     pub backend: BackendId,
     /// The engine's clock.
     pub clock: Clock,
     /// When the engine stops waiting, at the latest.
-    pub until: Time,
+    pub deadline: Time,
     /// To be set as soon as any of the request may have gone out, and back where it is known that
     /// it can't have run: from then on a break may hide a request that runs.
     pub written: Rc<Cell<bool>>,
     /// Its request still wants an answer: to be asked along with the gate. Where it does not (its client has left, or
     /// another attempt has answered), the attempt ends with [`Outcome::NeverSent`].
-    pub wanted: Rc<Cell<bool>>,
+    pub request_open: Rc<Cell<bool>>,
     /// How it hands on an answer that has begun and goes on.
-    pub begin: Begin<R>,
+    pub reply_sink: ReplySink<R>,
     /// How it makes itself the request's only attempt, where what it sends can't be sent again.
-    pub keep: Keep,
+    pub exclusive_claim: ExclusiveClaim,
 }
 
 /// Makes an attempt the only one that its request has, from here on: what comes of it is the request's answer. The
 /// engine sets no time limit any more; the attempt does.
 #[derive(Clone, Default)]
-pub struct Keep(pub(super) Option<Rc<dyn Fn() -> bool>>);
+pub struct ExclusiveClaim(pub(super) Option<Rc<dyn Fn() -> bool>>);
 
-impl Keep {
+impl ExclusiveClaim {
     /// Does so. False where the request has had its answer, or its client has left: the attempt is to end.
-    pub fn only(&self) -> bool {
+    pub fn claim(&self) -> bool {
         self.0.as_ref().is_some_and(|keep| keep())
     }
 }
 
-impl std::fmt::Debug for Keep {
+impl std::fmt::Debug for ExclusiveClaim {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Keep")
     }
@@ -130,28 +130,28 @@
 
 /// Takes an answer that has begun: it is the request's one answer from there on, no other attempt is made or
 /// waited for, and the engine sets no time limit any more. The attempt goes on until all of it has come.
-pub struct Begin<R>(pub(super) Option<Rc<dyn Fn(R) -> bool>>);
+pub struct ReplySink<R>(pub(super) Option<Rc<dyn Fn(R) -> bool>>);
 
-impl<R> Begin<R> {
+impl<R> ReplySink<R> {
     /// Hands it on. False where the request has had its answer, or its client has left: the attempt is to end.
-    pub fn with(&self, reply: R) -> bool {
+    pub fn send(&self, reply: R) -> bool {
         self.0.as_ref().is_some_and(|begin| begin(reply))
     }
 }
 
-impl<R> Default for Begin<R> {
+impl<R> Default for ReplySink<R> {
     fn default() -> Self {
         Self(None)
     }
 }
 
-impl<R> Clone for Begin<R> {
+impl<R> Clone for ReplySink<R> {
     fn clone(&self) -> Self {
         Self(self.0.clone())
     }
 }
 
-impl<R> std::fmt::Debug for Begin<R> {
+impl<R> std::fmt::Debug for ReplySink<R> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Begin")
     }
@@ -159,11 +159,11 @@
 
 /// How an attempt or probe ended.
 #[derive(Debug)]
-pub struct Done<R> {
+pub struct AttemptResult<R> {
     /// The outcome.
     pub outcome: Outcome,
     /// The answer, if it was served.
-    pub served: Option<R>,
+    pub reply: Option<R>,
     /// What the client is answered if the request ends without being served after all: an error
     /// that the backend worded, where clients are to see it.
     pub fallback: Option<R>,
@@ -171,10 +171,10 @@
     pub report: Option<Report>,
 }
 
-impl<R> Done<R> {
+impl<R> AttemptResult<R> {
     /// An end that brought nothing.
-    pub fn without_answer(outcome: Outcome) -> Self {
-        Self { outcome, served: None, fallback: None, report: None }
+    pub fn without_reply(outcome: Outcome) -> Self {
+        Self { outcome, reply: None, fallback: None, report: None }
     }
 }
 
@@ -188,26 +188,26 @@
     type Endpoint: 'static;
 
     /// A backend at `address`; nothing is opened yet.
-    fn endpoint(&self, address: SocketAddr) -> Self::Endpoint;
+    fn create_endpoint(&self, address: SocketAddr) -> Self::Endpoint;
 
     /// The backend listens at `address` now. Where that is another one, nothing new goes out on
     /// connections to the old one.
-    fn moved(&self, endpoint: &Self::Endpoint, address: SocketAddr);
+    fn set_address(&self, endpoint: &Self::Endpoint, address: SocketAddr);
 
     /// Closes the idle connections, and those in use once they become idle.
-    fn release(&self, endpoint: &Self::Endpoint);
+    fn release_connections(&self, endpoint: &Self::Endpoint);
 
     /// Closes connections that are no longer to be used. Called about ten times a second.
-    fn sweep(&self, endpoint: &Self::Endpoint);
+    fn close_expired(&self, endpoint: &Self::Endpoint);
 
     /// No further connection can be opened unless one is closed.
-    fn full(&self) -> bool;
+    fn is_full(&self) -> bool;
 
     /// Since when its longest idle connection has been idle.
-    fn idle_since(&self, endpoint: &Self::Endpoint) -> Option<Instant>;
+    fn oldest_idle_since(&self, endpoint: &Self::Endpoint) -> Option<Instant>;
 
     /// Closes that connection.
-    fn evict(&self, endpoint: &Self::Endpoint);
+    fn close_oldest_idle(&self, endpoint: &Self::Endpoint);
 
     /// Makes one attempt, and says exactly how it ended; what is not known to have been kept from
     /// the backend may have run. Dropping the future gives the attempt up: its connection must
@@ -217,12 +217,12 @@
         endpoint: Rc<Self::Endpoint>,
         payload: Rc<Self::Payload>,
         attempt: Attempt<Self::Reply>,
-    ) -> impl Future<Output = Done<Self::Reply>> + 'static;
+    ) -> impl Future<Output = AttemptResult<Self::Reply>> + 'static;
 
     /// Sees whether a backend answers, within a time limit of its own.
     fn probe(
         &self,
         endpoint: Rc<Self::Endpoint>,
         attempt: Attempt<()>,
-    ) -> impl Future<Output = Done<()>> + 'static;
+    ) -> impl Future<Output = AttemptResult<()>> + 'static;
 }
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -1,7 +1,9 @@
 //! The engine between clients that leave and attempts that end in every order: answers, time-outs, resets, connections
 //! that come up late, second answers. Drawn from seeds; a failure names its seed.
 
-use gannetproxy::engine::{Answer, Attempt, Bounds, Done, Engine, Listed, News, Upstream};
+use gannetproxy::engine::{
+    Answer, Attempt, AttemptResult, BackendListUpdate, Engine, EngineLimits, ListedBackend, Upstream,
+};
 use gannetproxy::{BackendId, Class, Effect, Entry, Group, Outcome, Request, RequestId, Settings};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -86,17 +88,17 @@
     type Reply = ();
     type Endpoint = ();
 
-    fn endpoint(&self, _: SocketAddr) {}
-    fn moved(&self, (): &(), _: SocketAddr) {}
-    fn release(&self, (): &()) {}
-    fn sweep(&self, (): &()) {}
-    fn full(&self) -> bool {
+    fn create_endpoint(&self, _: SocketAddr) {}
+    fn set_address(&self, (): &(), _: SocketAddr) {}
+    fn release_connections(&self, (): &()) {}
+    fn close_expired(&self, (): &()) {}
+    fn is_full(&self) -> bool {
         false
     }
-    fn idle_since(&self, (): &()) -> Option<tokio::time::Instant> {
+    fn oldest_idle_since(&self, (): &()) -> Option<tokio::time::Instant> {
         None
     }
-    fn evict(&self, (): &()) {}
+    fn close_oldest_idle(&self, (): &()) {}
 
     // It does not ask whether its request still wants it: the engine has to end it by itself.
     fn attempt(
@@ -104,7 +106,7 @@
         _: Rc<()>,
         payload: Rc<Rc<Account>>,
         attempt: Attempt<()>,
-    ) -> impl Future<Output = Done<()>> + 'static {
+    ) -> impl Future<Output = AttemptResult<()>> + 'static {
         let connects = self.draw(|rng| match rng.random_range(0..3) {
             0 => rng.random_range(CONNECTS[0]..CONNECTS[1]),
             _ => 0.0,
@@ -133,12 +135,12 @@
                 _ => std::future::pending().await,
             };
             payload.sent.borrow_mut()[place].2 = Some(outcome);
-            Done { outcome, served, fallback: None, report: None }
+            AttemptResult { outcome, reply: served, fallback: None, report: None }
         }
     }
 
-    fn probe(&self, _: Rc<()>, _: Attempt<()>) -> impl Future<Output = Done<()>> + 'static {
-        std::future::ready(Done::without_answer(Outcome::Served))
+    fn probe(&self, _: Rc<()>, _: Attempt<()>) -> impl Future<Output = AttemptResult<()>> + 'static {
+        std::future::ready(AttemptResult::without_reply(Outcome::Served))
     }
 }
 
@@ -161,14 +163,14 @@
 async fn play(seed: u64) -> Vec<String> {
     let rng = Rc::new(RefCell::new(SmallRng::seed_from_u64(seed)));
     let draw = |from: &dyn Fn(&mut SmallRng) -> f64| from(&mut rng.borrow_mut());
-    let bounds = Bounds { drain_grace: Duration::from_secs(1), max_open: 1000 };
+    let bounds = EngineLimits { drain_grace: Duration::from_secs(1), max_open_requests: 1000 };
     // Where attempts may not be withdrawn, those that were not sent yet must end all the same.
     let engine = Engine::start(settings(seed.is_multiple_of(2)), bounds, seed, Script { rng: rng.clone() });
-    let listed = |id: u32| Listed {
+    let listed = |id: u32| ListedBackend {
         entry: Entry { id: BackendId(id), cell: cell(id), ..Entry::default() },
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
     };
-    engine.news(News::Full((0..BACKENDS).map(listed).collect()));
+    engine.update_list(BackendListUpdate::Full((0..BACKENDS).map(listed).collect()));
     let mut clients = Vec::new();
     for _ in 0..REQUESTS {
         sleep(Duration::from_secs_f64(draw(&|rng| rng.random_range(0.0..0.03)))).await;
@@ -177,7 +179,7 @@
         let leaves = draw(&|rng| if rng.random_bool(0.4) { rng.random_range(0.0..BUDGET) } else { 9.0 });
         let request = Request { id: RequestId(0), class, budget: BUDGET, ..Request::default() };
         let begun = Instant::now();
-        let Some((id, mut answer)) = engine.request(None, request, account.clone()) else { continue };
+        let Some((id, mut answer)) = engine.submit_request(None, request, account.clone()) else { continue };
         let (engine, known) = (engine.clone(), account.clone());
         let client = spawn_local(async move {
             let wait = Duration::from_secs_f64(leaves);
@@ -188,14 +190,14 @@
             };
             known.closed.set(true);
             match answered {
-                None => engine.client_left(id),
+                None => engine.client_disconnected(id),
                 Some(Err(_)) => known.wrong.borrow_mut().push("no final answer".into()),
                 Some(Ok(answer)) => {
                     if begun.elapsed() > Duration::from_secs_f64(BUDGET) + SLACK {
                         known.wrong.borrow_mut().push(format!("answered after {:?}", begun.elapsed()));
                     }
                     let ran = known.sent.borrow().iter().any(|(.., outcome)| may_have_run(*outcome));
-                    if matches!(answer, Answer::Refused(..)) && ran && known.class != SAFE {
+                    if matches!(answer, Answer::Rejected(..)) && ran && known.class != SAFE {
                         known.wrong.borrow_mut().push("refused although it may have run".into());
                     }
                 }
@@ -208,7 +210,7 @@
     }
     // Whatever is still out, and every timer.
     sleep(Duration::from_secs_f64(BUDGET + CONNECTS[1])).await;
-    assert!(!engine.owes_answers(), "seed {seed}: requests that nobody answers");
+    assert!(!engine.has_open_requests(), "seed {seed}: requests that nobody answers");
     let mut wrong = Vec::new();
     for (_, account) in clients {
         if !account.closed.get() {
