--- a/crates/dewpier/src/beside.rs
+++ b/crates/dewpier/src/beside.rs
@@ -96,7 +96,7 @@
     };
     let begun = tokio::time::Instant::now();
     loop {
-        match server::bind_beside(address) {
+        match server::bind_shared(address) {
             Err(error) if error.kind() == io::ErrorKind::AddrInUse && begun.elapsed() < TRIES => {
                 tokio::time::sleep(TRY).await;
             }
@@ -125,14 +125,14 @@
 /// What this process does about a newer one.
 fn act(server: Rc<Server>, again: Rc<Notify>) -> impl Fn(Do) + 'static {
     move |done| match done {
-        Do::Beside(beside) => server.beside(beside),
+        Do::Beside(beside) => server.update_limit_sharing(beside),
         Do::HandOver => {
             tracing::info!("a new process takes the address over");
             server.hand_over();
         }
         Do::TakeBack => {
             tracing::warn!("the new process is gone: taking clients again");
-            server.take_back();
+            server.resume_accepting();
             again.notify_one();
         }
         Do::Give(_) | Do::Tell(..) | Do::Drop(_) => {}
--- a/crates/dewpier/src/config/mod.rs
+++ b/crates/dewpier/src/config/mod.rs
@@ -168,7 +168,7 @@
             idle_close: millis(&backends.idle_close_ms, "idle_close_ms", [1, HOUR], 30_000)?,
             handshake_price: number(&backends.handshake_price, "handshake_price", [0.0, 1.0], 0.0)?,
             drain_grace,
-            max_open: whole(&limits.max_open, "max_open", [1, 1_000_000], 10_000)? as usize,
+            max_open_requests: whole(&limits.max_open, "max_open", [1, 1_000_000], 10_000)? as usize,
         };
         let most_wait = millis(&limits.max_retry_after_ms, "max_retry_after_ms", [0, HOUR], 1000)?;
         let settings = Settings {
--- a/crates/dewpier/src/config/tests.rs
+++ b/crates/dewpier/src/config/tests.rs
@@ -19,7 +19,7 @@
     assert_eq!(inventory.file, Path::new("/etc/dewpier/nodes.csv"));
     assert_eq!(config.wire.drain_grace, Duration::from_millis(500));
     let class = |method, path| {
-        let class = config.routes.class(&method, path)?;
+        let class = config.routes.find_class(&method, path)?;
         Some((config.wire.classes[class].as_str(), config.settings.classes[class].effect))
     };
     assert_eq!(class(Method::GET, "/a"), Some(("default-safe", Effect::Safe)));
--- a/crates/dewpier/src/members.rs
+++ b/crates/dewpier/src/members.rs
@@ -1,7 +1,7 @@
 //! Inventories as news of the list: which nodes are new, which return, which go. No I/O.
 
 use crate::fleet::Node;
-use dewpier_http::listing::{self, Names};
+use dewpier_http::listing::{self, BackendIds};
 use dewpier_inventory::{Backend, State};
 use dewpier_verdicts::NodeId;
 use gannetproxy::engine::{BackendListUpdate, ListedBackend};
@@ -20,7 +20,7 @@
 /// The nodes of the last list. Bounded by the inventory's own bound: what leaves is forgotten.
 #[derive(Debug)]
 pub struct Members {
-    names: Names,
+    names: BackendIds,
     zones: Vec<String>,
     members: HashMap<String, Member>,
     first: bool,
@@ -36,7 +36,7 @@
     /// No list yet. `zones` are those that have numbers.
     pub fn new(zones: Vec<String>) -> Self {
         Self {
-            names: Names::new(Vec::new()),
+            names: BackendIds::new(Vec::new()),
             zones,
             members: HashMap::new(),
             first: true,
@@ -68,7 +68,7 @@
                 (None, None) => Some(now),
             };
             let entry = Entry {
-                id: self.names.id(&backend.id),
+                id: self.names.id_for(&backend.id),
                 cell: backend.cell,
                 zone: self.zone(&backend.zone),
                 weight: if backend.weight > 0.0 { backend.weight } else { 1.0 },
@@ -118,7 +118,7 @@
 
     /// Forgets the numbers of nodes that nothing names any more.
     pub fn forget(&mut self, known: impl Fn(gannetproxy::BackendId) -> bool) {
-        self.names.forget(known);
+        self.names.retain(known);
     }
 
     fn zone(&mut self, name: &str) -> u32 {
--- a/crates/dewpier/src/platform.rs
+++ b/crates/dewpier/src/platform.rs
@@ -1,10 +1,10 @@
 //! The platform's proxy: starts it, has it read its configuration again on SIGHUP, stops it on SIGTERM.
 
 use crate::beside;
-use dewpier_http::backend::{Answers, Http, Reuse};
-use dewpier_http::config::{Config, ConfigError, Wins};
+use dewpier_http::backend::{HttpUpstream, ResponsePolicy, ReusePolicy};
+use dewpier_http::config::{Config, ConfigError, DiscoveryPrecedence};
 use dewpier_http::discovery::Discovery;
-use dewpier_http::limits::{Budget, Caps};
+use dewpier_http::limits::{Budget, ResourceLimits};
 use dewpier_http::request::Dialect;
 use dewpier_http::server::{self, Server};
 use dewpier_operate::figures::Figures;
@@ -35,7 +35,7 @@
     // The handlers come first: a signal that finds none ends the program.
     let mut reload = signal(SignalKind::hangup())?;
     let mut stop = signal(SignalKind::terminate())?;
-    let config = Config::from_env(Wins::Environment)?;
+    let config = Config::from_env(DiscoveryPrecedence::Environment)?;
     let place = beside::place(config.listen);
     let (listener, mut before) = beside::listener(config.listen, place.as_deref()).await?;
     let address = listener.local_addr()?;
@@ -47,17 +47,17 @@
         eprintln!("dewpier: operators call at {}", operators.local_addr()?);
     }
     let figures = Figures::new(config.wire.classes.clone());
-    let caps = Caps::new(config.sockets, config.memory);
-    let upstream = Http {
-        connections: Budget::new(caps.backends),
+    let limits = ResourceLimits::new(config.sockets, config.memory);
+    let upstream = HttpUpstream {
+        connections: Budget::new(limits.backend_connections),
         connect_timeout: config.wire.connect_timeout,
         idle_close: config.wire.idle_close,
         probe_path: if config.settings.probe_for_reports { "/-/load" } else { "/-/healthy" },
-        reuse: Reuse::new(config.wire.handshake_price),
-        answers: Answers::Platform,
-        attempts: figures.attempts_counter(),
+        reuse_policy: ReusePolicy::new(config.wire.handshake_price),
+        response_policy: ResponsePolicy::Platform,
+        attempt_counter: figures.attempts_counter(),
     };
-    let engine = Engine::start(config.settings.clone(), config.wire.bounds(), config.seed, upstream);
+    let engine = Engine::start(config.settings.clone(), config.wire.engine_limits(), config.seed, upstream);
     let discovery = Discovery::start(
         config.discovery,
         config.known,
@@ -69,33 +69,35 @@
     if before.runs() {
         // What discovery tells is told to both. The module spreads the first calls of proxies that start together;
         // one that takes over starts alone, and would go by an old list meanwhile.
-        discovery.watch(true);
+        discovery.set_watching(true);
     }
     let reloading = async move {
         while reload.recv().await.is_some() {
             // What can't be used changes nothing.
-            match Config::from_env(Wins::File) {
-                Ok(config) => discovery.move_to(config.discovery),
+            match Config::from_env(DiscoveryPrecedence::File) {
+                Ok(config) => discovery.change_address(config.discovery),
                 Err(error) => eprintln!("dewpier: not reloaded: {error}"),
             }
         }
         std::future::pending().await
     };
-    let server = Server::new(engine, config.settings, config.wire, Dialect::Platform, caps, figures);
+    let server = Server::new(engine, config.settings, config.wire, Dialect::Platform, limits, figures);
     let asked = server.clone();
     let operating = async move {
         match operators {
-            Some(listener) => operators::serve(listener, Rc::new(move |call| asked.operate(call))).await,
+            Some(listener) => {
+                operators::serve(listener, Rc::new(move |call| asked.handle_operator_call(call))).await
+            }
             None => std::future::pending().await,
         }
     };
     // What comes while this process knows no backend is for the other one.
-    server.beside(before.runs());
+    server.update_limit_sharing(before.runs());
     let (joins, joined) = (server.clone(), Notify::new());
     let serving = async {
         if before.shares_queue() {
             let listed = async {
-                while !joins.listed() {
+                while !joins.has_list() {
                     tokio::time::sleep(LOOK).await;
                 }
             };
@@ -111,7 +113,7 @@
         }
         let ended = async {
             before.ended().await;
-            joins.beside(false);
+            joins.update_limit_sharing(false);
             std::future::pending().await
         };
         tokio::select! {
--- a/crates/dewpier/src/run.rs
+++ b/crates/dewpier/src/run.rs
@@ -8,8 +8,8 @@
 use crate::fleet::Fleet;
 use crate::lists::Lists;
 use crate::mysql::Served;
-use dewpier_http::backend::{Answers, Http, Reuse};
-use dewpier_http::limits::{Budget, Caps};
+use dewpier_http::backend::{HttpUpstream, ResponsePolicy, ReusePolicy};
+use dewpier_http::limits::{Budget, ResourceLimits};
 use dewpier_http::request::Dialect;
 use dewpier_http::server::{self, Server};
 use dewpier_operate::figures::Figures;
@@ -64,15 +64,15 @@
     let mut feed = Feed::first(lists, wire.zones.clone()).await?;
 
     let figures = Figures::new(wire.classes.clone());
-    let caps = Caps::new(descriptors, memory);
-    let upstream = Http {
-        connections: Budget::new(caps.backends),
+    let limits = ResourceLimits::new(descriptors, memory);
+    let upstream = HttpUpstream {
+        connections: Budget::new(limits.backend_connections),
         connect_timeout: wire.connect_timeout,
         idle_close: wire.idle_close,
         probe_path: "/-/healthy",
-        reuse: Reuse::new(wire.handshake_price),
-        answers: Answers::Plain,
-        attempts: figures.attempts_counter(),
+        reuse_policy: ReusePolicy::new(wire.handshake_price),
+        response_policy: ResponsePolicy::Plain,
+        attempt_counter: figures.attempts_counter(),
     };
     let listener = server::bind(listen)?;
     let address = listener.local_addr()?;
@@ -80,7 +80,8 @@
     if let Some(operators) = &operators {
         eprintln!("dewpier: operators call at {}", operators.local_addr()?);
     }
-    let engine = Engine::start_with_lease(settings.clone(), wire.bounds(), seed(), upstream, feed.lease());
+    let engine =
+        Engine::start_with_lease(settings.clone(), wire.engine_limits(), seed(), upstream, feed.lease());
     let carrier = fleet.as_ref().map(|told| told.carrier.clone());
     let fleet = fleet.map(|told| Fleet::start(told, &zone, wire.classes.clone()));
     let carries = match carrier {
@@ -97,11 +98,11 @@
         None => None,
     };
     ready(address);
-    let server = Server::new(engine.clone(), settings, wire, Dialect::Plain(routes), caps, figures);
+    let server = Server::new(engine.clone(), settings, wire, Dialect::Plain(routes), limits, figures);
     let (asked, of_fleet) = (server.clone(), fleet.clone());
     let answer = move |call| match &of_fleet {
-        Some(fleet) => fleet.operate(call, |call| asked.operate(call)),
-        None => asked.operate(call),
+        Some(fleet) => fleet.operate(call, |call| asked.handle_operator_call(call)),
+        None => asked.handle_operator_call(call),
     };
     let operating = async move {
         match operators {
--- a/crates/dewpier/tests/growth.rs
+++ b/crates/dewpier/tests/growth.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::sockets::{LONG, NEXT, Play, Played, heard};
-use dewpier_http::backend::{Answers, Http, Reuse};
+use dewpier_http::backend::{HttpUpstream, ResponsePolicy, ReusePolicy};
 use dewpier_http::limits::Budget;
 use dewpier_http::payload::Payload;
 use gannetproxy::engine::{BackendListUpdate, Engine, EngineLimits, ListedBackend};
@@ -24,14 +24,14 @@
     let silent = Played::new(move |_, _| Play::Silence(ended.clone()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let upstream = Http {
+        let upstream = HttpUpstream {
             connections: Budget::new(10),
             connect_timeout: LONG,
             idle_close: LONG,
             probe_path: "/-/healthy",
-            reuse: Reuse::new(0.0),
-            answers: Answers::Platform,
-            attempts: Default::default(),
+            reuse_policy: ReusePolicy::new(0.0),
+            response_policy: ResponsePolicy::Platform,
+            attempt_counter: Default::default(),
         };
         let bounds = EngineLimits { drain_grace: Duration::from_millis(100), max_open_requests: 10 };
         // The attempt must be out for longer than it takes to forget the others.
@@ -43,9 +43,9 @@
             method: hyper::Method::GET,
             uri: "/api".parse().unwrap(),
             headers: [("host".parse().unwrap(), "app.svc".parse().unwrap())].into_iter().collect(),
-            body: dewpier_http::payload::Carried::Whole("".into()),
-            stake: dewpier_reuse::Stake::Whole,
-            lost: Default::default(),
+            body: dewpier_http::payload::PayloadBody::Buffered("".into()),
+            loss_cost: dewpier_reuse::LossCost::NotRetryable,
+            lost_on_reused: Default::default(),
         };
         let request = Request { budget: 20.0, ..Request::default() };
         let id = NEXT.fetch_add(1, Ordering::SeqCst) as u64;
--- a/crates/dewpier/tests/proxy.rs
+++ b/crates/dewpier/tests/proxy.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::sockets::*;
-use dewpier_http::backend::{Answers, Http, Reuse};
+use dewpier_http::backend::{HttpUpstream, ResponsePolicy, ReusePolicy};
 use dewpier_http::limits::Budget;
-use dewpier_http::payload::{Carried, Payload};
+use dewpier_http::payload::{Payload, PayloadBody};
 use gannetproxy::engine::{Attempt, Clock, SendGate, Upstream};
 use gannetproxy::{BackendId, Outcome};
 use serde_json::json;
@@ -191,14 +191,14 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let attempt = |last_send: Option<f64>| {
         let connections = Budget::new(4);
-        let http = Http {
+        let http = HttpUpstream {
             connections,
             connect_timeout: LONG,
             idle_close: LONG,
             probe_path: "/",
-            reuse: Reuse::new(0.0),
-            answers: Answers::Platform,
-            attempts: Default::default(),
+            reuse_policy: ReusePolicy::new(0.0),
+            response_policy: ResponsePolicy::Platform,
+            attempt_counter: Default::default(),
         };
         let gate = std::rc::Rc::new(SendGate::default());
         gate.set_send_deadline(last_send);
@@ -216,9 +216,9 @@
             method: "POST".parse().unwrap(),
             uri: "/api".parse().unwrap(),
             headers: [("host".parse().unwrap(), "app.svc".parse().unwrap())].into_iter().collect(),
-            body: Carried::Whole("body".into()),
-            stake: dewpier_reuse::Stake::Whole,
-            lost: Default::default(),
+            body: PayloadBody::Buffered("body".into()),
+            loss_cost: dewpier_reuse::LossCost::NotRetryable,
+            lost_on_reused: Default::default(),
         };
         let attempted = http.attempt(http.create_endpoint(backend.address).into(), payload.into(), made);
         runtime.block_on(attempted).outcome
--- a/crates/http/src/backend.rs
+++ b/crates/http/src/backend.rs
@@ -1,13 +1,12 @@
-//! Backends that speak HTTP: their idle connections, attempts and probes on them, and the exact
-//! outcome of each.
+//! HTTP backends: their idle connections, attempts and probes, and the exact outcome of each.
 
-use crate::body::{Given, Outgoing, Passing, Progress};
-use crate::headers::end_to_end;
+use crate::body::{RequestBody, ResponseBody, ResponseSender, UploadProgress};
+use crate::headers::forward_response_headers;
 use crate::limits::{Budget, Permit};
 use crate::payload::Payload;
-use crate::peer::{Came, HELD, Peer, Spoilt, connect};
+use crate::peer::{BackendReply, Connection, ExchangeError, LAST_BYTE_DELAY, connect};
 use dewpier_operate::figures::Attempts;
-use dewpier_reuse::{Odds, Price, Shared, Stake};
+use dewpier_reuse::{HandshakePrice, LossCost, ReuseHistory, SharedHistory};
 use gannetproxy::engine::{Attempt, AttemptResult, Upstream};
 use gannetproxy::{Outcome, Report};
 use hyper::body::Body;
@@ -20,37 +19,36 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Part of the idle limit of backends up to which a connection is used again: one that is used
-/// close to the limit crosses the backend's closing, and the request on it is lost.
-const REUSE_WITHIN: f64 = 0.7;
+/// Fraction of the idle timeout of backends within which a connection is reused. A request sent closer to the
+/// timeout may cross the closing of the connection and be lost.
+const REUSE_IDLE_FRACTION: f64 = 0.7;
 
-/// A connection is used again only so long after its last answer: what a backend writes behind an
-/// answer comes by then, spoils the connection, and is not taken for the answer to what is sent next.
-const SETTLED: Duration = Duration::from_millis(25);
-/// What ends so soon after its last byte went out, and without a word, was written to a connection
-/// that was spoilt before: nothing has begun to work on it, as far as can be told. To that comes the way there and
-/// back, as the connection's making showed it.
-const SWALLOWED: Duration = Duration::from_millis(5);
+/// Time after a response before its connection is reused. Stray bytes that a backend sends behind a response
+/// arrive within this time and invalidate the connection, instead of being taken for the next response.
+const SETTLE_TIME: Duration = Duration::from_millis(25);
+/// A reused connection that closes without a response within this time after the last byte, plus two connect
+/// times, counts as stale before the request.
+const SILENT_CLOSE_WINDOW: Duration = Duration::from_millis(5);
 
-struct Idle {
-    peer: Peer,
+struct IdleConnection {
+    connection: Connection,
     permit: Permit,
-    since: Instant,
+    idle_since: Instant,
 }
 
-/// What is known of connections to all backends, and what a new one costs.
+/// When idle connections are reused, based on the history of all backends and the price of a handshake.
 #[derive(Clone)]
-pub struct Reuse {
-    shared: Rc<RefCell<Shared>>,
+pub struct ReusePolicy {
+    shared: Rc<RefCell<SharedHistory>>,
     start: Instant,
-    price: Price,
+    price: HandshakePrice,
 }
 
-impl Reuse {
-    /// Where a new connection costs so much beyond what it always does, in parts of the worth of an
-    /// average request.
+impl ReusePolicy {
+    /// Creates the policy for a handshake price given as a fraction of the worth of an average request, on
+    /// top of what any handshake costs.
     pub fn new(price: f64) -> Self {
-        Self { shared: Rc::default(), start: Instant::now(), price: Price::new(price) }
+        Self { shared: Rc::default(), start: Instant::now(), price: HandshakePrice::new(price) }
     }
 
     fn now(&self) -> f64 {
@@ -58,89 +56,95 @@
     }
 }
 
-/// A connection to make an attempt on.
-struct Ready {
-    peer: Peer,
+/// A connection that is ready for an attempt.
+struct ReadyConnection {
+    connection: Connection,
     permit: Permit,
-    /// How long it had stood idle; none for a new one.
-    idle: Option<Duration>,
+    /// How long the connection was idle, or `None` if it is new.
+    idle_time: Option<Duration>,
 }
 
 /// A backend and its idle connections.
 pub struct Endpoint {
     address: Cell<SocketAddr>,
-    idle: RefCell<Vec<Idle>>,
-    /// Goes up when its connections are no longer to be kept.
-    era: Cell<u64>,
+    idle: RefCell<Vec<IdleConnection>>,
+    /// Increased to stop connections that are in use from being kept.
+    generation: Cell<u64>,
     budget: Rc<Budget>,
     connect_timeout: Duration,
-    reuse_within: Duration,
-    reuse: Reuse,
-    odds: RefCell<Odds>,
-    /// How long it last took to connect.
-    way: Cell<Duration>,
+    max_reuse_idle: Duration,
+    reuse_policy: ReusePolicy,
+    history: RefCell<ReuseHistory>,
+    /// How long the last connect took.
+    connect_time: Cell<Duration>,
 }
 
 impl Endpoint {
     /// Closes the idle connections, and those in use once they become idle.
     fn release(&self) {
-        self.era.set(self.era.get() + 1);
+        self.generation.set(self.generation.get() + 1);
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes connections that have been idle too long, or that the backend has closed.
-    fn sweep(&self) {
-        let fresh = |idle: Idle| {
-            let Idle { peer, permit, since } = idle;
-            let Some(peer) = peer.checked() else {
-                self.odds.borrow_mut().closed(self.reuse.now(), since.elapsed().as_secs_f64());
+    /// Closes connections that were idle for too long or that the backend has closed.
+    fn close_expired(&self) {
+        let keep_usable = |idle: IdleConnection| {
+            let IdleConnection { connection, permit, idle_since } = idle;
+            let Some(connection) = connection.into_reusable() else {
+                self.history
+                    .borrow_mut()
+                    .record_close(self.reuse_policy.now(), idle_since.elapsed().as_secs_f64());
                 return None;
             };
-            (since.elapsed() < self.reuse_within).then_some(Idle { peer, permit, since })
+            (idle_since.elapsed() < self.max_reuse_idle).then_some(IdleConnection {
+                connection,
+                permit,
+                idle_since,
+            })
         };
-        let swept = self.idle.take().into_iter().filter_map(fresh).collect();
-        self.idle.replace(swept);
+        let usable = self.idle.take().into_iter().filter_map(keep_usable).collect();
+        self.idle.replace(usable);
     }
 
-    /// Whether one that has stood idle for so long is a better choice than a new one.
-    fn worth_using(&self, idle: Duration, stake: Stake) -> bool {
-        let Reuse { shared, price, .. } = &self.reuse;
-        let (odds, shared) = (self.odds.borrow(), shared.borrow());
-        odds.worth_using(&shared, self.reuse.now(), idle.as_secs_f64(), stake, *price)
+    /// Returns whether a connection with this idle time is a better choice than a new one.
+    fn is_worth_reusing(&self, idle_time: Duration, loss_cost: LossCost) -> bool {
+        let ReusePolicy { shared, price, .. } = &self.reuse_policy;
+        let (history, shared) = (self.history.borrow(), shared.borrow());
+        history.is_worth_reusing(&shared, self.reuse_policy.now(), idle_time.as_secs_f64(), loss_cost, *price)
     }
 
-    /// What became of what was written to a connection.
-    fn used(&self, idle: Option<Duration>, spoilt: bool) {
-        let idle = idle.map(|idle| idle.as_secs_f64());
-        let mut shared = self.reuse.shared.borrow_mut();
-        self.odds.borrow_mut().used(&mut shared, self.reuse.now(), idle, spoilt);
+    /// Records whether a connection was stale when it was used.
+    fn record_use(&self, idle_time: Option<Duration>, was_stale: bool) {
+        let idle_seconds = idle_time.map(|idle_time| idle_time.as_secs_f64());
+        let mut shared = self.reuse_policy.shared.borrow_mut();
+        self.history.borrow_mut().record_use(&mut shared, self.reuse_policy.now(), idle_seconds, was_stale);
     }
 
-    /// An idle connection that has settled and is worth it, the one used last, or a new one; without a stake a new one.
-    async fn peer(&self, stake: Option<Stake>) -> Option<Ready> {
-        while let Some(stake) = stake {
+    /// Returns the most recently used idle connection that is settled and worth reusing, or else a new one.
+    /// Without a loss cost, always returns a new one.
+    async fn take_or_connect(&self, loss_cost: Option<LossCost>) -> Option<ReadyConnection> {
+        while let Some(loss_cost) = loss_cost {
             let mut idle = self.idle.borrow_mut();
-            let settled = idle.iter().rposition(|i| i.since.elapsed() >= SETTLED);
-            let Some(place) = settled else {
+            let settled_position = idle.iter().rposition(|idle| idle.idle_since.elapsed() >= SETTLE_TIME);
+            let Some(position) = settled_position else {
                 break;
             };
-            let stood = idle[place].since.elapsed();
-            if stood < self.reuse_within && !self.worth_using(stood, stake) {
-                // The new one takes the place of the oldest, which is no safer than this: the backend
-                // holds no more of them than before.
+            let idle_time = idle[position].idle_since.elapsed();
+            if idle_time < self.max_reuse_idle && !self.is_worth_reusing(idle_time, loss_cost) {
+                // The new connection replaces the oldest one, which is no safer, so that the number of
+                // connections to the backend doesn't grow.
                 drop(idle.remove(0));
                 break;
             }
-            let Idle { peer, permit, .. } = idle.remove(place);
-            if stood < self.reuse_within
-                && let Some(peer) = peer.checked()
+            let IdleConnection { connection, permit, .. } = idle.remove(position);
+            if idle_time < self.max_reuse_idle
+                && let Some(connection) = connection.into_reusable()
             {
-                return Some(Ready { peer, permit, idle: Some(stood) });
+                return Some(ReadyConnection { connection, permit, idle_time: Some(idle_time) });
             }
         }
-        // Where there is no room for one more, a connection that still has to settle goes for it.
-        // Guards against attempts that fail while the backend is idle: at many requests a second
-        // more connections settle than may be open.
+        // At the connection limit, an unsettled connection is closed to make room. Otherwise attempts fail at
+        // high request rates, when more connections are settling than may be open.
         let permit = match self.budget.try_acquire(1) {
             Some(permit) => permit,
             None => {
@@ -148,68 +152,68 @@
                 (!idle.is_empty()).then(|| idle.remove(0).permit)?
             }
         };
-        let begun = Instant::now();
-        let peer = connect(self.address.get(), self.connect_timeout).await.ok()?;
-        self.way.set(begun.elapsed());
-        Some(Ready { peer, permit, idle: None })
+        let started = Instant::now();
+        let connection = connect(self.address.get(), self.connect_timeout).await.ok()?;
+        self.connect_time.set(started.elapsed());
+        Some(ReadyConnection { connection, permit, idle_time: None })
     }
 }
 
-/// An answer of a backend, as it goes to the client.
+/// A backend response in the form in which it is forwarded to the client.
 #[derive(Debug)]
-pub struct Served {
-    /// Its status.
+pub struct BackendResponse {
+    /// The status.
     pub status: StatusCode,
-    /// Its headers, but for those of the connection.
+    /// The headers without those of the connection.
     pub headers: HeaderMap,
-    /// Its body.
-    pub body: Given,
+    /// The body.
+    pub body: ResponseBody,
 }
 
-/// Which answers of a backend serve a request, and what of them goes on.
+/// Which responses serve a request, and how they are forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answers {
-    /// As the platform has it: 200 alone, with its body and what that is.
+pub enum ResponsePolicy {
+    /// The protocol of the platform: only a 200 serves a request. Its body and content type are forwarded.
     Platform,
-    /// Plain HTTP: all but server errors, with their headers. A server error is passed on if the
-    /// request comes to nothing better.
+    /// Plain HTTP: everything except server errors serves a request. A server error is forwarded only if no
+    /// attempt serves the request.
     Plain,
 }
 
-/// All backends that speak HTTP, and what holds for each.
-pub struct Http {
-    /// Connections that may be open at once, to all of them.
+/// The HTTP protocol and the settings for all backends.
+pub struct HttpUpstream {
+    /// Limits the open connections to all backends.
     pub connections: Rc<Budget>,
-    /// A connection not up by then never comes up.
+    /// Time after which a connect fails.
     pub connect_timeout: Duration,
-    /// Backends close idle connections after this.
+    /// Time after which backends close idle connections.
     pub idle_close: Duration,
-    /// The path of a probe.
+    /// The path of probe requests.
     pub probe_path: &'static str,
-    /// When a kept connection is used again.
-    pub reuse: Reuse,
-    /// What counts as served.
-    pub answers: Answers,
-    /// Where attempts are counted; probes are none.
-    pub attempts: Attempts,
+    /// When idle connections are reused.
+    pub reuse_policy: ReusePolicy,
+    /// Which responses serve a request.
+    pub response_policy: ResponsePolicy,
+    /// Counts attempts; probes don't count.
+    pub attempt_counter: Attempts,
 }
 
-impl Upstream for Http {
+impl Upstream for HttpUpstream {
     type Payload = Payload;
-    type Reply = Served;
+    type Reply = BackendResponse;
     type Endpoint = Endpoint;
 
     fn create_endpoint(&self, address: SocketAddr) -> Endpoint {
         Endpoint {
             address: Cell::new(address),
             idle: RefCell::default(),
-            era: Cell::new(0),
+            generation: Cell::new(0),
             budget: self.connections.clone(),
             connect_timeout: self.connect_timeout,
-            reuse_within: self.idle_close.mul_f64(REUSE_WITHIN),
-            reuse: self.reuse.clone(),
-            odds: RefCell::default(),
-            way: Cell::default(),
+            max_reuse_idle: self.idle_close.mul_f64(REUSE_IDLE_FRACTION),
+            reuse_policy: self.reuse_policy.clone(),
+            history: RefCell::default(),
+            connect_time: Cell::default(),
         }
     }
 
@@ -224,7 +228,7 @@
     }
 
     fn close_expired(&self, endpoint: &Endpoint) {
-        endpoint.sweep();
+        endpoint.close_expired();
     }
 
     fn is_full(&self) -> bool {
@@ -232,7 +236,7 @@
     }
 
     fn oldest_idle_since(&self, endpoint: &Endpoint) -> Option<Instant> {
-        endpoint.idle.borrow().first().map(|idle| idle.since)
+        endpoint.idle.borrow().first().map(|idle| idle.idle_since)
     }
 
     fn close_oldest_idle(&self, endpoint: &Endpoint) {
@@ -246,24 +250,32 @@
         &self,
         endpoint: Rc<Endpoint>,
         payload: Rc<Payload>,
-        attempt: Attempt<Served>,
-    ) -> impl Future<Output = AttemptResult<Served>> + 'static {
-        let (answers, attempts) = (self.answers, self.attempts.clone());
+        attempt: Attempt<BackendResponse>,
+    ) -> impl Future<Output = AttemptResult<BackendResponse>> + 'static {
+        let (response_policy, attempt_counter) = (self.response_policy, self.attempt_counter.clone());
         async move {
-            let passes = match payload.passes() {
-                // What is passed on is out already, with another attempt: this one has nothing to send.
+            let upload = match payload.stream_progress() {
+                // Another attempt has already taken the streamed body, so that there is nothing to send.
                 Some(None) => return AttemptResult::without_reply(Outcome::NeverSent),
-                Some(passes) => passes,
+                Some(upload) => upload,
                 None => None,
             };
-            let stake = (!payload.lost.get()).then_some(payload.stake);
-            let lost = Some(&payload.lost);
-            let asks = Asks { answers, counts: Some(attempts), stake, lost, passes, long: true };
-            let request = |progress: Option<&Progress>| {
-                payload.request(attempt.deadline - attempt.clock.now(), progress)
+            let loss_cost = (!payload.lost_on_reused.get()).then_some(payload.loss_cost);
+            let lost_on_reused = Some(&payload.lost_on_reused);
+            let options = ExchangeOptions {
+                response_policy,
+                attempt_counter: Some(attempt_counter),
+                loss_cost,
+                lost_on_reused,
+                upload,
+                accepts_streaming: true,
             };
-            let long = |served| attempt.reply_sink.send(served);
-            exchange(&endpoint, &attempt, asks, payload.method == Method::HEAD, request, long).await
+            let request = |progress: Option<&UploadProgress>| {
+                payload.build_request(attempt.deadline - attempt.clock.now(), progress)
+            };
+            let start_stream = |response| attempt.reply_sink.send(response);
+            exchange(&endpoint, &attempt, options, payload.method == Method::HEAD, request, start_stream)
+                .await
         }
     }
 
@@ -274,168 +286,190 @@
     ) -> impl Future<Output = AttemptResult<()>> + 'static {
         let path = self.probe_path;
         async move {
-            let request = |_: Option<&Progress>| {
-                let mut request = Request::new(Outgoing::default());
+            let request = |_: Option<&UploadProgress>| {
+                let mut request = Request::new(RequestBody::default());
                 *request.uri_mut() = hyper::Uri::from_static(path);
                 request.headers_mut().insert("host", HeaderValue::from_static("backend"));
                 Some(request)
             };
-            let within = 4 * endpoint.connect_timeout;
-            let asks = Asks {
-                answers: Answers::Platform,
-                counts: None,
-                stake: Some(Stake::Wait),
-                lost: None,
-                passes: None,
-                long: false,
+            let timeout = 4 * endpoint.connect_timeout;
+            let options = ExchangeOptions {
+                response_policy: ResponsePolicy::Platform,
+                attempt_counter: None,
+                loss_cost: Some(LossCost::Retryable),
+                lost_on_reused: None,
+                upload: None,
+                accepts_streaming: false,
             };
-            let probed = exchange(&endpoint, &attempt, asks, false, request, |_| false);
-            let late = AttemptResult::without_reply(Outcome::Timeout);
-            let done = tokio::time::timeout(within, probed).await.unwrap_or(late);
-            let body = done.reply.as_ref().and_then(|s| match &s.body {
-                Given::Whole(body) => report(body),
-                Given::Passed(_) => None,
+            let probe = exchange(&endpoint, &attempt, options, false, request, |_| false);
+            let timed_out = AttemptResult::without_reply(Outcome::Timeout);
+            let result = tokio::time::timeout(timeout, probe).await.unwrap_or(timed_out);
+            let body = result.reply.as_ref().and_then(|s| match &s.body {
+                ResponseBody::Buffered(body) => parse_load_report(body),
+                ResponseBody::Streamed(_) => None,
             });
-            AttemptResult { outcome: done.outcome, reply: None, fallback: None, report: done.report.or(body) }
+            AttemptResult {
+                outcome: result.outcome,
+                reply: None,
+                fallback: None,
+                report: result.report.or(body),
+            }
         }
     }
 }
 
-/// How an exchange goes.
-struct Asks<'a> {
-    answers: Answers,
-    counts: Option<Attempts>,
-    /// What is lost with a kept connection; none: it may not go on one.
-    stake: Option<Stake>,
-    /// Set where a kept connection loses it.
-    lost: Option<&'a Cell<bool>>,
-    /// How far its body has come, where that is passed on, and how long the answer may take from its end on.
-    passes: Option<(Progress, Duration)>,
-    /// An answer of any length will do.
-    long: bool,
+/// How one exchange is made.
+struct ExchangeOptions<'a> {
+    response_policy: ResponsePolicy,
+    attempt_counter: Option<Attempts>,
+    /// The cost of losing the request on a reused connection, or `None` if it must use a new one.
+    loss_cost: Option<LossCost>,
+    /// Set if a reused connection loses the request.
+    lost_on_reused: Option<&'a Cell<bool>>,
+    /// The progress of a streamed request body, and the response timeout after its end.
+    upload: Option<(UploadProgress, Duration)>,
+    /// Whether a response that is too long to buffer is accepted.
+    accepts_streaming: bool,
 }
 
 async fn exchange<R>(
     endpoint: &Endpoint,
     attempt: &Attempt<R>,
-    asks: Asks<'_>,
+    options: ExchangeOptions<'_>,
     head_only: bool,
-    request: impl Fn(Option<&Progress>) -> Option<Request<Outgoing>>,
-    begin: impl Fn(Served) -> bool,
-) -> AttemptResult<Served> {
-    let Asks { answers, counts, stake, lost, passes, long } = asks;
+    request: impl Fn(Option<&UploadProgress>) -> Option<Request<RequestBody>>,
+    start_stream: impl Fn(BackendResponse) -> bool,
+) -> AttemptResult<BackendResponse> {
+    let ExchangeOptions {
+        response_policy,
+        attempt_counter,
+        loss_cost,
+        lost_on_reused,
+        upload,
+        accepts_streaming,
+    } = options;
     let written = &attempt.written;
-    let era = endpoint.era.get();
-    let mut again = false;
-    let (peer, permit, came) = loop {
-        let Some(Ready { mut peer, permit, idle }) = endpoint.peer(stake).await else {
+    let generation = endpoint.generation.get();
+    let mut new_connection_failed = false;
+    let (connection, permit, reply) = loop {
+        let Some(ReadyConnection { mut connection, permit, idle_time }) =
+            endpoint.take_or_connect(loss_cost).await
+        else {
             return AttemptResult::without_reply(Outcome::NoConnection);
         };
-        // Its client may have left while the connection was made; and that the whole list is over says nothing
-        // against this backend.
+        // The client may have disconnected during the connect. An expired lease says nothing about this
+        // backend.
         if !attempt.request_open.get() || !attempt.gate.is_lease_valid() {
             return AttemptResult::without_reply(Outcome::NeverSent);
         }
-        // The news of a drain may have come while the connection was made.
+        // The backend may have started to drain during the connect.
         if !attempt.gate.can_send(&attempt.clock) {
             return AttemptResult::without_reply(Outcome::NoConnection);
         }
-        if passes.is_some() && !attempt.exclusive_claim.claim() {
+        if upload.is_some() && !attempt.exclusive_claim.claim() {
             return AttemptResult::without_reply(Outcome::NeverSent);
         }
-        let Some(outgoing) = request(passes.as_ref().map(|(progress, _)| progress)) else {
+        let Some(request_to_send) = request(upload.as_ref().map(|(progress, _)| progress)) else {
             return AttemptResult::without_reply(Outcome::NeverSent);
         };
         written.set(true);
-        let new = idle.is_none();
-        let begun = Instant::now();
-        match peer.exchange(outgoing, counts.clone(), passes.clone(), !new).await {
-            Ok(came) => {
-                endpoint.used(idle, false);
-                break (peer, permit, came);
+        let is_new = idle_time.is_none();
+        let started = Instant::now();
+        match connection.exchange(request_to_send, attempt_counter.clone(), upload.clone(), !is_new).await {
+            Ok(reply) => {
+                endpoint.record_use(idle_time, false);
+                break (connection, permit, reply);
             }
-            // Some of what is passed on is gone with it.
-            Err(spoilt @ Spoilt::Unsent) if passes.is_some() => {
-                return AttemptResult::without_reply(spoilt.outcome());
+            // A part of the streamed body is lost with the connection.
+            Err(error @ ExchangeError::Unsent) if upload.is_some() => {
+                return AttemptResult::without_reply(error.outcome());
             }
-            Err(spoilt @ Spoilt::Late) => return AttemptResult::without_reply(spoilt.outcome()),
-            // One that was kept may have ended meanwhile; a second new one would end again.
-            Err(spoilt @ Spoilt::Unsent) if new && again => {
-                return AttemptResult::without_reply(spoilt.outcome());
+            Err(error @ ExchangeError::ReplyTimeout) => return AttemptResult::without_reply(error.outcome()),
+            // A reused connection may have been closed meanwhile; a second failure on a new one is final.
+            Err(error @ ExchangeError::Unsent) if is_new && new_connection_failed => {
+                return AttemptResult::without_reply(error.outcome());
             }
-            Err(Spoilt::Unsent) => {
-                if idle.is_some() {
-                    endpoint.used(idle, true);
+            Err(ExchangeError::Unsent) => {
+                if idle_time.is_some() {
+                    endpoint.record_use(idle_time, true);
                 }
-                again = again || new;
+                new_connection_failed = new_connection_failed || is_new;
                 written.set(false);
             }
-            Err(spoilt @ Spoilt::Sent) => {
-                let soon = begun.elapsed() < HELD + SWALLOWED + 2 * endpoint.way.get();
-                endpoint.used(idle, soon && !peer.heard());
-                lost.filter(|_| !new).into_iter().for_each(|lost| lost.set(true));
-                return AttemptResult::without_reply(spoilt.outcome());
+            Err(error @ ExchangeError::NoReply) => {
+                let closed_silently = started.elapsed()
+                    < LAST_BYTE_DELAY + SILENT_CLOSE_WINDOW + 2 * endpoint.connect_time.get();
+                endpoint.record_use(idle_time, closed_silently && !connection.has_received_data());
+                lost_on_reused
+                    .filter(|_| !is_new)
+                    .into_iter()
+                    .for_each(|lost_on_reused| lost_on_reused.set(true));
+                return AttemptResult::without_reply(error.outcome());
             }
         }
     };
-    let keep = |peer: Peer, permit: Permit| {
-        if let Some(peer) = peer.checked()
-            && endpoint.era.get() == era
+    let keep_connection = |connection: Connection, permit: Permit| {
+        if let Some(connection) = connection.into_reusable()
+            && endpoint.generation.get() == generation
         {
-            endpoint.idle.borrow_mut().push(Idle { peer, permit, since: Instant::now() });
+            endpoint.idle.borrow_mut().push(IdleConnection {
+                connection,
+                permit,
+                idle_since: Instant::now(),
+            });
         }
     };
-    let (head, body, rest) = match came {
-        Came::Whole(head, body) => {
-            keep(peer, permit);
-            (head, Given::Whole(body), None)
+    let (head, body, streaming) = match reply {
+        BackendReply::Buffered(head, body) => {
+            keep_connection(connection, permit);
+            (head, ResponseBody::Buffered(body), None)
         }
-        Came::Begun(head, first, body) => {
-            if !long {
+        BackendReply::Streamed(head, received, body) => {
+            if !accepts_streaming {
                 return AttemptResult::without_reply(Outcome::Reset);
             }
-            let left = body.size_hint().exact();
-            let (passing, passed) = Passing::begin(first, left);
-            (head, Given::Passed(passed), Some((peer, permit, body, passing)))
+            let remaining_bytes = body.size_hint().exact();
+            let (sender, stream) = ResponseSender::channel(received, remaining_bytes);
+            (head, ResponseBody::Streamed(stream), Some((connection, permit, body, sender)))
         }
     };
-    let turned_away = || head.headers.get("x-turned-away").is_some_and(|v| v == "1");
-    let plain = answers == Answers::Plain;
+    let is_rejected = || head.headers.get("x-turned-away").is_some_and(|v| v == "1");
+    let is_plain = response_policy == ResponsePolicy::Plain;
     let outcome = match head.status {
         StatusCode::OK => Outcome::Served,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away() => Outcome::Full,
-        status if plain && !status.is_server_error() => Outcome::Served,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejected() => Outcome::Full,
+        status if is_plain && !status.is_server_error() => Outcome::Served,
         _ => Outcome::Error,
     };
-    let report = head.headers.get("x-pressure").and_then(|v| report(v.as_bytes()));
-    let mut answer = None;
-    if plain || outcome == Outcome::Served {
+    let report = head.headers.get("x-pressure").and_then(|v| parse_load_report(v.as_bytes()));
+    let mut response = None;
+    if is_plain || outcome == Outcome::Served {
         let mut headers = HeaderMap::new();
-        match answers {
-            Answers::Platform => {
+        match response_policy {
+            ResponsePolicy::Platform => {
                 headers.extend(head.headers.get(CONTENT_TYPE).map(|v| (CONTENT_TYPE, v.clone())));
             }
-            Answers::Plain => headers = end_to_end(head.headers, head_only),
+            ResponsePolicy::Plain => headers = forward_response_headers(head.headers, head_only),
         }
-        answer = Some(Served { status: head.status, headers, body });
+        response = Some(BackendResponse { status: head.status, headers, body });
     }
-    if let Some((mut peer, permit, mut body, passing)) = rest {
-        let Some(answer) = answer.filter(|_| outcome == Outcome::Served) else {
+    if let Some((mut connection, permit, mut body, sender)) = streaming {
+        let Some(response) = response.filter(|_| outcome == Outcome::Served) else {
             return AttemptResult { outcome, reply: None, fallback: None, report };
         };
-        if !begin(answer) {
+        if !start_stream(response) {
             return AttemptResult::without_reply(Outcome::Cancelled);
         }
         loop {
-            // Read on where there is room for it; a client that leaves ends it.
-            let piece = tokio::select! {
-                piece = peer.piece(&mut body) => piece,
-                () = passing.gone() => return AttemptResult::without_reply(Outcome::Cancelled),
+            // Reads on once the client can take more; a disconnected client ends the attempt.
+            let chunk = tokio::select! {
+                chunk = connection.read_chunk(&mut body) => chunk,
+                () = sender.client_disconnected() => return AttemptResult::without_reply(Outcome::Cancelled),
             };
-            match piece {
+            match chunk {
                 Ok(Some(data)) if data.is_empty() => {}
                 Ok(Some(data)) => {
-                    if !passing.piece(data).await {
+                    if !sender.send_chunk(data).await {
                         return AttemptResult::without_reply(Outcome::Cancelled);
                     }
                 }
@@ -443,16 +477,16 @@
                 Err(_) => return AttemptResult::without_reply(Outcome::Reset),
             }
         }
-        passing.end().await;
-        keep(peer, permit);
+        sender.finish().await;
+        keep_connection(connection, permit);
         return AttemptResult { outcome, reply: None, fallback: None, report };
     }
-    let (served, fallback) = if outcome == Outcome::Served { (answer, None) } else { (None, answer) };
-    AttemptResult { outcome, reply: served, fallback, report }
+    let (reply, fallback) = if outcome == Outcome::Served { (response, None) } else { (None, response) };
+    AttemptResult { outcome, reply, fallback, report }
 }
 
-/// Reads a load report; what the decisions can't use is skipped.
-fn report(json: &[u8]) -> Option<Report> {
+/// Parses a load report, ignoring unknown fields.
+fn parse_load_report(json: &[u8]) -> Option<Report> {
     let fields: serde_json::Map<String, serde_json::Value> = serde_json::from_slice(json).ok()?;
     let service = fields.get("avg_ms").or(fields.get("latency_ms")).and_then(|v| v.as_f64());
     Some(Report { service: service.filter(|ms| *ms >= 0.0).map(|ms| ms / 1000.0) })
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,7 +1,9 @@
-//! Bodies in both directions: whole up to 64 KiB, beyond that passed on in pieces as they come. Nothing piles up: a
-//! piece is taken where there is room for it on the other side.
+//! Request and response bodies.
+//!
+//! A body of up to 64 KiB is buffered; a longer one is streamed. Streaming keeps little in memory: a chunk is
+//! read only when the other side can take it.
 
-use crate::clients::Client;
+use crate::clients::ClientConnection;
 use crate::limits::Permit;
 use bytes::Bytes;
 use dewpier_operate::figures::{Ending, Taken};
@@ -15,55 +17,55 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Pieces of an answer that wait for its client.
-const PIECES: usize = 2;
+/// Chunks of a response that may wait for the client.
+const MAX_PENDING_CHUNKS: usize = 2;
 
-/// A client's body that has begun to come and is passed on from here.
+/// A request body that has started to arrive and is streamed to a backend.
 #[derive(Debug)]
-pub struct Begun {
-    /// What has come.
-    pub first: Bytes,
-    /// What is to come.
-    pub rest: Incoming,
-    /// How much that is, if that is known.
-    pub left: Option<u64>,
-    /// The room that it takes.
-    pub room: Permit,
+pub struct PartialBody {
+    /// The bytes that have arrived.
+    pub received: Bytes,
+    /// The rest of the body.
+    pub remaining: Incoming,
+    /// The length of the rest in bytes, if known.
+    pub remaining_bytes: Option<u64>,
+    /// The share of the memory budget that the body uses.
+    pub permit: Permit,
 }
 
-/// How far a body that is passed on has come; its reader and its writer both see it.
+/// The progress of a streamed request body, shared by its reader and its writer.
 #[derive(Clone, Debug, Default)]
-pub struct Progress(Arc<Mutex<Option<Instant>>>);
+pub struct UploadProgress(Arc<Mutex<Option<Instant>>>);
 
-impl Progress {
-    /// When its last piece was handed on, if it was.
-    pub fn ended(&self) -> Option<Instant> {
-        self.0.lock().ok().and_then(|ended| *ended)
+impl UploadProgress {
+    /// Returns when the last chunk was handed to the connection, if it was.
+    pub fn completed_at(&self) -> Option<Instant> {
+        self.0.lock().ok().and_then(|completed_at| *completed_at)
     }
 
-    fn end(&self) {
-        if let Ok(mut ended) = self.0.lock() {
-            ended.get_or_insert_with(Instant::now);
+    fn mark_complete(&self) {
+        if let Ok(mut completed_at) = self.0.lock() {
+            completed_at.get_or_insert_with(Instant::now);
         }
     }
 }
 
-/// A body on its way to a backend.
+/// A request body on its way to a backend.
 #[derive(Debug)]
-pub enum Outgoing {
-    /// All of it is here.
-    Whole(Full<Bytes>),
-    /// It is passed on.
-    Passed(Begun, Progress),
+pub enum RequestBody {
+    /// The whole body.
+    Buffered(Full<Bytes>),
+    /// A body that is streamed, and its progress.
+    Streamed(PartialBody, UploadProgress),
 }
 
-impl Default for Outgoing {
+impl Default for RequestBody {
     fn default() -> Self {
-        Self::Whole(Full::default())
+        Self::Buffered(Full::default())
     }
 }
 
-impl Body for Outgoing {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -72,28 +74,28 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         match &mut *self {
-            Self::Whole(whole) => {
-                Pin::new(whole).poll_frame(cx).map(|f| f.map(|f| f.map_err(|never| match never {})))
+            Self::Buffered(buffered) => {
+                Pin::new(buffered).poll_frame(cx).map(|f| f.map(|f| f.map_err(|never| match never {})))
             }
-            Self::Passed(begun, progress) => {
-                if !begun.first.is_empty() {
-                    return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut begun.first)))));
+            Self::Streamed(partial, progress) => {
+                if !partial.received.is_empty() {
+                    return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut partial.received)))));
                 }
                 loop {
-                    let frame = match ready!(Pin::new(&mut begun.rest).poll_frame(cx)) {
+                    let frame = match ready!(Pin::new(&mut partial.remaining).poll_frame(cx)) {
                         Some(Ok(frame)) => frame,
                         Some(Err(error)) => return Poll::Ready(Some(Err(error))),
                         None => {
-                            progress.end();
+                            progress.mark_complete();
                             return Poll::Ready(None);
                         }
                     };
-                    // Trailers are the connection's own: nobody here has use for them.
+                    // Trailers belong to the client's connection and are not forwarded.
                     let Ok(data) = frame.into_data() else { continue };
-                    if let Some(left) = &mut begun.left {
-                        *left = left.saturating_sub(data.len() as u64);
-                        if *left == 0 {
-                            progress.end();
+                    if let Some(remaining) = &mut partial.remaining_bytes {
+                        *remaining = remaining.saturating_sub(data.len() as u64);
+                        if *remaining == 0 {
+                            progress.mark_complete();
                         }
                     }
                     return Poll::Ready(Some(Ok(Frame::data(data))));
@@ -104,114 +106,115 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(whole) => whole.is_end_stream(),
-            Self::Passed(begun, _) => begun.first.is_empty() && begun.left == Some(0),
+            Self::Buffered(buffered) => buffered.is_end_stream(),
+            Self::Streamed(partial, _) => partial.received.is_empty() && partial.remaining_bytes == Some(0),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(whole) => whole.size_hint(),
-            Self::Passed(begun, _) => match begun.left {
-                Some(left) => SizeHint::with_exact(begun.first.len() as u64 + left),
+            Self::Buffered(buffered) => buffered.size_hint(),
+            Self::Streamed(partial, _) => match partial.remaining_bytes {
+                Some(remaining) => SizeHint::with_exact(partial.received.len() as u64 + remaining),
                 None => SizeHint::default(),
             },
         }
     }
 }
 
-/// A piece of an answer that is passed on. One that breaks off ends without [`Piece::End`].
-enum Piece {
+/// A chunk of a streamed response. A response that is cut off ends without [`Chunk::End`].
+enum Chunk {
     Data(Bytes),
     End,
 }
 
-/// An answer's body, as a backend gives it.
+/// The body of a backend response.
 #[derive(Debug)]
-pub enum Given {
-    /// All of it.
-    Whole(Bytes),
-    /// It goes on.
-    Passed(Passed),
+pub enum ResponseBody {
+    /// The whole body.
+    Buffered(Bytes),
+    /// A body that is streamed.
+    Streamed(ResponseStream),
 }
 
-/// The rest of an answer, on its client's side.
-pub struct Passed {
-    first: Bytes,
-    rest: mpsc::Receiver<Piece>,
-    left: Option<u64>,
+/// The receiving end of a streamed response body, on the side of the client.
+pub struct ResponseStream {
+    received: Bytes,
+    chunks: mpsc::Receiver<Chunk>,
+    remaining_bytes: Option<u64>,
 }
 
-impl std::fmt::Debug for Passed {
+impl std::fmt::Debug for ResponseStream {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Passed").field("left", &self.left).finish_non_exhaustive()
+        f.debug_struct("Passed").field("left", &self.remaining_bytes).finish_non_exhaustive()
     }
 }
 
-/// The same on its backend's side.
-pub struct Passing(mpsc::Sender<Piece>);
+/// The sending end of a streamed response body, on the side of the backend.
+pub struct ResponseSender(mpsc::Sender<Chunk>);
 
-impl Passing {
-    /// An answer that has begun with this, and is to have so much more if that is known.
-    pub fn begin(first: Bytes, left: Option<u64>) -> (Self, Passed) {
-        let (sender, rest) = mpsc::channel(PIECES);
-        (Self(sender), Passed { first, rest, left })
+impl ResponseSender {
+    /// Creates both ends of a response body that starts with `received` and has `remaining_bytes` more, if
+    /// known.
+    pub fn channel(received: Bytes, remaining_bytes: Option<u64>) -> (Self, ResponseStream) {
+        let (sender, chunks) = mpsc::channel(MAX_PENDING_CHUNKS);
+        (Self(sender), ResponseStream { received, chunks, remaining_bytes })
     }
 
-    /// Hands on a piece once there is room for it. False where the client is gone.
-    pub async fn piece(&self, data: Bytes) -> bool {
-        self.0.send(Piece::Data(data)).await.is_ok()
+    /// Sends a chunk once the client can take it. Returns false if the client has disconnected.
+    pub async fn send_chunk(&self, data: Bytes) -> bool {
+        self.0.send(Chunk::Data(data)).await.is_ok()
     }
 
-    /// That was all.
-    pub async fn end(self) {
-        let _ = self.0.send(Piece::End).await; // where the client is gone, nobody waits for it
+    /// Marks the end of the body.
+    pub async fn finish(self) {
+        let _ = self.0.send(Chunk::End).await; // fails if the client has disconnected
     }
 
-    /// The client is gone.
-    pub async fn gone(&self) {
+    /// Waits until the client has disconnected.
+    pub async fn client_disconnected(&self) {
         self.0.closed().await;
     }
 }
 
-/// An answer on its way to a client.
-pub enum Answering {
-    /// All of it is here.
-    Whole(Full<Bytes>),
-    /// It is passed on. The request ends with it.
-    Passed(Box<Ends>),
+/// A response body on its way to a client.
+pub enum ClientBody {
+    /// The whole body.
+    Buffered(Full<Bytes>),
+    /// A body that is streamed. The request ends with it.
+    Streamed(Box<StreamedResponse>),
 }
 
-/// An answer that is passed on, and what ends with it.
-pub struct Ends {
-    passed: Passed,
-    taken: Option<Taken>,
-    client: Rc<Client>,
+/// A streamed response and the request that ends with it.
+pub struct StreamedResponse {
+    body: ResponseStream,
+    accepted_request: Option<Taken>,
+    client: Rc<ClientConnection>,
 }
 
-impl Answering {
-    /// An answer of a request of that client.
-    pub fn passed(passed: Passed, taken: Taken, client: Rc<Client>) -> Self {
-        client.passes(true);
-        Self::Passed(Box::new(Ends { passed, taken: Some(taken), client }))
+impl ClientBody {
+    /// Creates the streamed response to a request of `client`.
+    pub fn streamed(body: ResponseStream, accepted_request: Taken, client: Rc<ClientConnection>) -> Self {
+        client.set_streaming(true);
+        Self::Streamed(Box::new(StreamedResponse { body, accepted_request: Some(accepted_request), client }))
     }
 }
 
-impl Ends {
-    fn completed(&mut self) {
-        self.taken.take().into_iter().for_each(|taken| taken.end(Ending::Completed));
+impl StreamedResponse {
+    fn record_completed(&mut self) {
+        self.accepted_request.take().into_iter().for_each(|request| request.end(Ending::Completed));
     }
 }
 
-impl Drop for Ends {
+impl Drop for StreamedResponse {
     fn drop(&mut self) {
-        // What has not come to its end has failed; its token says so by itself.
-        self.client.passes(false);
-        self.client.answered();
+        // A response that was cut off counts as failed when the accepted request is dropped.
+        self.client.set_streaming(false);
+        self.client.request_answered();
     }
 }
 
-impl Body for Answering {
+impl Body for ClientBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -219,47 +222,47 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let ends = match &mut *self {
-            Self::Whole(whole) => {
-                let frame = ready!(Pin::new(whole).poll_frame(cx));
+        let streamed = match &mut *self {
+            Self::Buffered(buffered) => {
+                let frame = ready!(Pin::new(buffered).poll_frame(cx));
                 return Poll::Ready(frame.map(|f| f.map_err(|never| match never {})));
             }
-            Self::Passed(ends) => ends,
+            Self::Streamed(streamed) => streamed,
         };
-        if !ends.passed.first.is_empty() {
-            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut ends.passed.first)))));
+        if !streamed.body.received.is_empty() {
+            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut streamed.body.received)))));
         }
-        match ready!(ends.passed.rest.poll_recv(cx)) {
-            Some(Piece::Data(data)) => {
-                if let Some(left) = &mut ends.passed.left {
-                    *left = left.saturating_sub(data.len() as u64);
-                    if *left == 0 {
-                        ends.completed();
+        match ready!(streamed.body.chunks.poll_recv(cx)) {
+            Some(Chunk::Data(data)) => {
+                if let Some(remaining) = &mut streamed.body.remaining_bytes {
+                    *remaining = remaining.saturating_sub(data.len() as u64);
+                    if *remaining == 0 {
+                        streamed.record_completed();
                     }
                 }
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
-            Some(Piece::End) => {
-                ends.completed();
+            Some(Chunk::End) => {
+                streamed.record_completed();
                 Poll::Ready(None)
             }
-            // The connection ends with it, so that the client can tell.
-            None => Poll::Ready(Some(Err(io::Error::other("the answer broke off")))),
+            // Closes the connection, so that the client notices the cut.
+            None => Poll::Ready(Some(Err(io::Error::other("the response of the backend was cut off")))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(whole) => whole.is_end_stream(),
-            Self::Passed(_) => false,
+            Self::Buffered(buffered) => buffered.is_end_stream(),
+            Self::Streamed(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(whole) => whole.size_hint(),
-            Self::Passed(ends) => match ends.passed.left {
-                Some(left) => SizeHint::with_exact(ends.passed.first.len() as u64 + left),
+            Self::Buffered(buffered) => buffered.size_hint(),
+            Self::Streamed(streamed) => match streamed.body.remaining_bytes {
+                Some(remaining) => SizeHint::with_exact(streamed.body.received.len() as u64 + remaining),
                 None => SizeHint::default(),
             },
         }
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -1,321 +1,332 @@
-//! The connections of clients: what each one is at, which have outstayed their time, and which
-//! goes when there is no room.
+//! Tracks client connections: their states, which are overdue, and which are closed to make room.
 
-use crate::headscan::HeadScan;
+use crate::headscan::HeadScanner;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The head of a request that has begun must have come whole within this, and so must the first one of a
-/// connection: guards against clients that say nothing, stop half way, or never come to an end.
-pub const READ_WITHIN: Duration = Duration::from_millis(2700);
-/// What is passed on and does not move for so long, in either direction, is cut.
-const STANDS: Duration = Duration::from_secs(15);
-/// A connection without an open request is kept for so long while there is room.
-const KEEP: Duration = Duration::from_secs(75);
-/// For want of room, one that has been without an open request for so long is closed,
-const IDLE_ENOUGH: Duration = Duration::from_secs(2);
-/// and failing such, one that has never asked for anything and is older than this.
-const MUTE_ENOUGH: Duration = Duration::from_millis(100);
-/// and failing those too, one that has rested for so long between two requests: its client asks again on
-/// another connection, while a newcomer that is turned away has a request in its hand.
-const RESTED: Duration = Duration::from_millis(100);
-/// Part of the room that is for connections which only get a refusal, as all others are at work.
-const OVERFLOW: usize = 8;
-/// How often connections that have outstayed their time are looked for.
-pub const STEP: Duration = Duration::from_millis(100);
-
-/// A client's connection.
-pub struct Client {
-    /// A whole request has come, and its answer has not been given.
-    open: Cell<bool>,
-    /// It has asked for something.
-    asked: Cell<bool>,
-    /// The last end of an open request, at first the connection's start.
-    since: Cell<Instant>,
-    /// When the request that is being read began.
-    begun: Cell<Option<Instant>>,
-    /// Something has ever come.
-    heard: Cell<bool>,
-    /// Something came while a request was open.
-    early: Cell<bool>,
-    /// The head of the request that is being read.
-    scan: Cell<HeadScan>,
-    /// That head has come whole, and its body has not.
-    body: Cell<bool>,
-    /// A body or an answer is being passed on, and when it last moved.
-    passing: Cell<bool>,
-    moved: Cell<Instant>,
-    /// It stands still, and is cut although a request is open.
-    cut: Cell<bool>,
-    /// It is being closed for want of room, or has outstayed its time.
-    ending: Cell<bool>,
-    /// The former: its descriptor is wanted at once.
+/// Time within which the head of a request must arrive, counted from its first byte, or from the connect for
+/// the first request. Protects against clients that send nothing or send endlessly slowly.
+pub const HEAD_READ_TIMEOUT: Duration = Duration::from_millis(2700);
+/// Time without progress in either direction after which a streamed body is cut off.
+const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time after which a connection without an open request is closed.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
+/// Idle time from which a connection may be closed to make room.
+const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
+/// Age from which a connection that has never sent a request may be closed to make room, if no idle one can
+/// be.
+const EVICT_SILENT_AFTER: Duration = Duration::from_millis(100);
+/// Idle time between two requests from which a connection may be closed to make room, if no other can be. Its
+/// client can reconnect, while a new client already has a request to send.
+const EVICT_RESTING_AFTER: Duration = Duration::from_millis(100);
+/// One part in this many of the capacity is for connections that only get a rejection because all others are
+/// busy.
+const OVERFLOW_DIVISOR: usize = 8;
+/// Interval at which overdue connections are closed.
+pub const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The state of one client connection.
+pub struct ClientConnection {
+    /// A whole request has arrived and is not yet answered.
+    request_open: Cell<bool>,
+    /// The client has sent at least one request.
+    has_sent_request: Cell<bool>,
+    /// When the last open request ended, at first the start of the connection.
+    idle_since: Cell<Instant>,
+    /// When the request that is being read started.
+    read_started: Cell<Option<Instant>>,
+    /// Any byte has been received.
+    has_received: Cell<bool>,
+    /// Bytes were received while a request was open.
+    received_early: Cell<bool>,
+    /// Scans the head of the request that is being read.
+    head_scanner: Cell<HeadScanner>,
+    /// The head has arrived, and the body has not.
+    reading_body: Cell<bool>,
+    /// A request or response body is being streamed.
+    streaming: Cell<bool>,
+    last_activity: Cell<Instant>,
+    /// The stream stalled, and the connection is closed although a request is open.
+    cut_off: Cell<bool>,
+    /// The connection is being closed, because it is overdue or to make room.
+    closing: Cell<bool>,
+    /// The connection is being closed to make room, so that its descriptor is needed at once.
     evicted: Cell<bool>,
-    end: Notify,
+    close_requested: Notify,
 }
 
-impl Client {
-    /// The head of a request has come, and its body is being read.
-    pub fn head_read(&self) {
-        self.body.set(true);
+impl ClientConnection {
+    /// Records that the head of a request has arrived and its body is being read.
+    pub fn start_body(&self) {
+        self.reading_body.set(true);
     }
 
-    /// Whether the head that was read names a length, if that is known.
-    pub fn names_length(&self) -> Option<bool> {
-        self.scan.get().names_length()
+    /// Returns whether the head that was read has a Content-Length header, or `None` if that is unknown.
+    pub fn has_content_length(&self) -> Option<bool> {
+        self.head_scanner.get().has_content_length()
     }
 
-    /// Something is being passed on, or no longer.
-    pub fn passes(&self, passing: bool) {
-        self.moved.set(Instant::now());
-        self.passing.set(passing);
+    /// Records that a body starts or stops being streamed.
+    pub fn set_streaming(&self, streaming: bool) {
+        self.last_activity.set(Instant::now());
+        self.streaming.set(streaming);
     }
 
-    /// A whole request has come, or one whose body is passed on.
-    pub fn opened(&self) {
-        self.body.set(false);
-        self.open.set(true);
-        self.asked.set(true);
-        self.begun.set(None);
+    /// Records that a request has arrived, either whole or with a body that is streamed.
+    pub fn request_received(&self) {
+        self.reading_body.set(false);
+        self.request_open.set(true);
+        self.has_sent_request.set(true);
+        self.read_started.set(None);
     }
 
-    /// There is an answer to what has come.
-    pub fn answered(&self) {
+    /// Records that the current request has been answered.
+    pub fn request_answered(&self) {
         let now = Instant::now();
-        self.open.set(false);
-        self.body.set(false);
-        self.passing.set(false);
-        self.since.set(now);
-        let mut scan = HeadScan::default();
-        if self.early.get() {
-            scan.miss();
+        self.request_open.set(false);
+        self.reading_body.set(false);
+        self.streaming.set(false);
+        self.idle_since.set(now);
+        let mut head_scanner = HeadScanner::default();
+        if self.received_early.get() {
+            head_scanner.mark_skipped();
         }
-        self.scan.set(scan);
-        self.begun.set(self.early.take().then_some(now));
+        self.head_scanner.set(head_scanner);
+        self.read_started.set(self.received_early.take().then_some(now));
     }
 
-    /// Waits until it is to be closed. A request that has come, or begun to come, at the last moment goes before.
-    pub async fn ended(&self) {
+    /// Waits until the connection is to be closed. A request that has started to arrive in the meantime is
+    /// served first.
+    pub async fn wait_for_close(&self) {
         loop {
-            self.end.notified().await;
-            if self.cut.get() || self.overdue() || !self.is_reading() && !self.open.get() {
+            self.close_requested.notified().await;
+            if self.cut_off.get() || self.is_overdue() || !self.is_reading() && !self.request_open.get() {
                 return;
             }
-            self.ending.set(false);
+            self.closing.set(false);
             self.evicted.set(false);
         }
     }
 
-    /// Some of a request has come, and not all of it.
+    /// Returns whether a request has started to arrive but isn't complete.
     pub fn is_reading(&self) -> bool {
-        self.body.get() || self.begun_request().is_some()
+        self.reading_body.get() || self.read_started_at().is_some()
     }
 
-    /// A request has come whole, its answer has not been given, and nothing is being passed on: what the client
-    /// sends now is no part of it.
-    pub fn awaits_answer(&self) -> bool {
-        self.open.get() && !self.passing.get()
+    /// Returns whether a request is complete and unanswered and nothing is streamed, so that further input
+    /// isn't part of it.
+    pub fn is_awaiting_answer(&self) -> bool {
+        self.request_open.get() && !self.streaming.get()
     }
 
-    /// Something was written to it.
-    pub fn wrote(&self) {
-        self.moved.set(Instant::now());
+    /// Records that bytes were written to the client.
+    pub fn record_write(&self) {
+        self.last_activity.set(Instant::now());
     }
 
-    /// Some bytes have come from it.
-    pub fn note(&self, bytes: &[u8]) {
-        self.heard.set(true);
-        self.moved.set(Instant::now());
-        if !self.open.get() && !self.body.get() {
-            let mut scan = self.scan.get();
-            scan.feed(bytes);
-            self.scan.set(scan);
+    /// Records bytes received from the client.
+    pub fn record_read(&self, bytes: &[u8]) {
+        self.has_received.set(true);
+        self.last_activity.set(Instant::now());
+        if !self.request_open.get() && !self.reading_body.get() {
+            let mut head_scanner = self.head_scanner.get();
+            head_scanner.feed(bytes);
+            self.head_scanner.set(head_scanner);
         }
-        if self.passing.get() && self.open.get() {
-            // Of a body, as far as can be told: where the next head begins is not known.
-        } else if self.open.get() || self.body.get() {
-            self.early.set(self.open.get());
-        } else if self.begun.get().is_none() {
-            self.begun.set(Some(Instant::now()));
+        if self.streaming.get() && self.request_open.get() {
+            // Counts as part of the body, because the start of the next head is unknown.
+        } else if self.request_open.get() || self.reading_body.get() {
+            self.received_early.set(self.request_open.get());
+        } else if self.read_started.get().is_none() {
+            self.read_started.set(Some(Instant::now()));
         }
     }
 
-    /// When the request that is being read began; a connection that has sent nothing yet is reading none.
-    fn begun_request(&self) -> Option<Instant> {
-        self.begun.get().filter(|_| self.heard.get())
+    /// Returns when the request that is being read started, or `None` if nothing has been received.
+    fn read_started_at(&self) -> Option<Instant> {
+        self.read_started.get().filter(|_| self.has_received.get())
     }
 
-    fn overdue(&self) -> bool {
-        // A body that does not come is answered by its reader; this is for all else.
-        let unread = self.begun.get().is_some_and(|begun| begun.elapsed() > READ_WITHIN + STEP);
-        !self.open.get() && !self.body.get() && (unread || self.since.get().elapsed() > KEEP)
+    fn is_overdue(&self) -> bool {
+        // A body that doesn't arrive in time is handled where it is read.
+        let unread = self
+            .read_started
+            .get()
+            .is_some_and(|read_started| read_started.elapsed() > HEAD_READ_TIMEOUT + SWEEP_INTERVAL);
+        !self.request_open.get()
+            && !self.reading_body.get()
+            && (unread || self.idle_since.get().elapsed() > KEEP_ALIVE_TIMEOUT)
     }
 
-    /// What is passed on stands still.
-    fn stands(&self) -> bool {
-        self.passing.get() && self.moved.get().elapsed() > STANDS
+    /// Returns whether a streamed body has made no progress for too long.
+    fn is_stalled(&self) -> bool {
+        self.streaming.get() && self.last_activity.get().elapsed() > STREAM_STALL_TIMEOUT
     }
 
-    fn close(&self) {
-        self.ending.set(true);
-        self.end.notify_one();
+    fn request_close(&self) {
+        self.closing.set(true);
+        self.close_requested.notify_one();
     }
 
     fn evict(&self) {
         self.evicted.set(true);
-        self.close();
+        self.request_close();
     }
 
-    /// Its descriptor is wanted at once.
+    /// Returns whether the connection is being closed to make room.
     pub fn is_evicted(&self) -> bool {
         self.evicted.get()
     }
 }
 
-/// All connections of clients.
-pub struct Clients {
-    all: RefCell<Vec<Rc<Client>>>,
-    most: Cell<usize>,
-    over: Cell<usize>,
-    left: Notify,
+/// All client connections.
+pub struct ClientConnections {
+    connections: RefCell<Vec<Rc<ClientConnection>>>,
+    max_connections: Cell<usize>,
+    overflow: Cell<usize>,
+    connection_closed: Notify,
 }
 
-/// A connection's place in the table, given up when it is dropped.
-pub struct Place {
-    clients: Rc<Clients>,
-    client: Rc<Client>,
+/// The registration of a connection, removed when dropped.
+pub struct ConnectionGuard {
+    registry: Rc<ClientConnections>,
+    client: Rc<ClientConnection>,
 }
 
-impl Place {
-    /// The connection.
-    pub fn client(&self) -> &Rc<Client> {
+impl ConnectionGuard {
+    /// Returns the connection.
+    pub fn client(&self) -> &Rc<ClientConnection> {
         &self.client
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.clients.all.borrow_mut().retain(|c| !Rc::ptr_eq(c, &self.client));
-        self.clients.left.notify_one();
+        self.registry.connections.borrow_mut().retain(|c| !Rc::ptr_eq(c, &self.client));
+        self.registry.connection_closed.notify_one();
     }
 }
 
-impl Clients {
-    /// Room for so many.
-    pub fn new(most: usize) -> Rc<Self> {
-        let clients = Self {
-            all: RefCell::default(),
-            most: Cell::default(),
-            over: Cell::default(),
-            left: Notify::new(),
+impl ClientConnections {
+    /// Creates a registry for up to `capacity` connections.
+    pub fn new(capacity: usize) -> Rc<Self> {
+        let connections = Self {
+            connections: RefCell::default(),
+            max_connections: Cell::default(),
+            overflow: Cell::default(),
+            connection_closed: Notify::new(),
         };
-        clients.bound(most);
-        Rc::new(clients)
+        connections.set_capacity(capacity);
+        Rc::new(connections)
     }
 
-    /// Room for so many from now on. Where there are more, those without a request in hand go at the next sweeps,
-    /// the longest rested first.
-    pub fn bound(&self, most: usize) {
-        let over = most / OVERFLOW;
-        self.most.set(most - over);
-        self.over.set(over);
+    /// Changes the capacity. If there are more connections, those without a request are closed at the next
+    /// sweeps, the longest idle first.
+    pub fn set_capacity(&self, capacity: usize) {
+        let overflow = capacity / OVERFLOW_DIVISOR;
+        self.max_connections.set(capacity - overflow);
+        self.overflow.set(overflow);
     }
 
-    /// There are none.
+    /// Returns whether there are no connections.
     pub fn is_empty(&self) -> bool {
-        self.all.borrow().is_empty()
+        self.connections.borrow().is_empty()
     }
 
-    /// Some of a request has come from one of them, and not all of it.
-    pub fn are_reading(&self) -> bool {
-        self.all.borrow().iter().any(|client| client.is_reading())
+    /// Returns whether any connection has a partly received request.
+    pub fn is_any_reading(&self) -> bool {
+        self.connections.borrow().iter().any(|client| client.is_reading())
     }
 
-    /// There are more than there is room for. Those that are being closed for the sake of newer ones
-    /// don't count: they go as soon as their tasks run, and until then the newer ones would be
-    /// refused although room was made for them.
-    pub fn full(&self) -> bool {
-        let all = self.all.borrow();
-        all.iter().filter(|c| !c.ending.get()).count() > self.most.get()
+    /// Returns whether a new connection exceeds the capacity. Connections that are being closed don't count,
+    /// because they end as soon as their tasks run.
+    pub fn is_full(&self) -> bool {
+        let all = self.connections.borrow();
+        all.iter().filter(|c| !c.closing.get()).count() > self.max_connections.get()
     }
 
-    /// There is no room for those to be refused either.
-    pub fn crowded(&self) -> bool {
-        self.all.borrow().len() >= self.most.get() + self.over.get()
+    /// Returns whether there is no room left even for connections that are rejected.
+    pub fn is_overflow_full(&self) -> bool {
+        self.connections.borrow().len() >= self.max_connections.get() + self.overflow.get()
     }
 
-    /// Takes in a connection.
-    pub fn admit(self: &Rc<Self>) -> Place {
+    /// Registers a new connection.
+    pub fn add(self: &Rc<Self>) -> ConnectionGuard {
         let now = Instant::now();
-        let client = Rc::new(Client {
-            open: Cell::new(false),
-            asked: Cell::new(false),
-            since: Cell::new(now),
-            begun: Cell::new(Some(now)),
-            heard: Cell::new(false),
-            scan: Cell::default(),
-            body: Cell::new(false),
-            passing: Cell::new(false),
-            moved: Cell::new(now),
-            cut: Cell::new(false),
-            early: Cell::new(false),
-            ending: Cell::new(false),
+        let client = Rc::new(ClientConnection {
+            request_open: Cell::new(false),
+            has_sent_request: Cell::new(false),
+            idle_since: Cell::new(now),
+            read_started: Cell::new(Some(now)),
+            has_received: Cell::new(false),
+            head_scanner: Cell::default(),
+            reading_body: Cell::new(false),
+            streaming: Cell::new(false),
+            last_activity: Cell::new(now),
+            cut_off: Cell::new(false),
+            received_early: Cell::new(false),
+            closing: Cell::new(false),
             evicted: Cell::new(false),
-            end: Notify::new(),
+            close_requested: Notify::new(),
         });
-        self.all.borrow_mut().push(client.clone());
-        Place { clients: self.clone(), client }
+        self.connections.borrow_mut().push(client.clone());
+        ConnectionGuard { registry: self.clone(), client }
     }
 
-    /// Waits for a connection to end, for a while.
-    pub async fn one_left(&self, within: Duration) {
-        let _ = tokio::time::timeout(within, self.left.notified()).await;
+    /// Waits until a connection ends, for at most `timeout`.
+    pub async fn wait_for_close(&self, timeout: Duration) {
+        let _ = tokio::time::timeout(timeout, self.connection_closed.notified()).await;
     }
 
-    /// Makes room for one more, at the cost of the connection that has been without a request
-    /// longest: guards against those that stay for good and keep others out. Tells whether there
-    /// is room, or will be at once.
+    /// Makes room for one connection by closing the one that has been without a request longest, so that idle
+    /// clients can't keep others out. Returns whether there is room or will be at once.
     pub fn make_room(&self) -> bool {
-        let all = self.all.borrow();
-        let ending = all.iter().filter(|c| c.ending.get()).count();
-        if all.len() < self.most.get() + ending {
+        let all = self.connections.borrow();
+        let closing = all.iter().filter(|c| c.closing.get()).count();
+        if all.len() < self.max_connections.get() + closing {
             return true;
         }
-        let longest = |enough: &dyn Fn(&Client) -> bool| {
-            let closable =
-                all.iter().filter(|c| !c.open.get() && !c.body.get() && !c.ending.get() && enough(c));
-            closable.min_by_key(|c| c.since.get()).cloned()
+        let longest = |is_evictable: &dyn Fn(&ClientConnection) -> bool| {
+            let candidates = all.iter().filter(|c| {
+                !c.request_open.get() && !c.reading_body.get() && !c.closing.get() && is_evictable(c)
+            });
+            candidates.min_by_key(|c| c.idle_since.get()).cloned()
         };
-        let idle = longest(&|c| c.since.get().elapsed() >= IDLE_ENOUGH);
-        let mute = || longest(&|c| !c.asked.get() && c.since.get().elapsed() >= MUTE_ENOUGH);
-        let at_rest = |c: &Client| c.asked.get() && c.begun.get().is_none();
-        let resting = || longest(&|c| at_rest(c) && c.since.get().elapsed() >= RESTED);
-        idle.or_else(mute).or_else(resting).inspect(|c| c.evict()).is_some()
+        let idle = longest(&|c| c.idle_since.get().elapsed() >= EVICT_IDLE_AFTER);
+        let silent =
+            || longest(&|c| !c.has_sent_request.get() && c.idle_since.get().elapsed() >= EVICT_SILENT_AFTER);
+        let at_rest = |c: &ClientConnection| c.has_sent_request.get() && c.read_started.get().is_none();
+        let resting = || longest(&|c| at_rest(c) && c.idle_since.get().elapsed() >= EVICT_RESTING_AFTER);
+        idle.or_else(silent).or_else(resting).inspect(|c| c.evict()).is_some()
     }
 
-    /// Closes connections that have outstayed their time, and where it is given, those that have rested for so
-    /// long between two requests.
-    pub fn sweep(&self, rested: Option<Duration>) {
-        let all = self.all.borrow();
-        let rests = |c: &Client| {
-            !c.open.get()
-                && !c.body.get()
-                && c.begun_request().is_none()
-                && rested.is_some_and(|r| c.since.get().elapsed() >= r)
+    /// Closes overdue connections and, if `max_rest` is given, those that have been idle between two requests
+    /// for that long.
+    pub fn close_overdue(&self, max_rest: Option<Duration>) {
+        let all = self.connections.borrow();
+        let is_resting_too_long = |c: &ClientConnection| {
+            !c.request_open.get()
+                && !c.reading_body.get()
+                && c.read_started_at().is_none()
+                && max_rest.is_some_and(|max_rest| c.idle_since.get().elapsed() >= max_rest)
         };
-        all.iter().filter(|c| !c.ending.get() && (c.overdue() || rests(c))).for_each(|c| c.close());
-        for client in all.iter().filter(|c| !c.cut.get() && c.stands()) {
-            client.cut.set(true);
-            client.close();
+        all.iter()
+            .filter(|c| !c.closing.get() && (c.is_overdue() || is_resting_too_long(c)))
+            .for_each(|c| c.request_close());
+        for client in all.iter().filter(|c| !c.cut_off.get() && c.is_stalled()) {
+            client.cut_off.set(true);
+            client.request_close();
         }
-        let mut idle: Vec<_> =
-            all.iter().filter(|c| !c.ending.get() && !c.open.get() && !c.body.get()).collect();
-        let stay = all.iter().filter(|c| !c.ending.get()).count();
-        idle.sort_by_key(|c| c.since.get());
-        let over = stay.saturating_sub(self.most.get() + self.over.get());
-        idle.into_iter().take(over).for_each(|c| c.evict());
+        let mut idle: Vec<_> = all
+            .iter()
+            .filter(|c| !c.closing.get() && !c.request_open.get() && !c.reading_body.get())
+            .collect();
+        let remaining = all.iter().filter(|c| !c.closing.get()).count();
+        idle.sort_by_key(|c| c.idle_since.get());
+        let excess = remaining.saturating_sub(self.max_connections.get() + self.overflow.get());
+        idle.into_iter().take(excess).for_each(|c| c.evict());
     }
 }
--- a/crates/http/src/config.rs
+++ b/crates/http/src/config.rs
@@ -1,4 +1,4 @@
-//! What a proxy is told at its start: environment and JSON, turned into the module's settings.
+//! Reads the configuration from the environment and a JSON file.
 
 use crate::listing::{self, RawList};
 use gannetproxy::engine::EngineLimits;
@@ -8,89 +8,88 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why the configuration can't be used.
+/// Why the configuration is invalid.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// An environment variable that is absent or not text.
+    /// A required environment variable is missing or not valid text.
     #[error("{0} is not set")]
     Unset(&'static str),
-    /// A file that can't be read.
+    /// The file can't be read.
     #[error("cannot read {path}: {error}")]
     Read {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What the system said.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// JSON that is malformed or lacks a value.
+    /// The file is not valid JSON, or a value is missing.
     #[error("{path}: {error}")]
     Json {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What is wrong, and where.
+        /// The error and its position.
         error: serde_json::Error,
     },
-    /// A value that makes no sense.
-    #[error("{name}: expected {expected}, got '{got}'")]
+    /// A value is out of range or contradicts another one.
+    #[error("{name}: expected {expected}, got '{found}'")]
     Value {
-        /// Its name.
+        /// The name of the setting.
         name: String,
-        /// What it should have been.
+        /// The expected value.
         expected: &'static str,
-        /// What it was.
-        got: String,
+        /// The value found.
+        found: String,
     },
 }
 
-/// Everything that a proxy is told.
+/// The configuration of a proxy.
 #[derive(Debug)]
 pub struct Config {
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// The address for operators, if any.
     pub operator: Option<SocketAddr>,
-    /// Where discovery is.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// For the module's random numbers.
+    /// The seed for the random numbers of the decision module.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Largest number of file descriptors that the process may use.
     pub sockets: usize,
-    /// Bytes of memory that the process may use.
+    /// Memory in bytes that the process may use.
     pub memory: usize,
-    /// The list of backends as last had.
+    /// The last known backend list.
     pub known: RawList,
-    /// What the module is told.
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// What only the proxy needs of the settings.
+    /// The settings that only the proxy uses.
     pub wire: WireSettings,
 }
 
-/// The part of the settings that sockets need and decisions don't.
+/// The settings that the proxy needs for its connections and that decisions don't use.
 #[derive(Clone, Debug, Default)]
 pub struct WireSettings {
-    /// Class names, in the order of the settings.
+    /// Class names in the order of the class indexes.
     pub classes: Vec<String>,
-    /// Tenant names, in the order of the settings.
+    /// Tenant names in the order of the tenant indexes.
     pub tenants: Vec<String>,
-    /// Zone names; an entry's zone is the place of its name here.
+    /// Zone names in the order of the zone indexes.
     pub zones: Vec<String>,
-    /// A connection not up by then never comes up.
+    /// Time after which a connect fails.
     pub connect_timeout: Duration,
-    /// Backends close idle connections after this.
+    /// Time after which backends close idle connections.
     pub idle_close: Duration,
-    /// What a new connection costs, as a part of the worth of an average request, beyond what it
-    /// always does.
+    /// Price of a new connection beyond its basic cost, as a fraction of the worth of an average request.
     pub handshake_price: f64,
-    /// Nothing new to a backend this long after the news that it drains or is gone.
+    /// Time after which nothing new is sent to a backend that drains or is gone.
     pub drain_grace: Duration,
-    /// Requests that may be open at once.
-    pub max_open: usize,
+    /// Largest number of open requests.
+    pub max_open_requests: usize,
 }
 
 impl WireSettings {
-    /// What bounds the engine.
-    pub fn bounds(&self) -> EngineLimits {
-        EngineLimits { drain_grace: self.drain_grace, max_open_requests: self.max_open }
+    /// Returns the limits for the engine.
+    pub fn engine_limits(&self) -> EngineLimits {
+        EngineLimits { drain_grace: self.drain_grace, max_open_requests: self.max_open_requests }
     }
 }
 
@@ -227,34 +226,34 @@
     how: String,
 }
 
-/// What is planned with where no limit is told.
+/// Memory limit in megabytes if none is configured.
 fn most_memory_mb() -> f64 {
     192.0
 }
 
-fn bad(name: &str, expected: &'static str, got: impl ToString) -> ConfigError {
-    ConfigError::Value { name: name.to_string(), expected, got: got.to_string() }
+fn invalid_value(name: &str, expected: &'static str, found: impl ToString) -> ConfigError {
+    ConfigError::Value { name: name.to_string(), expected, found: found.to_string() }
 }
 
-/// A span of time that fits a `Duration`.
-fn span(name: &str, seconds: f64) -> Result<Duration, ConfigError> {
-    Duration::try_from_secs_f64(seconds).map_err(|_| bad(name, "seconds, not below 0", seconds))
+/// Converts seconds to a `Duration`.
+fn parse_duration(name: &str, seconds: f64) -> Result<Duration, ConfigError> {
+    Duration::try_from_secs_f64(seconds).map_err(|_| invalid_value(name, "seconds, not below 0", seconds))
 }
 
-/// Refuses what contradicts itself or can't be meant, so that nothing behind this has to expect it.
-fn checked(raw: &RawSettings) -> Result<(), ConfigError> {
+/// Rejects contradictory or out-of-range settings, so that later code can rely on them.
+fn validate(raw: &RawSettings) -> Result<(), ConfigError> {
     let RawSettings { caps, classes, rules, projects, quantum, me, n_instances, .. } = raw;
     if classes.is_empty() {
-        return Err(bad("classes", "one class at least", "none"));
+        return Err(invalid_value("classes", "one class at least", "none"));
     }
     for (i, class) in classes.iter().enumerate() {
-        if classes[..i].iter().any(|before| before.name == class.name) {
-            return Err(bad("classes", "names that differ", &class.name));
+        if classes[..i].iter().any(|earlier| earlier.name == class.name) {
+            return Err(invalid_value("classes", "names that differ", &class.name));
         }
         let worths = [("worth", class.worth), ("late-worth", class.late_worth)];
         for (name, worth) in worths {
             if worth.is_some_and(|worth| !worth.is_finite()) {
-                return Err(bad(
+                return Err(invalid_value(
                     &format!("{name} of class {}", class.name),
                     "a number",
                     worth.unwrap_or(0.0),
@@ -263,59 +262,59 @@
         }
     }
     for (i, project) in projects.iter().enumerate() {
-        if projects[..i].iter().any(|before| before.name == project.name) {
-            return Err(bad("projects", "names that differ", &project.name));
+        if projects[..i].iter().any(|earlier| earlier.name == project.name) {
+            return Err(invalid_value("projects", "names that differ", &project.name));
         }
     }
     if me >= n_instances {
-        return Err(bad("me", "a number below n-instances", me));
+        return Err(invalid_value("me", "a number below n-instances", me));
     }
     if caps.max_attempts == 0 {
-        return Err(bad("caps.max-attempts", "one at least", 0));
+        return Err(invalid_value("caps.max-attempts", "one at least", 0));
     }
     if !(0.0..=1.0).contains(&rules.cold_share) {
-        return Err(bad("rules.cold-share", "a part from 0 to 1", rules.cold_share));
+        return Err(invalid_value("rules.cold-share", "a part from 0 to 1", rules.cold_share));
     }
-    let figures = [
+    let non_negative_values = [
         ("quantum", *quantum),
         ("rules.ask-within", rules.ask_within),
         ("rules.cold", rules.cold),
         ("rules.fall-multiple", rules.fall_multiple),
         ("rules.tip-after", rules.tip_after),
     ];
-    for (name, value) in figures {
+    for (name, value) in non_negative_values {
         if !(value.is_finite() && value >= 0.0) {
-            return Err(bad(name, "a number not below 0", value));
+            return Err(invalid_value(name, "a number not below 0", value));
         }
     }
     Ok(())
 }
 
-/// Which word on where discovery is holds.
+/// Which source of the discovery address takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wins {
-    /// The environment's, as at the start.
+pub enum DiscoveryPrecedence {
+    /// The environment, at the start of the process.
     Environment,
-    /// The file's: it may have been replaced since, and the environment cannot.
+    /// The file, on a reload: the file may have changed, and the environment can't.
     File,
 }
 
 impl Config {
-    /// Reads the environment and the file that it names.
-    pub fn from_env(wins: Wins) -> Result<Self, ConfigError> {
-        let var = |name: &'static str| std::env::var(name).map_err(|_| ConfigError::Unset(name));
-        let path = var("RELAY_CONFIG")?;
+    /// Reads the environment and the file that `RELAY_CONFIG` names.
+    pub fn from_env(precedence: DiscoveryPrecedence) -> Result<Self, ConfigError> {
+        let read_var = |name: &'static str| std::env::var(name).map_err(|_| ConfigError::Unset(name));
+        let path = read_var("RELAY_CONFIG")?;
         let text = std::fs::read_to_string(&path)
             .map_err(|error| ConfigError::Read { path: path.clone(), error })?;
         let file: File = serde_json::from_str(&text).map_err(|error| ConfigError::Json { path, error })?;
         let address = |name: &'static str, in_file: &Option<String>| {
-            let text = var(name).or_else(|unset| in_file.clone().ok_or(unset))?;
-            text.parse::<SocketAddr>().map_err(|_| bad(name, "address:port", text))
+            let text = read_var(name).or_else(|unset| in_file.clone().ok_or(unset))?;
+            text.parse::<SocketAddr>().map_err(|_| invalid_value(name, "address:port", text))
         };
         let listen = address("RELAY_LISTEN", &file.listen)?;
-        let discovery = match (wins, &file.discovery) {
-            (Wins::File, Some(text)) => {
-                text.parse().map_err(|_| bad("discovery", "address:port", text.as_str()))?
+        let discovery = match (precedence, &file.discovery) {
+            (DiscoveryPrecedence::File, Some(text)) => {
+                text.parse().map_err(|_| invalid_value("discovery", "address:port", text.as_str()))?
             }
             _ => address("RELAY_DISCOVERY", &file.discovery)?,
         };
@@ -332,24 +331,25 @@
         discovery: SocketAddr,
         operator: Option<SocketAddr>,
     ) -> Result<Self, ConfigError> {
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| bad("seed", "hex digits", &file.seed))?;
+        let seed = u64::from_str_radix(&file.seed, 16)
+            .map_err(|_| invalid_value("seed", "hex digits", &file.seed))?;
         let raw = file.settings;
-        checked(&raw)?;
+        validate(&raw)?;
         let mut zones = raw.zones;
         let zone = listing::zone_index(&mut zones, &raw.zone);
         let wire = WireSettings {
-            classes: raw.classes.iter().map(|c| c.name.clone()).collect(),
-            tenants: raw.projects.iter().map(|p| p.name.clone()).collect(),
+            classes: raw.classes.iter().map(|class| class.name.clone()).collect(),
+            tenants: raw.projects.iter().map(|project| project.name.clone()).collect(),
             zones,
-            connect_timeout: span("caps.connect-timeout", raw.caps.connect_timeout)?,
-            idle_close: span("caps.idle-close", raw.caps.idle_close)?,
+            connect_timeout: parse_duration("caps.connect-timeout", raw.caps.connect_timeout)?,
+            idle_close: parse_duration("caps.idle-close", raw.caps.idle_close)?,
             handshake_price: raw.costs.handshake,
-            drain_grace: span("rules.drain-grace", raw.rules.drain_grace)?,
-            max_open: raw.caps.max_open.unwrap_or(usize::MAX),
+            drain_grace: parse_duration("rules.drain-grace", raw.rules.drain_grace)?,
+            max_open_requests: raw.caps.max_open.unwrap_or(usize::MAX),
         };
         let settings = Settings {
-            classes: raw.classes.into_iter().map(class).collect::<Result<_, _>>()?,
-            quotas: raw.projects.iter().map(|p| p.quota_per_s).collect(),
+            classes: raw.classes.into_iter().map(convert_class).collect::<Result<_, _>>()?,
+            quotas: raw.projects.iter().map(|project| project.quota_per_s).collect(),
             over_share_worth: raw.over_share_worth.unwrap_or(1.0),
             instances: raw.n_instances,
             me: raw.me,
@@ -377,27 +377,29 @@
     }
 }
 
-fn class(raw: RawClass) -> Result<Class, ConfigError> {
-    let positive = |name: &str, value: Time| match value.is_finite() && value >= 0.0 {
+fn convert_class(raw: RawClass) -> Result<Class, ConfigError> {
+    let non_negative = |name: &str, value: Time| match value.is_finite() && value >= 0.0 {
         true => Ok(value),
-        false => Err(bad(&format!("{} of class {}", name, raw.name), "a number not below 0", value)),
+        false => {
+            Err(invalid_value(&format!("{} of class {}", name, raw.name), "a number not below 0", value))
+        }
     };
-    let absent = |name: &str| bad(&format!("{} of class {}", name, raw.name), "a value", "none");
+    let missing = |name: &str| invalid_value(&format!("{} of class {}", name, raw.name), "a value", "none");
     Ok(Class {
-        aim: positive("on-time", raw.on_time)?,
-        deadline: positive("hard-limit", raw.hard_limit)?,
+        aim: non_negative("on-time", raw.on_time)?,
+        deadline: non_negative("hard-limit", raw.hard_limit)?,
         late_worth: raw.late_worth.unwrap_or(0.0),
         worth: raw.worth.unwrap_or(1.0),
         effect: match raw.effect {
             RawEffect::Free => Effect::Safe,
             RawEffect::SingleShot => Effect::Unsafe,
             RawEffect::Guarded => Effect::Keyed {
-                group: match raw.group.ok_or_else(|| absent("group"))? {
+                group: match raw.group.ok_or_else(|| missing("group"))? {
                     RawGroup::All => Group::All,
                     RawGroup::Zone => Group::Zone,
                     RawGroup::Cell => Group::Cell,
                 },
-                window: positive("window", raw.window.ok_or_else(|| absent("window"))?)?,
+                window: non_negative("window", raw.window.ok_or_else(|| missing("window"))?)?,
             },
         },
         in_order: raw.fifo_by_key,
--- a/crates/http/src/discovery/mod.rs
+++ b/crates/http/src/discovery/mod.rs
@@ -1,19 +1,20 @@
-//! The watch on discovery: one task that makes one call at a time, so that an answer is never older than one that
-//! was taken in before it. What it is to do (watch or not, another address, the whole list) is told to it between
-//! calls or ends the call that is out.
+//! Watches the backend list of the discovery service.
+//!
+//! One task makes one call at a time, so that no answer is older than one already applied. Changes of the
+//! address or of what is requested take effect between calls or cancel the current call.
 
 pub mod schedule;
 
-use crate::backend::Http;
-use crate::body::Outgoing;
+use crate::backend::HttpUpstream;
+use crate::body::RequestBody;
 use crate::config::WireSettings;
-use crate::listing::{Names, RawList};
-use crate::peer::{self, Peer};
+use crate::listing::{BackendIds, RawList};
+use crate::peer::{self, Connection};
 use gannetproxy::Settings;
 use gannetproxy::engine::{BackendListUpdate, Engine, ListRequest};
 use http_body_util::{BodyExt, Limited};
 use hyper::Request;
-use schedule::{Call, Pace, Schedule};
+use schedule::{Call, CallTiming, Schedule};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,21 +22,21 @@
 use thiserror::Error;
 use tokio::sync::Notify;
 
-/// A list that has begun to come must have come whole within this: one that stalls must not keep the next call
-/// from being made until the deadline of its call.
-const COMES_WITHIN: Duration = Duration::from_secs(1);
-/// Largest list taken in.
-const MOST_BYTES: usize = 4 << 20;
+/// Time within which the body of a list must arrive. A body that stalls must not delay the next call until
+/// the timeout of the current one.
+const BODY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Largest accepted list in bytes.
+const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Where discovery tells its list.
+/// The path of the backend list.
 const LIST: &str = "/api/targets";
 
 #[derive(Debug, Error)]
 enum CallError {
-    #[error("no answer in time")]
-    Late,
-    #[error("the connection ended")]
-    Broken,
+    #[error("the call timed out")]
+    TimedOut,
+    #[error("the connection was closed")]
+    ConnectionClosed,
     #[error("cannot connect: {0}")]
     Connect(std::io::Error),
     #[error("{0}")]
@@ -48,213 +49,227 @@
     Json(#[from] serde_json::Error),
 }
 
-/// What the watch is to do.
-struct Wanted {
+/// What the watch requests next.
+struct WatchState {
     address: SocketAddr,
-    /// The version of the list that was last had from that address, if any was.
+    /// The version of the last list from this address, if any.
     generation: Option<u64>,
-    /// Changes are to be asked for as they come.
-    watch: bool,
-    /// The whole list is to be asked for once.
-    whole: bool,
-    /// This discovery does not tell everything to a watch that begins at no version.
-    by_list_call: bool,
+    /// Whether changes are watched.
+    watching: bool,
+    /// Whether the whole list is requested once.
+    full_list: bool,
+    /// Whether the full list needs the list endpoint, because a watch from version 0 doesn't return it.
+    use_list_endpoint: bool,
 }
 
-impl Wanted {
-    /// The version that the next call names, and whether its answer is everything that there is. A watch that begins
-    /// at no version is told all, and goes on from there: a call for the list and a watch after it would cost
-    /// discovery twice as much, just when all proxies have to begin anew.
+impl WatchState {
+    /// Returns the version for the next call, and whether its answer is the full list. A watch from version 0
+    /// returns the full list and continues from there; a separate list call would double the load when all
+    /// proxies restart.
     fn since(&self) -> (u64, bool) {
-        match self.generation.filter(|_| !self.whole) {
+        match self.generation.filter(|_| !self.full_list) {
             Some(generation) => (generation, false),
             None => (0, true),
         }
     }
 }
 
-/// Keeps the engine's list fresh.
+/// Keeps the backend list of the engine up to date.
 pub struct Discovery {
-    engine: Rc<Engine<Http>>,
-    names: RefCell<Names>,
-    wanted: RefCell<Wanted>,
-    /// What is wanted has changed: the call that is out is not.
-    changed: Notify,
+    engine: Rc<Engine<HttpUpstream>>,
+    ids: RefCell<BackendIds>,
+    watch_state: RefCell<WatchState>,
+    /// Notified when the watch state has changed and the current call is obsolete.
+    state_changed: Notify,
     schedule: RefCell<Schedule>,
 }
 
 impl Discovery {
-    /// Hands the known list to the engine, and starts the watch where no one has to ask for it. `seed` spreads the
-    /// calls of many proxies.
+    /// Passes the known list to the engine and starts the watch, unless the decision module has to request
+    /// it. `seed` spreads the calls of many proxies.
     pub fn start(
         address: SocketAddr,
         known: RawList,
         wire: &WireSettings,
         settings: &Settings,
         seed: u64,
-        engine: Rc<Engine<Http>>,
+        engine: Rc<Engine<HttpUpstream>>,
     ) -> Rc<Self> {
-        let pace = if settings.must_watch { Pace::ASKED } else { Pace::PUSHED };
-        let longest = Duration::try_from_secs_f64(settings.ask_within).unwrap_or(pace.wait);
+        let timing = if settings.must_watch { CallTiming::SHARED_SERVICE } else { CallTiming::LOCAL_AGENT };
+        let max_wait = Duration::try_from_secs_f64(settings.ask_within).unwrap_or(timing.wait);
         let discovery = Rc::new(Self {
-            names: RefCell::new(Names::new(wire.zones.clone())),
-            wanted: RefCell::new(Wanted {
+            ids: RefCell::new(BackendIds::new(wire.zones.clone())),
+            watch_state: RefCell::new(WatchState {
                 address,
                 generation: Some(known.generation),
-                // Who knows no backend can't wait until the module asks.
-                watch: !settings.must_watch || known.instances.is_empty(),
-                whole: false,
-                by_list_call: false,
+                // Without any known backend, the watch starts at once.
+                watching: !settings.must_watch || known.instances.is_empty(),
+                full_list: false,
+                use_list_endpoint: false,
             }),
-            changed: Notify::new(),
-            schedule: RefCell::new(Schedule::new(pace.waiting_up_to(longest), seed)),
+            state_changed: Notify::new(),
+            schedule: RefCell::new(Schedule::new(timing.with_max_wait(max_wait), seed)),
             engine,
         });
-        let asked = Rc::downgrade(&discovery);
-        discovery.engine.set_list_source(move |ask| {
-            let Some(discovery) = asked.upgrade() else {
+        let weak_discovery = Rc::downgrade(&discovery);
+        discovery.engine.set_list_source(move |request| {
+            let Some(discovery) = weak_discovery.upgrade() else {
                 return;
             };
-            match ask {
-                ListRequest::Watch(on) => discovery.watch(on),
-                ListRequest::Fetch => discovery.fetch(),
+            match request {
+                ListRequest::Watch(on) => discovery.set_watching(on),
+                ListRequest::Fetch => discovery.request_full_list(),
             }
         });
-        let listed = discovery.names.borrow_mut().list(known.instances, discovery.engine.clock());
+        let listed = discovery.ids.borrow_mut().convert_list(known.instances, discovery.engine.clock());
         discovery.engine.update_list(BackendListUpdate::Remembered(listed));
         tokio::task::spawn_local(discovery.clone().run());
         discovery
     }
 
-    /// Goes over to the discovery at `address`. Its versions are its own, so that the whole list
-    /// is asked for at once; until it comes, the last one holds. What the old one still says is not taken in.
-    pub fn move_to(&self, address: SocketAddr) {
-        tracing::info!(%address, "discovery has moved");
-        let mut wanted = self.wanted.borrow_mut();
-        *wanted = Wanted { address, generation: None, watch: true, whole: false, by_list_call: false };
-        self.schedule.borrow_mut().answered();
-        self.changed.notify_one();
+    /// Switches to the discovery service at `address`. Its versions are independent, so that the full list is
+    /// requested at once. The last list stays in use until then, and pending answers of the previous service
+    /// are dropped.
+    pub fn change_address(&self, address: SocketAddr) {
+        tracing::info!(%address, "discovery address changed");
+        let mut state = self.watch_state.borrow_mut();
+        *state = WatchState {
+            address,
+            generation: None,
+            watching: true,
+            full_list: false,
+            use_list_endpoint: false,
+        };
+        self.schedule.borrow_mut().record_success();
+        self.state_changed.notify_one();
     }
 
-    /// Begins a watch, if none is on, or ends it.
-    pub fn watch(&self, on: bool) {
-        let mut wanted = self.wanted.borrow_mut();
-        if std::mem::replace(&mut wanted.watch, on) != on {
-            self.changed.notify_one();
+    /// Starts or stops the watch.
+    pub fn set_watching(&self, on: bool) {
+        let mut state = self.watch_state.borrow_mut();
+        if std::mem::replace(&mut state.watching, on) != on {
+            self.state_changed.notify_one();
         }
     }
 
-    /// Asks for the whole list once.
-    pub fn fetch(&self) {
-        self.wanted.borrow_mut().whole = true;
-        self.changed.notify_one();
+    /// Requests the whole list once.
+    pub fn request_full_list(&self) {
+        self.watch_state.borrow_mut().full_list = true;
+        self.state_changed.notify_one();
     }
 
-    /// One call after another: a gap between them would end the watch.
+    /// Makes one call after another, since a gap would interrupt the watch.
     async fn run(self: Rc<Self>) {
         let mut connection = None;
         loop {
-            let Some((address, path, call)) = self.next() else {
-                self.changed.notified().await;
+            let Some((address, path, call)) = self.next_call() else {
+                self.state_changed.notified().await;
                 continue;
             };
             tokio::select! {
-                biased; // an answer to what is no longer wanted is not taken in
-                () = self.changed.notified() => connection = None,
-                answer = call_after_pause(address, &path, call, &mut connection) => self.take(answer),
+                biased; // drops an answer that is obsolete
+                () = self.state_changed.notified() => connection = None,
+                response = call_after_delay(address, &path, call, &mut connection) => self.handle_response(response),
             }
         }
     }
 
-    /// The next call, if one is to be made: where to, its path, and its times.
-    fn next(&self) -> Option<(SocketAddr, String, Call)> {
-        let wanted = self.wanted.borrow();
+    /// Returns the address, path and timing of the next call, if any.
+    fn next_call(&self) -> Option<(SocketAddr, String, Call)> {
+        let state = self.watch_state.borrow();
         let mut schedule = self.schedule.borrow_mut();
-        if !wanted.watch && !wanted.whole {
+        if !state.watching && !state.full_list {
             return None;
         }
-        let (since, everything) = wanted.since();
-        let call = if everything { schedule.fetch() } else { schedule.watch() };
-        let path = match everything && wanted.by_list_call {
+        let (since, is_full) = state.since();
+        let call = if is_full { schedule.next_fetch() } else { schedule.next_watch() };
+        let path = match is_full && state.use_list_endpoint {
             true => LIST.to_string(),
             false => format!("{LIST}?since={since}&timeout_ms={}", call.wait.as_millis()),
         };
-        Some((wanted.address, path, call))
+        Some((state.address, path, call))
     }
 
-    /// Takes in an answer; the last list is kept if there is none that makes sense.
-    fn take(&self, answer: Result<RawList, CallError>) {
-        match answer {
+    /// Applies an answer. On an error the last list stays in use.
+    fn handle_response(&self, response: Result<RawList, CallError>) {
+        match response {
             Ok(list) => {
-                self.schedule.borrow_mut().answered();
-                let mut wanted = self.wanted.borrow_mut();
-                let (_, everything) = wanted.since();
-                // What changed since the beginning need not be all that there is.
-                if everything && !list.reset {
-                    wanted.by_list_call = true;
+                self.schedule.borrow_mut().record_success();
+                let mut state = self.watch_state.borrow_mut();
+                let (_, is_full) = state.since();
+                // Changes since version 0 may not be the whole list.
+                if is_full && !list.reset {
+                    state.use_list_endpoint = true;
                     return;
                 }
-                wanted.generation = Some(list.generation);
-                wanted.whole = false;
-                drop(wanted); // the engine may ask for something
-                let listed = self.names.borrow_mut().list(list.instances, self.engine.clock());
-                let news = if list.reset {
+                state.generation = Some(list.generation);
+                state.full_list = false;
+                drop(state); // the engine may request a list
+                let listed = self.ids.borrow_mut().convert_list(list.instances, self.engine.clock());
+                let update = if list.reset {
                     BackendListUpdate::Full(listed)
                 } else {
                     BackendListUpdate::Changes(listed)
                 };
-                self.engine.update_list(news);
-                self.names.borrow_mut().forget(|id| self.engine.has_backend(id));
+                self.engine.update_list(update);
+                self.ids.borrow_mut().retain(|id| self.engine.has_backend(id));
             }
             Err(error) => {
                 if matches!(error, CallError::Status(400..500)) {
-                    self.wanted.borrow_mut().by_list_call = true;
+                    self.watch_state.borrow_mut().use_list_endpoint = true;
                 }
                 let mut schedule = self.schedule.borrow_mut();
-                schedule.failed();
-                // Said less and less often, as it may go on for long.
+                schedule.record_failure();
+                // Logged at growing intervals, because an outage may last long.
                 let failures = schedule.failures();
                 if failures.is_power_of_two() {
-                    tracing::warn!(%error, failures, "discovery call failed; the last list holds");
+                    tracing::warn!(%error, failures, "discovery call failed; the last list stays in use");
                 }
             }
         }
     }
 }
 
-/// Rests, and makes a call, on the connection kept from the last one if there is one.
-async fn call_after_pause(
+/// Waits for the delay and makes a call, on the previous connection if it is reusable.
+async fn call_after_delay(
     address: SocketAddr,
     path: &str,
     call: Call,
-    connection: &mut Option<Peer>,
+    connection: &mut Option<Connection>,
 ) -> Result<RawList, CallError> {
-    tokio::time::sleep(call.pause).await;
-    let called = tokio::time::timeout(call.deadline, fetch_list(address, path, call.deadline, connection));
-    called.await.unwrap_or(Err(CallError::Late))
+    tokio::time::sleep(call.delay).await;
+    let response = tokio::time::timeout(call.timeout, fetch_list(address, path, call.timeout, connection));
+    response.await.unwrap_or(Err(CallError::TimedOut))
 }
 
 async fn fetch_list(
     address: SocketAddr,
     path: &str,
-    within: Duration,
-    connection: &mut Option<Peer>,
+    connect_timeout: Duration,
+    connection: &mut Option<Connection>,
 ) -> Result<RawList, CallError> {
-    let mut peer = match connection.take().and_then(Peer::checked) {
-        Some(peer) => peer,
-        None => peer::connect(address, within).await.map_err(CallError::Connect)?,
+    let mut connected = match connection.take().and_then(Connection::into_reusable) {
+        Some(connection) => connection,
+        None => peer::connect(address, connect_timeout).await.map_err(CallError::Connect)?,
     };
     let request = Request::get(path).header("host", address.to_string());
-    let Ok(request) = request.body(Outgoing::default()) else {
-        return Err(CallError::Status(0)); // a path of ours is always valid
+    let Ok(request) = request.body(RequestBody::default()) else {
+        return Err(CallError::Status(0)); // not reached, as the path is always valid
     };
-    let answer = peer.send(request).await.ok_or(CallError::Broken)?.map_err(|e| e.into_error())?;
-    let (status, body) = (answer.status(), Limited::new(answer.into_body(), MOST_BYTES));
-    let body = tokio::time::timeout(COMES_WITHIN, peer.drive(body.collect())).await;
-    let body = body.map_err(|_| CallError::Late)?.ok_or(CallError::Broken)?.map_err(CallError::Body)?;
+    let response = connected
+        .send(request)
+        .await
+        .ok_or(CallError::ConnectionClosed)?
+        .map_err(|error| error.into_error())?;
+    let (status, body) = (response.status(), Limited::new(response.into_body(), MAX_LIST_BYTES));
+    let body = tokio::time::timeout(BODY_TIMEOUT, connected.drive(body.collect())).await;
+    let body = body
+        .map_err(|_| CallError::TimedOut)?
+        .ok_or(CallError::ConnectionClosed)?
+        .map_err(CallError::Body)?;
     if !status.is_success() {
         return Err(CallError::Status(status.as_u16()));
     }
-    *connection = peer.checked();
+    *connection = connected.into_reusable();
     Ok(serde_json::from_slice(&body.to_bytes())?)
 }
--- a/crates/http/src/discovery/schedule.rs
+++ b/crates/http/src/discovery/schedule.rs
@@ -1,149 +1,148 @@
-//! When discovery is called, and how long each call is waited for. No I/O and no clock.
+//! Schedules the calls to the discovery service. No I/O and no clock.
 //!
-//! A change must be acted upon within [`STALENESS_BOUND`] of the moment at which discovery had it and could be
-//! reached, whatever calls failed, were refused or given up before. All intervals stand here, and
-//! [`Pace::staleness`] is their sum in the worst case.
+//! A change must be applied within [`STALENESS_BOUND`] of the moment at which the service had it and was
+//! reachable, whatever failed before. [`CallTiming::max_staleness`] is the sum of all intervals in the worst
+//! case.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// The operators' term: a change counts as known this long after discovery had it and could be reached.
+/// Largest age of a change when it is applied, counted from when the service had it and was reachable.
 pub const STALENESS_BOUND: Duration = Duration::from_secs(6);
 
-/// The pause before a call that follows a failed one. A crowded discovery has work with what it refuses, too, so
-/// that calls made again sooner keep it from answering. It doubles with each further failure,
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-/// up to this.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1000);
-/// A pause is spread by this part to either side, so that the calls of many proxies whose watches failed
-/// together come one after another.
-const PAUSE_SPREAD: f64 = 0.5;
-/// The wait for changes is shortened at random by up to this part, for the same reason.
-const WAIT_SPREAD: f64 = 0.2;
+/// Delay before the call that follows a failed one. It doubles with each further failure.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Longest delay between failed calls.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1000);
+/// Fraction by which a retry delay varies in both directions, to spread the calls of many proxies.
+const RETRY_DELAY_JITTER_FRACTION: f64 = 0.5;
+/// Fraction by which the wait for changes is shortened at random, to spread the calls of many proxies.
+const WAIT_JITTER_FRACTION: f64 = 0.2;
 /// The intervals of calls.
 ///
-/// A call that is given up has cost discovery its work all the same, so that a crowd of proxies that give up early
-/// and call again keeps discovery from ever catching up. Only a watch that worked and fell silent is taken for
-/// broken soon; every other call is waited for until a crowded discovery would have refused it.
+/// Only a watch that worked before gets a short timeout. All other calls wait until an overloaded service
+/// would have rejected them, because a call that is abandoned and repeated early adds to the overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
-    /// How long a watch asks discovery to wait for changes.
+pub struct CallTiming {
+    /// How long a watch asks the service to wait for changes.
     pub wait: Duration,
-    /// How much later the answer to a watch may come. Discovery that is not crowded answers any call within this.
-    pub answer_within: Duration,
-    /// How long the first call after a watch that failed is waited for,
-    pub catch_up_within: Duration,
-    /// and how long any other call that asks for no wait.
-    pub crowded_within: Duration,
+    /// How much later the response to a watch may arrive. A service that isn't overloaded responds within
+    /// this time.
+    pub response_timeout: Duration,
+    /// Timeout of the first call after a failed watch.
+    pub catch_up_timeout: Duration,
+    /// Timeout of any other call without a wait.
+    pub overload_timeout: Duration,
 }
 
-impl Pace {
-    /// Where discovery is a service that all proxies ask.
-    pub const ASKED: Self = Self {
+impl CallTiming {
+    /// For a service that all proxies call.
+    pub const SHARED_SERVICE: Self = Self {
         wait: Duration::from_millis(2000),
-        answer_within: Duration::from_millis(600),
-        catch_up_within: Duration::from_millis(1200),
-        crowded_within: Duration::from_millis(3100),
+        response_timeout: Duration::from_millis(600),
+        catch_up_timeout: Duration::from_millis(1200),
+        overload_timeout: Duration::from_millis(3100),
     };
 
-    /// Where an agent on this machine is told of changes. Its answers cost nothing.
-    pub const PUSHED: Self = Self {
+    /// For an agent on the same host, whose responses are cheap.
+    pub const LOCAL_AGENT: Self = Self {
         wait: Duration::from_millis(2000),
-        answer_within: Duration::from_millis(500),
-        catch_up_within: Duration::from_millis(500),
-        crowded_within: Duration::from_millis(2000),
+        response_timeout: Duration::from_millis(500),
+        catch_up_timeout: Duration::from_millis(500),
+        overload_timeout: Duration::from_millis(2000),
     };
 
-    /// The same with a wait of `longest` at most.
-    pub fn waiting_up_to(self, longest: Duration) -> Self {
-        Self { wait: self.wait.min(longest), ..self }
+    /// Limits the wait for changes to `max_wait`.
+    pub fn with_max_wait(self, max_wait: Duration) -> Self {
+        Self { wait: self.wait.min(max_wait), ..self }
     }
 
-    /// The oldest that a change can be when it is had, counted from when discovery had it and could be reached, where
-    /// discovery is not crowded: a watch and the call after it fall silent and the next one is answered, or, after
-    /// more failures, one call that began just before discovery could be reached is waited for in vain. What a crowd
-    /// adds is bounded by how long discovery needs for one call of each proxy; see tests/discovery_herd.rs.
-    pub fn staleness(&self) -> Duration {
+    /// Returns the largest age of a change when it arrives, while the service isn't overloaded: either a
+    /// watch and the call after it get no response and the next one does, or a call that started just before
+    /// the service became reachable has to time out first. Overload adds the time that the service needs for
+    /// one call of each proxy; see tests/discovery_herd.rs.
+    pub fn max_staleness(&self) -> Duration {
         let after_watch = self.wait
-            + self.answer_within
-            + longest_pause(1)
-            + self.catch_up_within
-            + longest_pause(2)
-            + self.answer_within;
-        let after_failures = self.crowded_within + longest_pause(u32::MAX) + self.answer_within;
+            + self.response_timeout
+            + max_retry_delay(1)
+            + self.catch_up_timeout
+            + max_retry_delay(2)
+            + self.response_timeout;
+        let after_failures = self.overload_timeout + max_retry_delay(u32::MAX) + self.response_timeout;
         after_watch.max(after_failures)
     }
 }
 
-/// The pause after so many failures in a row, before it is spread.
-fn pause(failures: u32) -> Duration {
+/// Returns the delay after a number of consecutive failures, without jitter.
+fn base_retry_delay(failures: u32) -> Duration {
     let doublings = failures.saturating_sub(1).min(8);
-    (FIRST_PAUSE * 2u32.pow(doublings)).min(LONGEST_PAUSE)
+    (INITIAL_RETRY_DELAY * 2u32.pow(doublings)).min(MAX_RETRY_DELAY)
 }
 
-/// The longest that it can become.
-fn longest_pause(failures: u32) -> Duration {
-    pause(failures).mul_f64(1.0 + PAUSE_SPREAD)
+/// Returns the longest possible delay after a number of consecutive failures.
+fn max_retry_delay(failures: u32) -> Duration {
+    base_retry_delay(failures).mul_f64(1.0 + RETRY_DELAY_JITTER_FRACTION)
 }
 
-/// One call: what it asks for, and when it is given up.
+/// The timing of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// How long to rest before it is made.
-    pub pause: Duration,
-    /// How long it asks discovery to wait for changes.
+    /// The delay before the call.
+    pub delay: Duration,
+    /// How long the service is asked to wait for changes.
     pub wait: Duration,
-    /// When it is given up, counted from when it is made.
-    pub deadline: Duration,
+    /// The timeout, counted from the start of the call.
+    pub timeout: Duration,
 }
 
-/// Decides on each call by how the ones before it ended.
+/// Determines the timing of each call from the results of the previous ones.
 #[derive(Debug)]
 pub struct Schedule {
-    pace: Pace,
+    timing: CallTiming,
     rng: SmallRng,
     failures: u32,
 }
 
 impl Schedule {
-    /// The schedule of one proxy; `seed` spreads its calls.
-    pub fn new(pace: Pace, seed: u64) -> Self {
-        Self { pace, rng: SmallRng::seed_from_u64(seed), failures: 0 }
+    /// Creates the schedule of one proxy. `seed` spreads the calls of many proxies.
+    pub fn new(timing: CallTiming, seed: u64) -> Self {
+        Self { timing, rng: SmallRng::seed_from_u64(seed), failures: 0 }
     }
 
-    /// Calls that failed since the last one that was answered.
+    /// Returns the number of failures since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// A call was answered with a list that makes sense.
-    pub fn answered(&mut self) {
+    /// Records a call that returned a valid list.
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
-    /// A call failed, was refused or was given up.
-    pub fn failed(&mut self) {
+    /// Records a call that failed, was rejected or timed out.
+    pub fn record_failure(&mut self) {
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// The next call of a watch: after a failure it asks at once for what was missed.
-    pub fn watch(&mut self) -> Call {
+    /// Returns the next call of a watch. After a failure it asks for missed changes without waiting.
+    pub fn next_watch(&mut self) -> Call {
         if self.failures > 0 {
-            return self.fetch();
+            return self.next_fetch();
         }
-        let wait = self.pace.wait.mul_f64(1.0 - WAIT_SPREAD * self.rng.random::<f64>());
-        Call { pause: Duration::ZERO, wait, deadline: wait + self.pace.answer_within }
+        let wait = self.timing.wait.mul_f64(1.0 - WAIT_JITTER_FRACTION * self.rng.random::<f64>());
+        Call { delay: Duration::ZERO, wait, timeout: wait + self.timing.response_timeout }
     }
 
-    /// The next call that is to be answered at once.
-    pub fn fetch(&mut self) -> Call {
-        let spread = 1.0 + PAUSE_SPREAD * (2.0 * self.rng.random::<f64>() - 1.0);
-        let pause = if self.failures > 0 { pause(self.failures).mul_f64(spread) } else { Duration::ZERO };
-        let deadline = match self.failures {
-            1 => self.pace.catch_up_within,
-            _ => self.pace.crowded_within,
+    /// Returns the next call that is answered without waiting.
+    pub fn next_fetch(&mut self) -> Call {
+        let jitter = 1.0 + RETRY_DELAY_JITTER_FRACTION * (2.0 * self.rng.random::<f64>() - 1.0);
+        let delay =
+            if self.failures > 0 { base_retry_delay(self.failures).mul_f64(jitter) } else { Duration::ZERO };
+        let timeout = match self.failures {
+            1 => self.timing.catch_up_timeout,
+            _ => self.timing.overload_timeout,
         };
-        Call { pause, wait: Duration::ZERO, deadline }
+        Call { delay, wait: Duration::ZERO, timeout }
     }
 }
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -1,28 +1,28 @@
-//! Which headers go on: all but those of the connection itself (RFC 9110, 7.6.1).
+//! Removes connection-specific headers from forwarded requests and responses (RFC 9110, section 7.6.1).
 
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HOST, HeaderMap, HeaderName};
 use hyper::header::{TE, TRAILER, TRANSFER_ENCODING, UPGRADE};
 
-/// The headers of a request that go on to backends.
-pub fn onward(mut headers: HeaderMap) -> HeaderMap {
-    of_the_connection(&mut headers);
+/// Returns the headers of a request that are forwarded to a backend.
+pub fn forward_request_headers(mut headers: HeaderMap) -> HeaderMap {
+    remove_connection_headers(&mut headers);
     headers.remove(CONTENT_LENGTH);
     headers.remove("expect");
     headers
 }
 
-/// The headers of an answer that go on to the client. Its length is said anew, but where there is
-/// no body to take it from, as in an answer to HEAD.
-pub fn end_to_end(mut headers: HeaderMap, head_only: bool) -> HeaderMap {
-    of_the_connection(&mut headers);
+/// Returns the headers of a response that are forwarded to a client. The length is removed because the HTTP
+/// library sets it from the body, except for a response without a body, such as one to HEAD (`head_only`).
+pub fn forward_response_headers(mut headers: HeaderMap, head_only: bool) -> HeaderMap {
+    remove_connection_headers(&mut headers);
     if !head_only {
         headers.remove(CONTENT_LENGTH);
     }
     headers
 }
 
-fn of_the_connection(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+fn remove_connection_headers(headers: &mut HeaderMap) {
+    let connection_options: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .into_iter()
         .filter_map(|v| v.to_str().ok())
@@ -30,8 +30,8 @@
         .filter_map(|name| name.trim().parse().ok())
         .filter(|name| *name != HOST)
         .collect();
-    let own = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
-    for name in named.iter().chain(&own) {
+    let hop_by_hop = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
+    for name in connection_options.iter().chain(&hop_by_hop) {
         headers.remove(name);
     }
     for name in ["keep-alive", "proxy-connection"] {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,5 +1,7 @@
-//! The HTTP front and its backends: clients' requests in, attempts out, on the platform's protocol with its
-//! discovery and on plain HTTP. The engine between them knows nothing of HTTP.
+//! The HTTP front end and its backend protocol.
+//!
+//! Reads client requests and makes attempts at backends, either with the protocol of the platform and its
+//! discovery service or with plain HTTP. The engine in between is independent of HTTP.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/http/src/limits.rs
+++ b/crates/http/src/limits.rs
@@ -1,56 +1,60 @@
-//! What the process may use at once, from the limits it is told: connections and memory.
+//! Limits on connections and memory, derived from the resources of the process.
 
-use crate::socket::MOST_AHEAD;
+use crate::socket::MAX_READ_AHEAD_BYTES;
 pub use gannetproxy::engine::{Budget, Permit};
 
-/// Largest body, of a request or an answer.
-pub const MOST_BODY: usize = 64 << 10;
-/// Largest head of a request or an answer.
-pub const MOST_HEAD: usize = 16 << 10;
-/// Descriptors kept for what is neither a client nor a backend.
-const OWN_DESCRIPTORS: usize = 24;
-/// More descriptors than that are not planned with.
-const MOST_DESCRIPTORS: usize = 16 << 10;
-/// Part of the memory that clients' heads, their bodies, and backends' answers may each take.
-const PART: usize = 4;
+/// Longest request or response body in bytes that is buffered whole.
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
+/// Longest head of a request or a response in bytes.
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Descriptors reserved for everything except client and backend connections.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// Largest number of descriptors that is used, whatever the limit of the process.
+const MAX_DESCRIPTORS: usize = 16 << 10;
+/// Client heads, request bodies and backend responses may each use one part in this many of the memory.
+const MEMORY_DIVISOR: usize = 4;
 
-/// The bounds that connections and bodies are held to.
+/// Limits on connections and on the memory for bodies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Caps {
-    /// Connections from clients.
-    pub clients: usize,
-    /// Connections to backends.
-    pub backends: usize,
-    /// Bytes of requests' bodies held at once.
-    pub bodies: usize,
-    /// Bytes held at once of bodies that are passed on.
-    pub streams: usize,
+pub struct ResourceLimits {
+    /// Largest number of client connections.
+    pub client_connections: usize,
+    /// Largest number of backend connections.
+    pub backend_connections: usize,
+    /// Largest total size in bytes of buffered request bodies.
+    pub buffered_body_bytes: usize,
+    /// Largest total size in bytes of streamed bodies.
+    pub streamed_body_bytes: usize,
 }
 
-impl Caps {
-    /// These, or half of them while another process shares the limits.
-    pub fn shared(self, beside: bool) -> Self {
-        let part = |cap: usize| if beside { (cap / 2).max(1) } else { cap };
-        let Self { clients, backends, bodies, streams } = self;
-        let room = |cap: usize| part(cap).max(MOST_BODY);
+impl ResourceLimits {
+    /// Returns these limits, halved if another process shares the resources.
+    pub fn for_processes(self, is_shared: bool) -> Self {
+        let share = |cap: usize| if is_shared { (cap / 2).max(1) } else { cap };
+        let Self { client_connections, backend_connections, buffered_body_bytes, streamed_body_bytes } = self;
+        let byte_share = |cap: usize| share(cap).max(MAX_BUFFERED_BODY_BYTES);
         Self {
-            clients: part(clients),
-            backends: part(backends),
-            bodies: room(bodies),
-            streams: room(streams),
+            client_connections: share(client_connections),
+            backend_connections: share(backend_connections),
+            buffered_body_bytes: byte_share(buffered_body_bytes),
+            streamed_body_bytes: byte_share(streamed_body_bytes),
         }
     }
 
-    /// The caps of a process with so many descriptors and bytes of memory. Clients get the larger
-    /// part of the descriptors, as connections that ask for nothing are among theirs.
+    /// Derives the limits from a number of descriptors and of bytes of memory. Clients get the larger share
+    /// of the descriptors, because idle connections are among theirs.
     pub fn new(descriptors: usize, memory: usize) -> Self {
-        let descriptors = descriptors.min(MOST_DESCRIPTORS).saturating_sub(OWN_DESCRIPTORS);
-        let part = memory / PART;
+        let descriptors = descriptors.min(MAX_DESCRIPTORS).saturating_sub(RESERVED_DESCRIPTORS);
+        let memory_share = memory / MEMORY_DIVISOR;
         Self {
-            clients: (descriptors * 3 / 5).min(part / (MOST_HEAD + MOST_AHEAD)).max(1),
-            backends: (descriptors * 2 / 5).min(part / (MOST_HEAD + MOST_BODY)).max(1),
-            bodies: (part / 2).max(MOST_BODY),
-            streams: (part * 3 / 4).max(MOST_BODY),
+            client_connections: (descriptors * 3 / 5)
+                .min(memory_share / (MAX_HEAD_BYTES + MAX_READ_AHEAD_BYTES))
+                .max(1),
+            backend_connections: (descriptors * 2 / 5)
+                .min(memory_share / (MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES))
+                .max(1),
+            buffered_body_bytes: (memory_share / 2).max(MAX_BUFFERED_BODY_BYTES),
+            streamed_body_bytes: (memory_share * 3 / 4).max(MAX_BUFFERED_BODY_BYTES),
         }
     }
 }
--- a/crates/http/src/listing.rs
+++ b/crates/http/src/listing.rs
@@ -1,4 +1,4 @@
-//! Lists of backends as discovery writes them, and their names in the module's terms.
+//! Parses backend lists of the discovery service and assigns numeric IDs to backends and zones.
 
 use gannetproxy::engine::{Clock, ListedBackend};
 use gannetproxy::{BackendId, Entry, Status};
@@ -6,18 +6,18 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// A list as discovery writes it.
+/// A backend list as the discovery service sends it.
 #[derive(Debug, Default, Deserialize)]
 pub struct RawList {
-    /// Its version.
+    /// The version of the list.
     pub generation: u64,
-    /// It is whole.
+    /// Whether the list is complete rather than a set of changes.
     pub reset: bool,
-    /// Its entries.
+    /// The entries.
     pub instances: Vec<RawEntry>,
 }
 
-/// An entry of it.
+/// An entry of a backend list.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct RawEntry {
@@ -41,69 +41,72 @@
     Deleted,
 }
 
-/// The number of a zone, added if it is new.
+/// Returns the index of a zone, adding the zone if it is new.
 pub fn zone_index(zones: &mut Vec<String>, name: &str) -> u32 {
-    let known = zones.iter().position(|z| z == name);
-    known.unwrap_or_else(|| {
+    let index = zones.iter().position(|zone| zone == name);
+    index.unwrap_or_else(|| {
         zones.push(name.to_string());
         zones.len() - 1
     }) as u32
 }
 
-/// Names of discovery in the module's terms.
+/// Maps the names of backends and zones to numeric IDs.
 #[derive(Debug)]
-pub struct Names {
+pub struct BackendIds {
     zones: Vec<String>,
     ids: HashMap<String, BackendId>,
-    taken: HashSet<BackendId>,
+    assigned: HashSet<BackendId>,
 }
 
-impl Names {
-    /// Names with these zones, in their order.
+impl BackendIds {
+    /// Creates the mapping with known zones in the order of their indexes.
     pub fn new(zones: Vec<String>) -> Self {
-        Self { zones, ids: HashMap::new(), taken: HashSet::new() }
+        Self { zones, ids: HashMap::new(), assigned: HashSet::new() }
     }
 
-    /// A number for a backend's name, the same at every proxy: they share out the backends by it.
-    pub fn id(&mut self, name: &str) -> BackendId {
+    /// Returns the ID for the name of a backend. It depends on the name, so that all proxies agree on it when
+    /// they choose their subsets.
+    pub fn id_for(&mut self, name: &str) -> BackendId {
         if let Some(&id) = self.ids.get(name) {
             return id;
         }
-        let hash = name.bytes().fold(0x811c_9dc5_u32, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
+        let hash = name
+            .bytes()
+            .fold(0x811c_9dc5_u32, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193));
         let mut id = BackendId(hash);
-        while self.taken.contains(&id) {
+        while self.assigned.contains(&id) {
             id = BackendId(id.0.wrapping_add(1));
         }
-        self.taken.insert(id);
+        self.assigned.insert(id);
         self.ids.insert(name.to_string(), id);
         id
     }
 
-    /// Forgets the names of backends that are not known any more; one that comes back gets the
-    /// number that it had, by its name.
-    pub fn forget(&mut self, known: impl Fn(BackendId) -> bool) {
-        self.ids.retain(|_, id| known(*id));
-        self.taken.retain(|id| known(*id));
+    /// Removes the names of backends for which `is_known` returns false. A backend that returns gets the same
+    /// ID, derived from its name.
+    pub fn retain(&mut self, is_known: impl Fn(BackendId) -> bool) {
+        self.ids.retain(|_, id| is_known(*id));
+        self.assigned.retain(|id| is_known(*id));
     }
 
-    /// A list in the module's terms.
-    pub fn list(&mut self, raw: Vec<RawEntry>, clock: &Clock) -> Vec<ListedBackend> {
-        let listed = |raw: RawEntry| ListedBackend {
+    /// Converts entries to the types of the decision module.
+    pub fn convert_list(&mut self, entries: Vec<RawEntry>, clock: &Clock) -> Vec<ListedBackend> {
+        let convert = |entry: RawEntry| ListedBackend {
             entry: Entry {
-                id: self.id(&raw.instance_id),
-                cell: raw.cell,
-                zone: zone_index(&mut self.zones, &raw.zone),
-                weight: raw.weight.filter(|w| w.is_finite() && *w >= 0.0).unwrap_or(1.0),
-                status: match raw.lifecycle {
+                id: self.id_for(&entry.instance_id),
+                cell: entry.cell,
+                zone: zone_index(&mut self.zones, &entry.zone),
+                weight: entry.weight.filter(|w| w.is_finite() && *w >= 0.0).unwrap_or(1.0),
+                status: match entry.lifecycle {
                     Lifecycle::Serving => Status::InService,
                     Lifecycle::Draining => Status::Draining,
                     Lifecycle::Deleted => Status::Gone,
                 },
-                started: (raw.started_at_ms > 0.0).then(|| clock.from_unix(raw.started_at_ms / 1000.0)),
+                started: (entry.started_at_ms > 0.0).then(|| clock.from_unix(entry.started_at_ms / 1000.0)),
                 usual: None,
             },
-            address: raw.host_port,
+            address: entry.host_port,
         };
-        raw.into_iter().map(listed).collect()
+        entries.into_iter().map(convert).collect()
     }
 }
--- a/crates/http/src/payload.rs
+++ b/crates/http/src/payload.rs
@@ -1,8 +1,8 @@
-//! A request as it goes on to backends.
+//! A client request in the form in which it is forwarded to backends.
 
-use crate::body::{Begun, Outgoing, Progress};
+use crate::body::{PartialBody, RequestBody, UploadProgress};
 use bytes::Bytes;
-use dewpier_reuse::Stake;
+use dewpier_reuse::LossCost;
 use gannetproxy::Time;
 use http_body_util::Full;
 use hyper::body::Body;
@@ -11,51 +11,57 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-/// The body of a request.
+/// The body of a forwarded request.
 #[derive(Debug)]
-pub enum Carried {
-    /// All of it is here, and may be sent again.
-    Whole(Bytes),
-    /// It is passed on, once. The client waits so long for the answer from its last byte on.
-    Passed(RefCell<Option<Begun>>, Duration),
+pub enum PayloadBody {
+    /// The whole body, which may be sent repeatedly.
+    Buffered(Bytes),
+    /// A body that is streamed and can be sent only once, and how long the client waits for the response
+    /// after its last byte.
+    Streamed(RefCell<Option<PartialBody>>, Duration),
 }
 
-/// A request as it goes on to backends.
+/// A request to forward to a backend.
 #[derive(Debug)]
 pub struct Payload {
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query.
     pub uri: Uri,
-    /// The headers that go on.
+    /// The forwarded headers.
     pub headers: HeaderMap,
-    /// Its body.
-    pub body: Carried,
-    /// What a connection loses that swallows it.
-    pub stake: Stake,
-    /// A kept connection has lost an attempt of it. Those that other backends keep may be as old and lose the next one
-    /// as well, and where no backend is left then it can't be served: it goes on new ones from here on.
-    pub lost: Cell<bool>,
+    /// The body.
+    pub body: PayloadBody,
+    /// The cost of losing the request on a stale connection.
+    pub loss_cost: LossCost,
+    /// Set once a reused connection has lost an attempt of this request. Further attempts use new
+    /// connections: the idle connections of other backends may be as stale, and each loss uses up a backend.
+    pub lost_on_reused: Cell<bool>,
 }
 
 impl Payload {
-    /// How far its body has come, where it is passed on and has not been before, and how long it may then take.
-    pub fn passes(&self) -> Option<Option<(Progress, Duration)>> {
+    /// Returns the progress and response timeout of a streamed body: `None` for a buffered body, and
+    /// `Some(None)` if another attempt has already taken the body.
+    pub fn stream_progress(&self) -> Option<Option<(UploadProgress, Duration)>> {
         match &self.body {
-            Carried::Whole(_) => None,
-            Carried::Passed(begun, patience) => {
-                Some(begun.borrow().as_ref().map(|_| (Progress::default(), *patience)))
+            PayloadBody::Buffered(_) => None,
+            PayloadBody::Streamed(partial, response_timeout) => {
+                Some(partial.borrow().as_ref().map(|_| (UploadProgress::default(), *response_timeout)))
             }
         }
     }
 
-    /// The request for an attempt that is given up after `wait` seconds. What is passed on goes with it, and there is
-    /// none where that has gone with another one.
-    pub fn request(&self, wait: Time, progress: Option<&Progress>) -> Option<hyper::Request<Outgoing>> {
+    /// Builds the HTTP request of an attempt that ends after `remaining_time` seconds. A streamed body moves
+    /// into the request; returns `None` if another attempt has taken it.
+    pub fn build_request(
+        &self,
+        remaining_time: Time,
+        progress: Option<&UploadProgress>,
+    ) -> Option<hyper::Request<RequestBody>> {
         let body = match &self.body {
-            Carried::Whole(body) => Outgoing::Whole(Full::new(body.clone())),
-            Carried::Passed(begun, _) => {
-                Outgoing::Passed(begun.take()?, progress.cloned().unwrap_or_default())
+            PayloadBody::Buffered(body) => RequestBody::Buffered(Full::new(body.clone())),
+            PayloadBody::Streamed(partial, _) => {
+                RequestBody::Streamed(partial.take()?, progress.cloned().unwrap_or_default())
             }
         };
         let mut request = hyper::Request::new(body);
@@ -63,11 +69,11 @@
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
         if request.body().size_hint().exact().is_none() {
-            // Said outright, as hyper takes a GET of unknown length for one without a body.
+            // Set explicitly, because hyper takes a GET of unknown length for one without a body.
             request.headers_mut().insert(TRANSFER_ENCODING, HeaderValue::from_static("chunked"));
         }
-        let wait = HeaderValue::from((wait.max(0.0) * 1000.0) as u64);
-        request.headers_mut().insert("x-remaining-ms", wait);
+        let remaining_ms = HeaderValue::from((remaining_time.max(0.0) * 1000.0) as u64);
+        request.headers_mut().insert("x-remaining-ms", remaining_ms);
         Some(request)
     }
 }
--- a/crates/http/src/peer.rs
+++ b/crates/http/src/peer.rs
@@ -1,7 +1,7 @@
-//! One connection to a backend or to discovery, and one exchange on it.
+//! A connection to a backend or to the discovery service, and one request and response on it.
 
-use crate::body::{Outgoing, Progress};
-use crate::limits::{MOST_BODY, MOST_HEAD};
+use crate::body::{RequestBody, UploadProgress};
+use crate::limits::{MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES};
 use bytes::{Bytes, BytesMut};
 use dewpier_operate::figures::Attempts;
 use gannetproxy::Outcome;
@@ -24,106 +24,107 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep};
 
-/// An answer that has begun and then stands still for so long is given up as spoilt.
-const STALLED: Duration = Duration::from_millis(500);
-/// How often that is looked at.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time without new bytes after which a response that has started counts as broken.
+const STALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval at which stalls and response timeouts are checked.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// When something was last heard of an answer that has begun.
+/// When a byte of the current response was last received.
 #[derive(Clone, Default)]
-struct Heard(Arc<Mutex<Option<Instant>>>);
+struct LastReceived(Arc<Mutex<Option<Instant>>>);
 
-impl Heard {
+impl LastReceived {
     fn set(&self, at: Option<Instant>) {
-        if let Ok(mut heard) = self.0.lock() {
-            *heard = at;
+        if let Ok(mut last_received) = self.0.lock() {
+            *last_received = at;
         }
     }
 
     fn is_set(&self) -> bool {
-        self.0.lock().is_ok_and(|heard| heard.is_some())
+        self.0.lock().is_ok_and(|last_received| last_received.is_some())
     }
 
-    /// Returns once an answer stands still.
-    async fn stalled(&self) {
-        let stands = || self.0.lock().is_ok_and(|h| h.is_some_and(|at| at.elapsed() >= STALLED));
-        while !stands() {
-            tokio::time::sleep(LOOK).await;
+    /// Returns once the response has stalled.
+    async fn wait_until_stalled(&self) {
+        let is_stalled = || self.0.lock().is_ok_and(|h| h.is_some_and(|at| at.elapsed() >= STALL_TIMEOUT));
+        while !is_stalled() {
+            tokio::time::sleep(STALL_CHECK_INTERVAL).await;
         }
     }
 }
 
-/// The last byte of a request is held back for so long. A backend begins a request when its last
-/// byte has come, so what breaks before that has never run and may go elsewhere: guards against
-/// connections that the other side has given up without a word, or resets as it accepts them.
-pub const HELD: Duration = Duration::from_millis(1);
+/// How long the last byte of a request is held back.
+///
+/// A backend starts a request when its last byte arrives. A connection that breaks earlier, because the
+/// backend closed or reset it, has not run the request, so that another connection may be used.
+pub const LAST_BYTE_DELAY: Duration = Duration::from_millis(1);
 
-/// What is known of a request's way out.
+/// The transmission state of the current request.
 #[derive(Default)]
-struct Way {
-    /// All that was to be written has gone out.
-    whole: AtomicBool,
-    /// Where to count that, if it is to be counted.
-    counts: Mutex<Option<Attempts>>,
-    /// How far its body has come, where that is passed on.
-    progress: Mutex<Option<Progress>>,
-    /// Nothing may come before all of it has gone out: what does is left over from an exchange before.
-    first_word: AtomicBool,
+struct RequestTransmission {
+    /// All bytes have been sent.
+    sent: AtomicBool,
+    /// Counts the attempt once it has been sent, if set.
+    attempt_counter: Mutex<Option<Attempts>>,
+    /// The progress of the request body, if it is streamed.
+    upload: Mutex<Option<UploadProgress>>,
+    /// Bytes received before the request is sent are an error, as they belong to an earlier request.
+    reject_early_data: AtomicBool,
 }
 
-impl Way {
-    fn begin(&self, counts: Option<Attempts>, progress: Option<Progress>, kept: bool) {
-        self.first_word.store(kept && progress.is_none(), Ordering::Relaxed);
-        if let Ok(mut followed) = self.progress.lock() {
-            *followed = progress;
+impl RequestTransmission {
+    fn begin(&self, attempt_counter: Option<Attempts>, progress: Option<UploadProgress>, reused: bool) {
+        self.reject_early_data.store(reused && progress.is_none(), Ordering::Relaxed);
+        if let Ok(mut upload) = self.upload.lock() {
+            *upload = progress;
         }
-        self.whole.store(false, Ordering::Relaxed);
-        if let Ok(mut counted) = self.counts.lock() {
-            *counted = counts;
+        self.sent.store(false, Ordering::Relaxed);
+        if let Ok(mut counter) = self.attempt_counter.lock() {
+            *counter = attempt_counter;
         }
     }
 
-    /// Something that has come by now spoils the connection.
-    fn has_first_word(&self) -> bool {
-        self.first_word.load(Ordering::Relaxed) && !self.whole.load(Ordering::Relaxed)
+    /// Returns whether received bytes invalidate the connection at this point.
+    fn rejects_early_data(&self) -> bool {
+        self.reject_early_data.load(Ordering::Relaxed) && !self.sent.load(Ordering::Relaxed)
     }
 
-    /// More of its body is to come.
-    fn goes_on(&self) -> bool {
-        self.progress.lock().is_ok_and(|p| p.as_ref().is_some_and(|p| p.ended().is_none()))
+    /// Returns whether more of the request body is to come.
+    fn is_upload_in_progress(&self) -> bool {
+        self.upload.lock().is_ok_and(|p| p.as_ref().is_some_and(|p| p.completed_at().is_none()))
     }
 
-    fn end(&self) {
-        self.whole.store(true, Ordering::Relaxed);
-        // Taken, as one request may be flushed more than once.
-        if let Some(attempts) = self.counts.lock().ok().and_then(|mut counts| counts.take()) {
+    fn mark_sent(&self) {
+        self.sent.store(true, Ordering::Relaxed);
+        // Taken, because a request may be flushed repeatedly.
+        if let Some(attempts) = self.attempt_counter.lock().ok().and_then(|mut counter| counter.take()) {
             attempts.count();
         }
     }
 }
 
-/// A socket that notes when something came, and holds the last byte back.
-struct Line {
+/// A socket that records when bytes were received and holds back the last byte of a request.
+struct DelayedStream {
     stream: TcpStream,
-    heard: Heard,
-    way: Arc<Way>,
-    held: Option<u8>,
-    /// Until when it is held.
-    wait: Pin<Box<Sleep>>,
+    last_received: LastReceived,
+    transmission: Arc<RequestTransmission>,
+    held_byte: Option<u8>,
+    /// Fires when the held byte may be sent.
+    hold_timer: Pin<Box<Sleep>>,
 }
 
-impl Line {
-    /// Writes the byte that is held, if one is.
-    fn poll_held(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if let Some(byte) = self.held {
+impl DelayedStream {
+    /// Writes the held byte, if any.
+    fn poll_held_byte(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        if let Some(byte) = self.held_byte {
             ready!(Pin::new(&mut self.stream).poll_write(cx, &[byte]))?;
-            self.held = None;
+            self.held_byte = None;
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncRead for Line {
+impl AsyncRead for DelayedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -132,16 +133,16 @@
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
         if buffer.filled().len() > before {
-            self.heard.set(Some(Instant::now()));
+            self.last_received.set(Some(Instant::now()));
         }
         read
     }
 }
 
-impl AsyncWrite for Line {
+impl AsyncWrite for DelayedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
-        // What is held is not the last byte after all.
-        ready!(self.poll_held(cx))?;
+        // More data follows, so that the held byte is not the last one.
+        ready!(self.poll_held_byte(cx))?;
         let Some((last, rest)) = data.split_last() else {
             return Poll::Ready(Ok(0));
         };
@@ -151,21 +152,23 @@
                 return Poll::Ready(Ok(written));
             }
         }
-        self.held = Some(*last);
-        self.wait.as_mut().reset(Instant::now() + HELD);
+        self.held_byte = Some(*last);
+        self.hold_timer.as_mut().reset(Instant::now() + LAST_BYTE_DELAY);
         Poll::Ready(Ok(data.len()))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.held.is_some() && self.way.goes_on() {
-            ready!(self.poll_held(cx))?;
-        } else if self.held.is_some() {
-            ready!(self.wait.as_mut().poll(cx));
-            if self.way.has_first_word() && self.heard.is_set() {
-                return Poll::Ready(Err(io::Error::other("something came before it was asked for")));
+        if self.held_byte.is_some() && self.transmission.is_upload_in_progress() {
+            ready!(self.poll_held_byte(cx))?;
+        } else if self.held_byte.is_some() {
+            ready!(self.hold_timer.as_mut().poll(cx));
+            if self.transmission.rejects_early_data() && self.last_received.is_set() {
+                return Poll::Ready(Err(io::Error::other(
+                    "the backend sent data before the request was complete",
+                )));
             }
-            ready!(self.poll_held(cx))?;
-            self.way.end();
+            ready!(self.poll_held_byte(cx))?;
+            self.transmission.mark_sent();
         }
         Pin::new(&mut self.stream).poll_flush(cx)
     }
@@ -175,164 +178,184 @@
     }
 }
 
-/// A connection and what drives it. Nothing is read or written but while its owner waits on it,
-/// so that dropping it ends both at once.
-pub struct Peer {
-    sender: http1::SendRequest<Outgoing>,
-    io: Io,
-    heard: Heard,
-    way: Arc<Way>,
+/// An HTTP/1 connection and the task that drives it. I/O happens only while the owner waits on the
+/// connection, so that dropping it ends both.
+pub struct Connection {
+    sender: http1::SendRequest<RequestBody>,
+    driver: ConnectionDriver,
+    last_received: LastReceived,
+    transmission: Arc<RequestTransmission>,
 }
 
-struct Io {
-    connection: Pin<Box<http1::Connection<TokioIo<Line>, Outgoing>>>,
+struct ConnectionDriver {
+    connection: Pin<Box<http1::Connection<TokioIo<DelayedStream>, RequestBody>>>,
     ended: bool,
 }
 
-/// What hyper says of a request that got no answer.
-pub type Sent = hyper::client::conn::TrySendError<Request<Outgoing>>;
+/// The error of hyper for a request that got no response.
+pub type SendError = hyper::client::conn::TrySendError<Request<RequestBody>>;
 
-/// Why there is no answer.
+/// Why a request got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spoilt {
-    /// Its last byte has not gone out.
+pub enum ExchangeError {
+    /// The last byte was not sent.
     Unsent,
-    /// All of it has gone out, and the connection broke, ended, stood still or brought no answer.
-    Sent,
-    /// All of it has gone out, and it has no more time.
-    Late,
+    /// The request was sent, and the connection failed, closed or stalled, or the response was invalid.
+    NoReply,
+    /// The request was sent, and no response arrived in time.
+    ReplyTimeout,
 }
 
-impl Spoilt {
-    /// What proves that a request never ran, and what does not: a backend begins it when its last byte has come.
-    /// Until that byte goes out nothing can have run, whatever was written before; from then on nothing that a
-    /// connection does proves anything, neither a reset nor an end without a word.
+impl ExchangeError {
+    /// Returns the outcome of the attempt. Until the last byte of a request is sent it can't have run.
+    /// Afterwards it may have run, whatever happens to the connection.
     pub fn outcome(self) -> Outcome {
         match self {
             Self::Unsent => Outcome::NoConnection,
-            Self::Sent => Outcome::Reset,
-            Self::Late => Outcome::Timeout,
+            Self::NoReply => Outcome::Reset,
+            Self::ReplyTimeout => Outcome::Timeout,
         }
     }
 }
 
-/// An answer, or how it begins.
-pub enum Came {
-    /// All of it.
-    Whole(Parts, Bytes),
-    /// More than is held: so much has come, and the rest is to be read from the connection.
-    Begun(Parts, Bytes, Incoming),
+/// A response to a request.
+pub enum BackendReply {
+    /// The whole response.
+    Buffered(Parts, Bytes),
+    /// The head, the bytes received so far, and the rest of a body that is too long to buffer.
+    Streamed(Parts, Bytes, Incoming),
 }
 
-/// Returns once a body that is passed on has ended for longer than its client waits.
-async fn late(passes: Option<(Progress, Duration)>) {
-    let Some((progress, patience)) = passes else { return std::future::pending().await };
-    while progress.ended().is_none_or(|at| at.elapsed() < patience) {
-        tokio::time::sleep(LOOK).await;
+/// Returns once the response timeout has passed since the end of a streamed request body. Never returns for
+/// other requests.
+async fn wait_for_reply_timeout(upload: Option<(UploadProgress, Duration)>) {
+    let Some((progress, response_timeout)) = upload else { return std::future::pending().await };
+    while progress.completed_at().is_none_or(|at| at.elapsed() < response_timeout) {
+        tokio::time::sleep(STALL_CHECK_INTERVAL).await;
     }
 }
 
-/// Connects.
-pub async fn connect(address: SocketAddr, within: Duration) -> io::Result<Peer> {
+/// Connects to `address`.
+pub async fn connect(address: SocketAddr, within: Duration) -> io::Result<Connection> {
     let stream = tokio::time::timeout(within, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
-    let heard = Heard::default();
-    let way = Arc::new(Way::default());
-    let wait = Box::pin(tokio::time::sleep(Duration::ZERO));
-    let line = Line { stream, heard: heard.clone(), way: way.clone(), held: None, wait };
-    // A head without end must not grow without bound.
-    let builder = http1::Builder::new().max_buf_size(MOST_HEAD).handshake(TokioIo::new(line));
-    let (sender, io) = builder.await.map_err(io::Error::other)?;
-    Ok(Peer { sender, io: Io { connection: Box::pin(io), ended: false }, heard, way })
+    let last_received = LastReceived::default();
+    let transmission = Arc::new(RequestTransmission::default());
+    let hold_timer = Box::pin(tokio::time::sleep(Duration::ZERO));
+    let stream = DelayedStream {
+        stream,
+        last_received: last_received.clone(),
+        transmission: transmission.clone(),
+        held_byte: None,
+        hold_timer,
+    };
+    // Bounds the size of a response head.
+    let builder = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(stream));
+    let (sender, connection) = builder.await.map_err(io::Error::other)?;
+    Ok(Connection {
+        sender,
+        driver: ConnectionDriver { connection: Box::pin(connection), ended: false },
+        last_received,
+        transmission,
+    })
 }
 
-impl Peer {
-    /// Waits for `wanted` while the connection works. None if it ends without it.
+impl Connection {
+    /// Waits for `wanted` while driving the connection. Returns `None` if the connection ends first.
     pub async fn drive<F: Future>(&mut self, wanted: F) -> Option<F::Output> {
-        self.io.drive(wanted).await
+        self.driver.drive(wanted).await
     }
 
-    /// Sends a request and waits for the head of the answer.
-    pub async fn send(&mut self, request: Request<Outgoing>) -> Option<Result<Response<Incoming>, Sent>> {
-        self.io.drive(self.sender.try_send_request(request)).await
+    /// Sends a request and waits for the head of the response.
+    pub async fn send(
+        &mut self,
+        request: Request<RequestBody>,
+    ) -> Option<Result<Response<Incoming>, SendError>> {
+        self.driver.drive(self.sender.try_send_request(request)).await
     }
 
-    /// Sends a request and waits for the answer, which must come whole, or be too long for that, and be nothing
-    /// else: one that stands still half way before that, or might be read in two ways, is none. On a connection
-    /// that was `kept` from an exchange before, what comes before the request has gone out whole belongs to that one.
-    /// That it has gone out whole is counted, where it is to be.
+    /// Sends a request and waits for the response: its whole body, or its start if the body is too long to
+    /// buffer.
+    ///
+    /// A response that stalls or has ambiguous framing is an error. On a connection that was `reused`, bytes
+    /// received before the request was sent belong to an earlier request and are an error too.
+    /// `attempt_counter` counts the request once it is sent.
     pub async fn exchange(
         &mut self,
-        mut request: Request<Outgoing>,
-        counts: Option<Attempts>,
-        passes: Option<(Progress, Duration)>,
-        kept: bool,
-    ) -> Result<Came, Spoilt> {
-        let heard = self.heard.clone();
-        heard.set(None);
-        let way = self.way.clone();
-        way.begin(counts, passes.as_ref().map(|(progress, _)| progress.clone()), kept);
-        let begun_anew = heard.clone();
-        // 1xx answers come ahead of the one that counts, perhaps long ahead.
-        hyper::ext::on_informational(&mut request, move |_| begun_anew.set(None));
+        mut request: Request<RequestBody>,
+        attempt_counter: Option<Attempts>,
+        upload: Option<(UploadProgress, Duration)>,
+        reused: bool,
+    ) -> Result<BackendReply, ExchangeError> {
+        let last_received = self.last_received.clone();
+        last_received.set(None);
+        let transmission = self.transmission.clone();
+        transmission.begin(attempt_counter, upload.as_ref().map(|(progress, _)| progress.clone()), reused);
+        let reset_on_informational = last_received.clone();
+        // Informational responses may arrive long before the final one.
+        hyper::ext::on_informational(&mut request, move |_| reset_on_informational.set(None));
         let answered = async {
             let answer = match self.send(request).await {
-                Some(Ok(_)) if way.has_first_word() => return Err(Spoilt::Unsent),
+                Some(Ok(_)) if transmission.rejects_early_data() => return Err(ExchangeError::Unsent),
                 Some(Ok(answer)) => answer,
-                // The connection had ended before all of it was written.
-                _ if !way.whole.load(Ordering::Relaxed) => return Err(Spoilt::Unsent),
-                _ => return Err(Spoilt::Sent),
+                // The connection ended before the request was sent.
+                _ if !transmission.sent.load(Ordering::Relaxed) => return Err(ExchangeError::Unsent),
+                _ => return Err(ExchangeError::NoReply),
             };
             let (head, mut body) = answer.into_parts();
-            let double = [TRANSFER_ENCODING, CONTENT_LENGTH].iter().all(|n| head.headers.contains_key(n));
-            if double || head.status.is_informational() {
-                return Err(Spoilt::Sent);
+            let has_ambiguous_length =
+                [TRANSFER_ENCODING, CONTENT_LENGTH].iter().all(|n| head.headers.contains_key(n));
+            if has_ambiguous_length || head.status.is_informational() {
+                return Err(ExchangeError::NoReply);
             }
-            let mut first = BytesMut::with_capacity(body.size_hint().lower().min(MOST_BODY as u64) as usize);
+            let mut received = BytesMut::with_capacity(
+                body.size_hint().lower().min(MAX_BUFFERED_BODY_BYTES as u64) as usize,
+            );
             loop {
                 match self.drive(body.frame()).await {
-                    Some(Some(Ok(frame))) => first.extend_from_slice(&frame.into_data().unwrap_or_default()),
-                    Some(None) => return Ok(Came::Whole(head, first.freeze())),
-                    _ => return Err(Spoilt::Sent),
+                    Some(Some(Ok(frame))) => {
+                        received.extend_from_slice(&frame.into_data().unwrap_or_default())
+                    }
+                    Some(None) => return Ok(BackendReply::Buffered(head, received.freeze())),
+                    _ => return Err(ExchangeError::NoReply),
                 }
-                if first.len() > MOST_BODY {
-                    return Ok(Came::Begun(head, first.freeze(), body));
+                if received.len() > MAX_BUFFERED_BODY_BYTES {
+                    return Ok(BackendReply::Streamed(head, received.freeze(), body));
                 }
             }
         };
         tokio::select! {
             answered = answered => answered,
-            () = heard.stalled() => Err(Spoilt::Sent),
-            () = late(passes) => Err(Spoilt::Late),
+            () = last_received.wait_until_stalled() => Err(ExchangeError::NoReply),
+            () = wait_for_reply_timeout(upload) => Err(ExchangeError::ReplyTimeout),
         }
     }
 
-    /// The next piece of an answer that goes on: none at its end, an error where it breaks.
-    pub async fn piece(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, Spoilt> {
+    /// Reads the next chunk of a streamed response. Returns `None` at the end of the body.
+    pub async fn read_chunk(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, ExchangeError> {
         match self.drive(body.frame()).await {
             Some(Some(Ok(frame))) => Ok(Some(frame.into_data().unwrap_or_default())),
             Some(None) => Ok(None),
-            _ => Err(Spoilt::Sent),
+            _ => Err(ExchangeError::NoReply),
         }
     }
 
-    /// Something has come of the answer to the last request.
-    pub fn heard(&self) -> bool {
-        self.heard.is_set()
+    /// Returns whether any byte of the response to the last request was received.
+    pub fn has_received_data(&self) -> bool {
+        self.last_received.is_set()
     }
 
-    /// It, if it can carry another request and the other side has not closed it meanwhile. Waits
-    /// for nothing: an answer that has come must not be held up by its connection.
-    pub fn checked(mut self) -> Option<Self> {
-        self.io.poll(&mut Context::from_waker(Waker::noop()));
-        (!self.io.ended && self.sender.is_ready()).then_some(self)
+    /// Returns the connection if it can take another request and the backend has not closed it. Doesn't wait,
+    /// so that the response isn't delayed.
+    pub fn into_reusable(mut self) -> Option<Self> {
+        self.driver.poll(&mut Context::from_waker(Waker::noop()));
+        (!self.driver.ended && self.sender.is_ready()).then_some(self)
     }
 }
 
-impl Io {
+impl ConnectionDriver {
     fn poll(&mut self, cx: &mut Context<'_>) {
-        // Remembered, as the sender goes on saying that it is ready after the end: a connection
-        // that the backend closed right behind its answer would be kept and used again.
+        // Kept, because the sender still reports that it is ready after the connection has ended.
         self.ended = self.ended || self.connection.as_mut().poll(cx).is_ready();
     }
 
