--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,13 +1,13 @@
-//! The clients' side: the listener, requests and their answers, readiness and the graceful stop.
+//! Accepts client connections, answers requests and shuts down gracefully.
 
-use crate::backend::{Http, Served};
-use crate::body::{Answering, Given};
-use crate::clients::{self, Client, Clients, Place};
+use crate::backend::{BackendResponse, HttpUpstream};
+use crate::body::{ClientBody, ResponseBody};
+use crate::clients::{self, ClientConnection, ClientConnections, ConnectionGuard};
 use crate::config::WireSettings;
-use crate::limits::{Budget, Caps, MOST_HEAD};
-use crate::payload::Carried;
-use crate::request::{self, Asked, Dialect, Room, Unfit};
-use crate::socket::Socket;
+use crate::limits::{Budget, MAX_HEAD_BYTES, ResourceLimits};
+use crate::payload::PayloadBody;
+use crate::request::{self, BodyBudgets, Dialect, ParsedRequest, RequestError};
+use crate::socket::ClientSocket;
 use bytes::Bytes;
 use dewpier_operate::calls::{self, Call};
 use dewpier_operate::figures::{Ending, Figures, Members};
@@ -31,78 +31,78 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-/// So many steps without a request in hand, after that, and connections are no longer waited for.
-const IDLE_STEPS: usize = 10;
-const STEP: Duration = Duration::from_millis(50);
-/// How long a connection without a request may take to end once it is to be closed.
-const CLOSE_WITHIN: Duration = Duration::from_millis(200);
-/// After an accept that failed: what it lacks comes back no sooner for being asked for again at once.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// How often it is seen, once connections are to be closed, whether a request that has begun has come whole.
-const LOOK: Duration = Duration::from_millis(10);
+/// Number of consecutive checks without work after which a shutdown stops waiting for connections.
+const MAX_IDLE_CHECKS: usize = 10;
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time that a connection without a request has to end once it is being closed.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Delay after a failed accept, because the missing resource doesn't return at once.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Interval at which a connection that is being closed is checked for a partly received request.
+const READ_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-type Reply = Response<Answering>;
+type Reply = Response<ClientBody>;
 
-/// Answers clients.
+/// Answers client requests.
 pub struct Server {
-    engine: Rc<Engine<Http>>,
+    engine: Rc<Engine<HttpUpstream>>,
     settings: Settings,
     wire: WireSettings,
     dialect: Dialect,
     start: Instant,
-    /// What the process is at: whether it takes clients, and which of them are to go.
-    life: RefCell<Life>,
+    /// The lifecycle of the process: whether it accepts clients and when they are closed.
+    lifecycle: RefCell<Life>,
     figures: Rc<Figures>,
-    /// Idle connections are to be closed.
+    /// Set once idle connections are to be closed.
     closing: watch::Sender<bool>,
-    clients: Rc<Clients>,
-    /// Accepted, and waiting for a place: a stop must not lose it.
-    in_hand: Cell<Option<TcpStream>>,
-    room: Room,
-    caps: Caps,
-    /// Other processes that share the limits.
-    others: Cell<usize>,
-    /// Whether connections are accepted may have changed.
-    changed: Notify,
+    clients: Rc<ClientConnections>,
+    /// An accepted connection that waits for room, kept here so that a shutdown still serves it.
+    pending_stream: Cell<Option<TcpStream>>,
+    body_budgets: BodyBudgets,
+    limits: ResourceLimits,
+    /// Number of other processes that share the resource limits.
+    other_processes: Cell<usize>,
+    /// Notified when accepting may start or stop.
+    accepting_changed: Notify,
 }
 
-/// Tells the engine that the client has left, if it is dropped before the answer.
-struct Leaving<'a>(&'a Engine<Http>, RequestId);
+/// Reports a disconnected client to the engine if dropped before the answer.
+struct DisconnectGuard<'a>(&'a Engine<HttpUpstream>, RequestId);
 
-impl Drop for Leaving<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         self.0.client_disconnected(self.1);
     }
 }
 
-/// Marks our own answer to what a client got wrong: a backend's 404 is not one.
+/// Marks a response of the proxy itself to an invalid request, as opposed to a 4xx response of a backend.
 #[derive(Clone)]
-struct Unusable;
+struct ClientErrorMarker;
 
-fn plain(status: StatusCode, text: impl Into<Bytes>) -> Reply {
-    let mut reply = Response::new(Answering::Whole(Full::new(text.into())));
+fn plain_reply(status: StatusCode, text: impl Into<Bytes>) -> Reply {
+    let mut reply = Response::new(ClientBody::Buffered(Full::new(text.into())));
     if status.is_client_error() {
-        reply.extensions_mut().insert(Unusable);
+        reply.extensions_mut().insert(ClientErrorMarker);
     }
     *reply.status_mut() = status;
     reply
 }
 
-/// What a backend worded whole.
-fn passed_on(served: Served) -> Reply {
-    let body = match served.body {
-        Given::Whole(body) => body,
-        Given::Passed(_) => return plain(StatusCode::BAD_GATEWAY, "failed\n"), // no error begins and goes on
+/// Builds the reply from a buffered backend response.
+fn backend_reply(response: BackendResponse) -> Reply {
+    let body = match response.body {
+        ResponseBody::Buffered(body) => body,
+        ResponseBody::Streamed(_) => return plain_reply(StatusCode::BAD_GATEWAY, "failed\n"), // error responses are never streamed
     };
-    let mut reply = Response::new(Answering::Whole(Full::new(body)));
-    *reply.status_mut() = served.status;
-    *reply.headers_mut() = served.headers;
+    let mut reply = Response::new(ClientBody::Buffered(Full::new(body)));
+    *reply.status_mut() = response.status;
+    *reply.headers_mut() = response.headers;
     reply
 }
 
-/// Says when to come again, if that is known: on the platform to the millisecond, elsewhere in whole
-/// seconds, which are all that the header may hold (RFC 9110, 10.2.3).
-fn come_again(reply: &mut Reply, wait: Option<Time>, dialect: &Dialect) {
+/// Sets Retry-After, if known: in milliseconds precision on the platform, and otherwise in whole seconds (RFC
+/// 9110, section 10.2.3).
+fn set_retry_after(reply: &mut Reply, wait: Option<Time>, dialect: &Dialect) {
     let text = |wait: Time| match dialect {
         Dialect::Platform => format!("{wait:.3}"),
         Dialect::Plain(_) => format!("{:.0}", wait.ceil().max(1.0)),
@@ -112,123 +112,132 @@
     }
 }
 
-fn refusal(unfit: &Unfit) -> Reply {
-    plain(unfit.status(), format!("{unfit}\n"))
+fn invalid_request_reply(error: &RequestError) -> Reply {
+    plain_reply(error.status(), format!("{error}\n"))
 }
 
 impl Server {
-    /// A server that keeps to these caps.
+    /// Creates a server that keeps to `limits`.
     pub fn new(
-        engine: Rc<Engine<Http>>,
+        engine: Rc<Engine<HttpUpstream>>,
         settings: Settings,
         wire: WireSettings,
         dialect: Dialect,
-        caps: Caps,
+        limits: ResourceLimits,
         figures: Rc<Figures>,
     ) -> Rc<Self> {
-        let longest = settings.classes.iter().map(|c| c.deadline).fold(0.0, Time::max);
+        let longest_deadline = settings.classes.iter().map(|c| c.deadline).fold(0.0, Time::max);
         Rc::new(Self {
             engine,
             settings,
             wire,
             dialect,
             start: Instant::now(),
-            life: RefCell::new(Life::new(longest)),
+            lifecycle: RefCell::new(Life::new(longest_deadline)),
             figures,
             closing: watch::Sender::new(false),
-            clients: Clients::new(caps.clients),
-            in_hand: Cell::new(None),
-            room: Room { bodies: Budget::new(caps.bodies), streams: Budget::new(caps.streams) },
-            caps,
-            others: Cell::new(0),
-            changed: Notify::new(),
+            clients: ClientConnections::new(limits.client_connections),
+            pending_stream: Cell::new(None),
+            body_budgets: BodyBudgets {
+                buffered: Budget::new(limits.buffered_body_bytes),
+                streamed: Budget::new(limits.streamed_body_bytes),
+            },
+            limits,
+            other_processes: Cell::new(0),
+            accepting_changed: Notify::new(),
         })
     }
 
-    /// Serves until `stop`, then goes on for a while, answers all that was taken, and returns.
-    /// Whoever else holds the listener must do so weakly: it is closed before the last answers are given, so that
-    /// nothing more is taken.
+    /// Serves until `stop`, then finishes gracefully: it keeps serving for a while, answers all accepted
+    /// requests and returns. The listener is closed before the last answers, so that other owners must hold
+    /// it weakly.
     pub async fn run(self: Rc<Self>, listener: Rc<TcpListener>, stop: impl Future<Output = ()>) {
         let accepting = self.clone().accept(&listener);
         let stopped = async {
             stop.await;
-            let serves = self.life.borrow_mut().stop(self.now());
-            let left = self.life.borrow().left(self.now());
-            left.into_iter().for_each(|left| self.engine.cap_deadlines(left));
-            let waits = async {
-                // After a handover nobody new comes, and who is left is told with an answer.
-                while self.life.borrow().accepts() || !self.clients.is_empty() {
-                    tokio::time::sleep(STEP).await;
+            let serve_time = self.lifecycle.borrow_mut().stop(self.now());
+            let time_left = self.lifecycle.borrow().left(self.now());
+            time_left.into_iter().for_each(|time_left| self.engine.cap_deadlines(time_left));
+            let clients_gone = async {
+                // After a handover no client connects, and the remaining ones are closed with their next
+                // response.
+                while self.lifecycle.borrow().accepts() || !self.clients.is_empty() {
+                    tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
                 }
             };
-            let _ = tokio::time::timeout(serves, waits).await; // or it is over before
+            let _ = tokio::time::timeout(serve_time, clients_gone).await; // ends early once all clients are gone
         };
         tokio::select! {
             () = accepting => {}
-            () = self.sweep() => {}
+            () = self.close_overdue_clients() => {}
             () = stopped => {}
         }
-        // What the system has accepted for us is ours to answer too.
-        if let Some(stream) = self.in_hand.take() {
-            self.clone().serve(stream, self.clients.admit());
+        // Connections that the kernel has already accepted are served too.
+        if let Some(stream) = self.pending_stream.take() {
+            self.clone().serve(stream, self.clients.add());
         }
-        while self.life.borrow().accepts()
-            && let Some(stream) = accept_waiting(&listener)
+        while self.lifecycle.borrow().accepts()
+            && let Some(stream) = accept_pending(&listener)
         {
-            self.clone().serve(stream, self.clients.admit());
+            self.clone().serve(stream, self.clients.add());
         }
         drop(listener);
         self.closing.send_replace(true);
-        // A client that neither finishes its request nor goes away must not keep us until SIGKILL.
-        let mut idle = 0;
-        while !self.clients.is_empty() && idle < IDLE_STEPS && self.may_go_on() {
-            self.clients.one_left(STEP).await;
-            let left = self.life.borrow().left(self.now()).is_none_or(|left| !left.is_zero());
-            let coming = self.figures.pending() > 0 || self.clients.are_reading();
-            let owes = self.engine.has_open_requests() || (coming && left);
-            idle = if owes { 0 } else { idle + 1 };
+        // A client that neither completes its request nor disconnects must not delay the exit until SIGKILL.
+        let mut idle_checks = 0;
+        while !self.clients.is_empty() && idle_checks < MAX_IDLE_CHECKS && self.has_time_left() {
+            self.clients.wait_for_close(IDLE_CHECK_INTERVAL).await;
+            let time_left =
+                self.lifecycle.borrow().left(self.now()).is_none_or(|time_left| !time_left.is_zero());
+            let is_receiving = self.figures.pending() > 0 || self.clients.is_any_reading();
+            let has_work = self.engine.has_open_requests() || (is_receiving && time_left);
+            idle_checks = if has_work { 0 } else { idle_checks + 1 };
         }
     }
 
-    /// The process need not have ended yet.
-    fn may_go_on(&self) -> bool {
-        self.life.borrow().ends_within(self.now()).is_none_or(|within| !within.is_zero())
+    /// Returns whether the process has time left before it must end.
+    fn has_time_left(&self) -> bool {
+        self.lifecycle.borrow().ends_within(self.now()).is_none_or(|time_left| !time_left.is_zero())
     }
 
-    /// There is a list to go by.
-    pub fn listed(&self) -> bool {
+    /// Returns whether a backend list has been received.
+    pub fn has_list(&self) -> bool {
         self.engine.has_list()
     }
 
-    /// Another process shares the limits from now on, or one does no longer.
-    pub fn beside(&self, beside: bool) {
-        let others = self.others.get();
-        self.others.set(if beside { others + 1 } else { others.saturating_sub(1) });
-        let caps = self.caps.shared(self.others.get() > 0);
-        self.clients.bound(caps.clients);
-        self.room.bodies.set_capacity(caps.bodies);
-        self.room.streams.set_capacity(caps.streams);
-        self.engine.upstream().connections.set_capacity(caps.backends);
+    /// Records that another process started or stopped sharing the resource limits.
+    pub fn update_limit_sharing(&self, joined: bool) {
+        let other_processes = self.other_processes.get();
+        self.other_processes.set(if joined {
+            other_processes + 1
+        } else {
+            other_processes.saturating_sub(1)
+        });
+        let limits = self.limits.for_processes(self.other_processes.get() > 0);
+        self.clients.set_capacity(limits.client_connections);
+        self.body_budgets.buffered.set_capacity(limits.buffered_body_bytes);
+        self.body_budgets.streamed.set_capacity(limits.streamed_body_bytes);
+        self.engine.upstream().connections.set_capacity(limits.backend_connections);
     }
 
-    /// Another process accepts what comes to the address from now on.
+    /// Stops accepting, because another process takes over the address.
     pub fn hand_over(&self) {
-        self.life.borrow_mut().hand_over(self.now());
-        self.changed.notify_one();
+        self.lifecycle.borrow_mut().hand_over(self.now());
+        self.accepting_changed.notify_one();
     }
 
-    /// It is gone again.
-    pub fn take_back(&self) {
-        self.life.borrow_mut().take_back();
-        self.changed.notify_one();
+    /// Accepts again, because the other process is gone.
+    pub fn resume_accepting(&self) {
+        self.lifecycle.borrow_mut().take_back();
+        self.accepting_changed.notify_one();
     }
 
     /// Answers an operator.
-    pub fn operate(&self, call: Call) -> String {
-        let mut life = self.life.borrow_mut();
+    pub fn handle_operator_call(&self, call: Call) -> String {
+        let mut lifecycle = self.lifecycle.borrow_mut();
         match call {
             Call::Check if !self.engine.has_list() => "NO no list of backends yet\n".into(),
-            Call::Check if !life.takes_clients() => "NO takes no clients\n".into(),
+            Call::Check if !lifecycle.takes_clients() => "NO takes no clients\n".into(),
             Call::Check => "YES takes clients\n".into(),
             Call::Vars => {
                 let (listed, avoided) = self.engine.count_backends();
@@ -236,12 +245,12 @@
             }
             Call::Verdicts | Call::VerdictsJson | Call::Rule { .. } => "NO it belongs to no fleet\n".into(),
             Call::DrainOn => {
-                life.drain_on(self.now());
+                lifecycle.drain_on(self.now());
                 "YES drains\n".into()
             }
             Call::DrainOff => {
-                life.drain_off();
-                match life.takes_clients() {
+                lifecycle.drain_off();
+                match lifecycle.takes_clients() {
                     true => "YES takes clients\n".into(),
                     false => "NO it stops, or another process has its address\n".into(),
                 }
@@ -253,195 +262,219 @@
         self.start.elapsed()
     }
 
-    async fn sweep(&self) {
+    async fn close_overdue_clients(&self) {
         loop {
-            tokio::time::sleep(clients::STEP).await;
-            let rested = self.life.borrow().closes_rested(self.now());
-            self.clients.sweep(rested);
+            tokio::time::sleep(clients::SWEEP_INTERVAL).await;
+            let max_rest = self.lifecycle.borrow().closes_rested(self.now());
+            self.clients.close_overdue(max_rest);
         }
     }
 
     async fn accept(self: Rc<Self>, listener: &TcpListener) {
         let mut failing = false;
         loop {
-            if !self.life.borrow().accepts() {
-                self.changed.notified().await;
+            if !self.lifecycle.borrow().accepts() {
+                self.accepting_changed.notified().await;
                 continue;
             }
             let accepted = tokio::select! {
-                biased; // what another process is to accept is not taken from it
-                () = self.changed.notified() => continue,
+                biased; // leaves pending connections to the other process
+                () = self.accepting_changed.notified() => continue,
                 accepted = listener.accept() => accepted,
             };
             let stream = match accepted {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    // One event for as long as it lasts: clients could fill the log with them.
+                    // Logged once per failure period, so that clients can't fill the log.
                     if !std::mem::replace(&mut failing, true) {
-                        tracing::warn!(%error, "connections can't be accepted");
+                        tracing::warn!(%error, "cannot accept client connections");
                     }
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
             failing = false;
-            // Waits with one in hand: nobody has to go before another has come.
-            self.in_hand.set(Some(stream));
-            // Those that are being closed are descriptors too, until they are gone.
+            // Room is made only once a new connection has arrived.
+            self.pending_stream.set(Some(stream));
+            // Connections that are being closed still hold descriptors.
             self.clients.make_room();
-            while self.clients.crowded() {
-                self.clients.one_left(STEP).await;
+            while self.clients.is_overflow_full() {
+                self.clients.wait_for_close(IDLE_CHECK_INTERVAL).await;
                 self.clients.make_room();
             }
-            if let Some(stream) = self.in_hand.take() {
-                self.clone().serve(stream, self.clients.admit());
+            if let Some(stream) = self.pending_stream.take() {
+                self.clone().serve(stream, self.clients.add());
             }
         }
     }
 
-    fn serve(self: Rc<Self>, stream: TcpStream, place: Place) {
-        let _ = stream.set_nodelay(true); // it still works if not
-        let full = self.clients.full();
+    fn serve(self: Rc<Self>, stream: TcpStream, guard: ConnectionGuard) {
+        let _ = stream.set_nodelay(true); // the connection works without it
+        let is_full = self.clients.is_full();
         tokio::task::spawn_local(async move {
-            let (server, client) = (&self, place.client());
+            let (server, client) = (&self, guard.client());
             let mut closing = server.closing.subscribe();
-            let (socket, watch) = Socket::new(stream, client.clone());
-            let watched = &watch;
+            let (socket, watch) = ClientSocket::new(stream, client.clone());
+            let disconnect_watch = &watch;
             let service = service_fn(|request| async move {
-                // Where it can't be seen that a coded request names no length as well, nothing is read behind it.
-                let coded = request.headers().contains_key(TRANSFER_ENCODING);
-                let unsure = coded && client.names_length().is_none();
-                let mut reply = server.reply(request, client, full).await;
-                if let Answering::Whole(_) = reply.body() {
-                    client.answered();
+                // With unknown framing, nothing may be read behind the request.
+                let is_transfer_coded = request.headers().contains_key(TRANSFER_ENCODING);
+                let has_unknown_framing = is_transfer_coded && client.has_content_length().is_none();
+                let mut reply = server.reply(request, client, is_full).await;
+                if let ClientBody::Buffered(_) = reply.body() {
+                    client.request_answered();
                 }
-                // What is wrong once is not given another try on the same connection: the rest of
-                // it may be anything, and each try has its price.
-                let wrong = reply.extensions().get::<Unusable>().is_some();
-                let goes = server.life.borrow().says_close(server.now()) || *server.closing.borrow();
-                if full || wrong || goes || unsure || watched.flooded() {
+                // After an invalid request, the rest of the input can't be trusted.
+                let is_client_error = reply.extensions().get::<ClientErrorMarker>().is_some();
+                let is_closing =
+                    server.lifecycle.borrow().says_close(server.now()) || *server.closing.borrow();
+                if is_full
+                    || is_client_error
+                    || is_closing
+                    || has_unknown_framing
+                    || disconnect_watch.is_read_ahead_full()
+                {
                     reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
                 Ok::<_, Infallible>(reply)
             });
-            let connection =
-                http1::Builder::new().max_buf_size(MOST_HEAD).serve_connection(TokioIo::new(socket), service);
+            let connection = http1::Builder::new()
+                .max_buf_size(MAX_HEAD_BYTES)
+                .serve_connection(TokioIo::new(socket), service);
             let mut connection = std::pin::pin!(connection);
-            // Its end is no news: clients come and go. One that leaves before it has its answer is let go at once.
+            // Ends without logging when the client closes, and at once if it disconnects before its answer.
             let mut serving = std::future::poll_fn(|cx| match connection.as_mut().poll(cx) {
                 Poll::Ready(_) => Poll::Ready(()),
-                Poll::Pending => watch.poll_left(cx),
+                Poll::Pending => watch.poll_disconnected(cx),
             });
-            let within = tokio::select! {
-                biased; // a request that has come is read before the connection is closed
+            let close_timeout = tokio::select! {
+                biased; // reads a request that has arrived before closing
                 () = &mut serving => return,
-                () = client.ended() => Some(CLOSE_WITHIN),
-                // A request of which some has come goes before, and its answer ends the connection.
-                () = server.closes(client, &mut closing) => None,
+                () = client.wait_for_close() => Some(CLOSE_TIMEOUT),
+                // A partly received request is served first, and its response closes the connection.
+                () = server.wait_for_shutdown(client, &mut closing) => None,
             };
             connection.as_mut().graceful_shutdown();
             let serving = std::future::poll_fn(|cx| match connection.as_mut().poll(cx) {
                 Poll::Ready(_) => Poll::Ready(()),
-                Poll::Pending => watch.poll_left(cx),
+                Poll::Pending => watch.poll_disconnected(cx),
             });
-            match within {
-                Some(within) => drop(tokio::time::timeout(within, serving).await),
+            match close_timeout {
+                Some(close_timeout) => drop(tokio::time::timeout(close_timeout, serving).await),
                 None => serving.await,
             }
         });
     }
 
-    /// Waits until connections are to be closed and none of a request has come on this one.
-    async fn closes(&self, client: &Client, closing: &mut watch::Receiver<bool>) {
-        let _ = closing.wait_for(|closing| *closing).await; // the sender outlives it
+    /// Waits until connections are to be closed and no request is partly received.
+    async fn wait_for_shutdown(&self, client: &ClientConnection, closing: &mut watch::Receiver<bool>) {
+        let _ = closing.wait_for(|closing| *closing).await; // the sender outlives the receiver
         while client.is_reading() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(READ_CHECK_INTERVAL).await;
         }
     }
 
-    async fn read(&self, request: hyper::Request<Incoming>, length: Option<bool>) -> Result<Asked, Unfit> {
-        request::read(request, &self.settings, &self.wire, &self.dialect, &self.room, length).await
+    async fn parse_request(
+        &self,
+        request: hyper::Request<Incoming>,
+        raw_content_length: Option<bool>,
+    ) -> Result<ParsedRequest, RequestError> {
+        request::read_request(
+            request,
+            &self.settings,
+            &self.wire,
+            &self.dialect,
+            &self.body_budgets,
+            raw_content_length,
+        )
+        .await
     }
 
-    async fn reply(&self, request: hyper::Request<Incoming>, client: &Rc<Client>, full: bool) -> Reply {
+    async fn reply(
+        &self,
+        request: hyper::Request<Incoming>,
+        client: &Rc<ClientConnection>,
+        is_full: bool,
+    ) -> Reply {
         if request.uri().path() == "/-/ready" {
-            return match self.engine.has_list() && self.life.borrow().ready() {
-                true => plain(StatusCode::OK, "ready\n"),
-                false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            return match self.engine.has_list() && self.lifecycle.borrow().ready() {
+                true => plain_reply(StatusCode::OK, "ready\n"),
+                false => plain_reply(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             };
         }
-        client.head_read();
-        let mut asked = match self.read(request, client.names_length()).await {
-            Ok(asked) => asked,
-            Err(unfit) => return refusal(&unfit),
+        client.start_body();
+        let mut parsed = match self.parse_request(request, client.has_content_length()).await {
+            Ok(parsed) => parsed,
+            Err(error) => return invalid_request_reply(&error),
         };
-        client.opened();
-        if let Carried::Passed(..) = asked.payload.body {
-            client.passes(true);
+        client.request_received();
+        if let PayloadBody::Streamed(..) = parsed.payload.body {
+            client.set_streaming(true);
         }
-        let _room = asked.room;
-        let taken = self.figures.take(asked.request.class);
-        if full {
-            taken.end(Ending::Rejected);
-            return plain(StatusCode::SERVICE_UNAVAILABLE, "too many connections\n");
+        let _body_permit = parsed.body_permit;
+        let accepted_request = self.figures.take(parsed.request.class);
+        if is_full {
+            accepted_request.end(Ending::Rejected);
+            return plain_reply(StatusCode::SERVICE_UNAVAILABLE, "too many connections\n");
         }
-        if let Some(left) = self.life.borrow().left(self.now()) {
-            asked.request.budget = asked.request.budget.min(left.as_secs_f64());
+        if let Some(time_left) = self.lifecycle.borrow().left(self.now()) {
+            parsed.request.budget = parsed.request.budget.min(time_left.as_secs_f64());
         }
-        let Some((id, answer)) = self.engine.submit_request(asked.txn, asked.request, asked.payload) else {
-            return plain(StatusCode::BAD_REQUEST, "X-Txn is in use\n");
+        let Some((id, answer)) =
+            self.engine.submit_request(parsed.client_request_id, parsed.request, parsed.payload)
+        else {
+            return plain_reply(StatusCode::BAD_REQUEST, "X-Txn is in use\n");
         };
-        let leaving = Leaving(&self.engine, id);
-        let asked = Instant::now();
+        let disconnect_guard = DisconnectGuard(&self.engine, id);
+        let submitted = Instant::now();
         let answer = answer.await;
-        drop(leaving); // it has had its answer: nothing is told
+        drop(disconnect_guard); // the request is answered, so that the guard has no effect
         if let Ok(Answer::Served(_)) = answer {
-            self.life.borrow_mut().served(self.now(), asked.elapsed());
+            self.lifecycle.borrow_mut().served(self.now(), submitted.elapsed());
         }
         let answer = match answer {
-            Ok(Answer::Served(Served { status, headers, body: Given::Passed(passed) })) => {
-                let mut reply = Response::new(Answering::passed(passed, taken, client.clone()));
+            Ok(Answer::Served(BackendResponse { status, headers, body: ResponseBody::Streamed(stream) })) => {
+                let mut reply = Response::new(ClientBody::streamed(stream, accepted_request, client.clone()));
                 *reply.status_mut() = status;
                 *reply.headers_mut() = headers;
                 return reply;
             }
             answer => answer,
         };
-        taken.end(match answer {
+        accepted_request.end(match answer {
             Ok(Answer::Served(_)) => Ending::Completed,
             Ok(Answer::Rejected(..)) => Ending::Rejected,
             Ok(Answer::Failed(_)) | Err(_) => Ending::Failed,
         });
         match answer {
-            // 503 says that trying again does no harm, whoever words it: a backend's own does not
-            // go through where the request may have run.
+            // A 503 means that a retry is harmless, so that a 503 of a backend isn't forwarded if the request
+            // may have run.
             Ok(Answer::Failed(Some(served))) if served.status == StatusCode::SERVICE_UNAVAILABLE => {
-                let mut reply = passed_on(served);
+                let mut reply = backend_reply(served);
                 *reply.status_mut() = StatusCode::BAD_GATEWAY;
                 *reply.headers_mut() = Default::default();
                 reply
             }
-            Ok(Answer::Served(served)) | Ok(Answer::Failed(Some(served))) => passed_on(served),
+            Ok(Answer::Served(served)) | Ok(Answer::Failed(Some(served))) => backend_reply(served),
             Ok(Answer::Rejected(wait, Some(served))) => {
-                let mut reply = passed_on(served);
+                let mut reply = backend_reply(served);
                 if !reply.headers().contains_key(RETRY_AFTER) {
-                    come_again(&mut reply, wait, &self.dialect);
+                    set_retry_after(&mut reply, wait, &self.dialect);
                 }
                 reply
             }
             Ok(Answer::Rejected(wait, None)) => {
-                let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "refused, try again\n");
-                come_again(&mut reply, wait, &self.dialect);
+                let mut reply = plain_reply(StatusCode::SERVICE_UNAVAILABLE, "refused, try again\n");
+                set_retry_after(&mut reply, wait, &self.dialect);
                 reply
             }
-            Ok(Answer::Failed(None)) | Err(_) => plain(StatusCode::BAD_GATEWAY, "failed\n"),
+            Ok(Answer::Failed(None)) | Err(_) => plain_reply(StatusCode::BAD_GATEWAY, "failed\n"),
         }
     }
 }
 
-/// A connection that waits to be accepted, if there is one. Asks the system itself, as the runtime may not have heard
-/// of it yet.
-fn accept_waiting(listener: &TcpListener) -> Option<TcpStream> {
+/// Accepts a pending connection directly from the kernel, because the runtime may not have noticed it yet.
+fn accept_pending(listener: &TcpListener) -> Option<TcpStream> {
     let (socket, _) = socket2::SockRef::from(listener).accept().ok()?;
     socket.set_nonblocking(true).ok()?;
     TcpStream::from_std(socket.into()).ok()
@@ -449,21 +482,21 @@
 
 /// Binds a listener.
 pub fn bind(address: std::net::SocketAddr) -> io::Result<TcpListener> {
-    bound(address, false)
+    bind_listener(address, false)
 }
 
-/// Binds a listener at an address where another process of this user may listen as well.
-pub fn bind_beside(address: std::net::SocketAddr) -> io::Result<TcpListener> {
-    bound(address, true)
+/// Binds a listener to an address that other processes of this user may share.
+pub fn bind_shared(address: std::net::SocketAddr) -> io::Result<TcpListener> {
+    bind_listener(address, true)
 }
 
-fn bound(address: std::net::SocketAddr, beside: bool) -> io::Result<TcpListener> {
+fn bind_listener(address: std::net::SocketAddr, share_port: bool) -> io::Result<TcpListener> {
     let socket = match address.is_ipv4() {
         true => tokio::net::TcpSocket::new_v4()?,
         false => tokio::net::TcpSocket::new_v6()?,
     };
     socket.set_reuseaddr(true)?;
-    socket.set_reuseport(beside)?;
+    socket.set_reuseport(share_port)?;
     socket.bind(address)?;
     socket.listen(1024)
 }
--- a/crates/http/src/socket.rs
+++ b/crates/http/src/socket.rs
@@ -1,7 +1,9 @@
-//! The socket of a client's connection. It reads ahead while a request waits for its answer, so that a client that
-//! leaves is noticed also behind bytes that nobody has read yet, and it ends so that the last answer arrives.
+//! The socket of a client connection.
+//!
+//! While a request waits for its answer, the socket reads ahead, so that a disconnected client is noticed
+//! even behind unread bytes. On shutdown it drains the input, so that the last response arrives.
 
-use crate::clients::Client;
+use crate::clients::ClientConnection;
 use bytes::{Buf, BytesMut};
 use std::cell::RefCell;
 use std::io;
@@ -13,61 +15,68 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-/// So much of what a client sends behind a request that waits for its answer is kept for later. Beyond that it is
-/// discarded, and the connection ends with the answer, as the next request can't be read any more.
-pub const MOST_AHEAD: usize = 16 << 10;
-/// After the end of our side, what the client still sends is read for so long,
-const LINGER: Duration = Duration::from_millis(300);
-/// and up to so much, lest its system throw away the answer along with the connection.
-const MOST_DISCARDED: usize = 512 << 10;
-/// Bytes read at once.
-const CHUNK: usize = 4096;
+/// Largest number of bytes that are read ahead and kept for the next request. Any more are discarded and the
+/// connection ends with the current response, because the next request is incomplete.
+pub const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
+/// How long input is drained after the write side was shut down.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Largest number of bytes that are drained. Closing a socket with unread input would make the kernel discard
+/// the response.
+const MAX_DISCARDED_BYTES: usize = 512 << 10;
+/// Number of bytes per read.
+const READ_CHUNK_BYTES: usize = 4096;
 
-struct Line {
+struct SocketState {
     stream: TcpStream,
-    client: Rc<Client>,
-    /// What was read ahead and not handed on yet.
-    ahead: BytesMut,
-    /// More came than is kept: nothing behind `ahead` is a request.
-    flooded: bool,
+    client: Rc<ClientConnection>,
+    /// Bytes that were read ahead and not yet passed on.
+    read_ahead: BytesMut,
+    /// More was received than is kept, so that no request can follow `read_ahead`.
+    read_ahead_full: bool,
     linger: Option<Pin<Box<Sleep>>>,
     discarded: usize,
 }
 
-/// A client's socket, as the HTTP library reads and writes it.
-pub struct Socket(Rc<RefCell<Line>>);
+/// A client socket as the HTTP library reads and writes it.
+pub struct ClientSocket(Rc<RefCell<SocketState>>);
 
-/// The same socket, as its connection's task watches it.
-pub struct Watch(Rc<RefCell<Line>>);
+/// The same socket as the task of the connection watches it.
+pub struct DisconnectWatch(Rc<RefCell<SocketState>>);
 
-impl Socket {
-    /// The socket of a connection, and the watch on it.
-    pub fn new(stream: TcpStream, client: Rc<Client>) -> (Self, Watch) {
-        let line =
-            Line { stream, client, ahead: BytesMut::new(), flooded: false, linger: None, discarded: 0 };
-        let line = Rc::new(RefCell::new(line));
-        (Self(line.clone()), Watch(line))
+impl ClientSocket {
+    /// Creates the socket of a connection and the watch on it.
+    pub fn new(stream: TcpStream, client: Rc<ClientConnection>) -> (Self, DisconnectWatch) {
+        let state = SocketState {
+            stream,
+            client,
+            read_ahead: BytesMut::new(),
+            read_ahead_full: false,
+            linger: None,
+            discarded: 0,
+        };
+        let state = Rc::new(RefCell::new(state));
+        (Self(state.clone()), DisconnectWatch(state))
     }
 }
 
-impl Watch {
-    /// Ready once the client has left while its request waits for an answer. To be polled by the task that polls the
-    /// socket.
-    pub fn poll_left(&self, cx: &mut Context<'_>) -> Poll<()> {
-        self.0.borrow_mut().poll_left(cx)
+impl DisconnectWatch {
+    /// Is ready once the client has disconnected while its request waits for an answer. Must be polled by the
+    /// task that polls the socket.
+    pub fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
+        self.0.borrow_mut().poll_disconnected(cx)
     }
 
-    /// The client has sent more behind its request than is kept: the connection must end with the answer.
-    pub fn flooded(&self) -> bool {
-        self.0.borrow().flooded
+    /// Returns whether more was read ahead than is kept, so that the connection must end with the response.
+    pub fn is_read_ahead_full(&self) -> bool {
+        self.0.borrow().read_ahead_full
     }
 }
 
-impl Line {
-    fn poll_left(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut space = [0; CHUNK];
-        while self.client.awaits_answer() {
-            let mut buffer = ReadBuf::new(&mut space);
+impl SocketState {
+    fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        let mut bytes = [0; READ_CHUNK_BYTES];
+        while self.client.is_awaiting_answer() {
+            let mut buffer = ReadBuf::new(&mut bytes);
             if ready!(Pin::new(&mut self.stream).poll_read(cx, &mut buffer)).is_err() {
                 return Poll::Ready(());
             }
@@ -75,29 +84,29 @@
             if read.is_empty() {
                 return Poll::Ready(());
             }
-            self.client.note(read);
-            self.flooded |= self.ahead.len() + read.len() > MOST_AHEAD;
-            if !self.flooded {
-                self.ahead.extend_from_slice(read);
+            self.client.record_read(read);
+            self.read_ahead_full |= self.read_ahead.len() + read.len() > MAX_READ_AHEAD_BYTES;
+            if !self.read_ahead_full {
+                self.read_ahead.extend_from_slice(read);
             }
         }
         Poll::Pending
     }
 
     fn poll_read(&mut self, cx: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        if !self.ahead.is_empty() {
-            let size = self.ahead.len().min(buffer.remaining());
-            buffer.put_slice(&self.ahead[..size]);
-            self.ahead.advance(size);
+        if !self.read_ahead.is_empty() {
+            let size = self.read_ahead.len().min(buffer.remaining());
+            buffer.put_slice(&self.read_ahead[..size]);
+            self.read_ahead.advance(size);
             return Poll::Ready(Ok(()));
         }
-        if self.flooded {
-            return Poll::Ready(Ok(())); // the end of what can be read
+        if self.read_ahead_full {
+            return Poll::Ready(Ok(())); // end of the readable input
         }
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
         if buffer.filled().len() > before {
-            self.client.note(&buffer.filled()[before..]);
+            self.client.record_read(&buffer.filled()[before..]);
         }
         read
     }
@@ -105,22 +114,22 @@
     fn poll_shutdown(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.linger.is_none() {
             ready!(Pin::new(&mut self.stream).poll_shutdown(cx))?;
-            self.linger = Some(Box::pin(tokio::time::sleep(LINGER)));
+            self.linger = Some(Box::pin(tokio::time::sleep(LINGER_TIMEOUT)));
         }
-        // Closing a socket with something unread resets it, and the answer may never be seen.
-        let mut space = [0; CHUNK];
-        while self.discarded < MOST_DISCARDED {
-            let mut buffer = ReadBuf::new(&mut space);
+        // Closing a socket with unread input resets it, and the response may be lost.
+        let mut bytes = [0; READ_CHUNK_BYTES];
+        while self.discarded < MAX_DISCARDED_BYTES {
+            let mut buffer = ReadBuf::new(&mut bytes);
             match Pin::new(&mut self.stream).poll_read(cx, &mut buffer) {
                 Poll::Ready(Ok(())) if !buffer.filled().is_empty() => {
                     self.discarded += buffer.filled().len();
                 }
                 Poll::Ready(_) => return Poll::Ready(Ok(())),
-                // What had come by now is read; for more there is no time.
+                // An evicted connection drains only the input that has already arrived.
                 Poll::Pending if self.client.is_evicted() => return Poll::Ready(Ok(())),
                 Poll::Pending => {
-                    let passed = self.linger.as_mut().map(|linger| linger.as_mut().poll(cx));
-                    return passed.unwrap_or(Poll::Ready(())).map(Ok);
+                    let elapsed = self.linger.as_mut().map(|linger| linger.as_mut().poll(cx));
+                    return elapsed.unwrap_or(Poll::Ready(())).map(Ok);
                 }
             }
         }
@@ -128,7 +137,7 @@
     }
 }
 
-impl AsyncRead for Socket {
+impl AsyncRead for ClientSocket {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -138,12 +147,12 @@
     }
 }
 
-impl AsyncWrite for Socket {
+impl AsyncWrite for ClientSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
-        let mut line = self.0.borrow_mut();
-        let written = Pin::new(&mut line.stream).poll_write(cx, data);
+        let mut state = self.0.borrow_mut();
+        let written = Pin::new(&mut state.stream).poll_write(cx, data);
         if matches!(written, Poll::Ready(Ok(n)) if n > 0) {
-            line.client.wrote();
+            state.client.record_write();
         }
         written
     }
--- a/crates/http/tests/discovery_herd.rs
+++ b/crates/http/tests/discovery_herd.rs
@@ -1,121 +1,122 @@
-//! Many proxies before one discovery that works through calls in turn: after it was down, and after all were moved to
-//! another one, each has the list in time, in virtual time and on the real schedule.
+//! Simulates many proxies that call one serial discovery service after an outage or an address change, in
+//! virtual time with the real schedule. Every proxy must get the list within the staleness bound.
 
-use dewpier_http::discovery::schedule::{Call, Pace, STALENESS_BOUND, Schedule};
+use dewpier_http::discovery::schedule::{Call, CallTiming, STALENESS_BOUND, Schedule};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 
-/// A discovery, and who calls it.
+/// A discovery service and its callers.
 #[derive(Clone, Copy, Debug)]
-struct Crowd {
+struct Scenario {
     proxies: usize,
-    /// How long one call keeps it busy, whether or not its caller still waits.
-    works: Duration,
-    /// A call that has waited for so long is refused, at no cost to discovery.
-    refuses_after: Duration,
-    /// Calls are refused at once before this.
+    /// How long the service works on one call, even if the caller has timed out.
+    service_time: Duration,
+    /// Time in the queue after which a call is rejected without work.
+    queue_timeout: Duration,
+    /// Time until which calls are rejected at once.
     down_until: Duration,
-    /// The proxies begin to call so long after one another.
-    apart: Duration,
+    /// Time between the first calls of two proxies.
+    start_interval: Duration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A proxy makes its next call.
-    Calls(usize),
-    /// Discovery has done a call, of a proxy.
-    Done(usize, u32),
-    /// A call has waited for too long in discovery's queue.
-    Refused(usize, u32),
-    /// A proxy gives its call up.
-    GivenUp(usize, u32),
+    CallStarted(usize),
+    /// The service has completed a call of a proxy.
+    CallServed(usize, u32),
+    /// A call was rejected, after too long in the queue or while the service is down.
+    CallRejected(usize, u32),
+    /// A call of a proxy timed out.
+    CallTimedOut(usize, u32),
 }
 
-/// When each proxy has the list, counted from when it could be had.
-fn played(crowd: Crowd, seed: u64) -> Vec<Duration> {
-    let mut schedules: Vec<Schedule> =
-        (0..crowd.proxies as u64).map(|i| Schedule::new(Pace::ASKED, seed << 32 | i)).collect();
+/// Returns when each proxy gets the list, counted from when it was available to the proxy.
+fn simulate(scenario: Scenario, seed: u64) -> Vec<Duration> {
+    let mut schedules: Vec<Schedule> = (0..scenario.proxies as u64)
+        .map(|i| Schedule::new(CallTiming::SHARED_SERVICE, seed << 32 | i))
+        .collect();
     let mut events = BinaryHeap::new();
-    let begun: Vec<Duration> = (0..crowd.proxies).map(|i| crowd.apart * i as u32).collect();
-    begun.iter().enumerate().for_each(|(i, at)| events.push(Reverse((*at, Event::Calls(i)))));
-    let mut next: Vec<Call> = schedules.iter_mut().map(Schedule::fetch).collect();
-    // The call that each proxy waits for, by its number.
-    let mut calls = vec![(0, false); crowd.proxies];
+    let started: Vec<Duration> = (0..scenario.proxies).map(|i| scenario.start_interval * i as u32).collect();
+    started.iter().enumerate().for_each(|(i, at)| events.push(Reverse((*at, Event::CallStarted(i)))));
+    let mut next: Vec<Call> = schedules.iter_mut().map(Schedule::next_fetch).collect();
+    // The number of the current call of each proxy, and whether the proxy waits for it.
+    let mut calls = vec![(0, false); scenario.proxies];
     let mut queue: VecDeque<(usize, u32)> = VecDeque::new();
     let mut busy = false;
-    let mut had = vec![None; crowd.proxies];
+    let mut received_after = vec![None; scenario.proxies];
     while let Some(Reverse((now, event))) = events.pop() {
         match event {
-            Event::Calls(i) => {
+            Event::CallStarted(i) => {
                 calls[i] = (calls[i].0 + 1, true);
-                if now < crowd.down_until {
-                    events.push(Reverse((now, Event::Refused(i, calls[i].0))));
+                if now < scenario.down_until {
+                    events.push(Reverse((now, Event::CallRejected(i, calls[i].0))));
                     continue;
                 }
                 queue.push_back((i, calls[i].0));
-                events.push(Reverse((now + crowd.refuses_after, Event::Refused(i, calls[i].0))));
-                events.push(Reverse((now + next[i].deadline, Event::GivenUp(i, calls[i].0))));
+                events.push(Reverse((now + scenario.queue_timeout, Event::CallRejected(i, calls[i].0))));
+                events.push(Reverse((now + next[i].timeout, Event::CallTimedOut(i, calls[i].0))));
             }
-            Event::Done(i, number) => {
+            Event::CallServed(i, number) => {
                 busy = false;
-                if calls[i] == (number, true) && had[i].is_none() {
+                if calls[i] == (number, true) && received_after[i].is_none() {
                     calls[i].1 = false;
-                    had[i] = Some(now.saturating_sub(begun[i].max(crowd.down_until)));
+                    received_after[i] = Some(now.saturating_sub(started[i].max(scenario.down_until)));
                 }
             }
-            Event::Refused(i, number) | Event::GivenUp(i, number) => {
-                if matches!(event, Event::Refused(..)) {
+            Event::CallRejected(i, number) | Event::CallTimedOut(i, number) => {
+                if matches!(event, Event::CallRejected(..)) {
                     queue.retain(|call| *call != (i, number));
                 }
-                if calls[i] == (number, true) && had[i].is_none() {
+                if calls[i] == (number, true) && received_after[i].is_none() {
                     calls[i].1 = false;
-                    schedules[i].failed();
-                    next[i] = schedules[i].fetch();
-                    events.push(Reverse((now + next[i].pause, Event::Calls(i))));
+                    schedules[i].record_failure();
+                    next[i] = schedules[i].next_fetch();
+                    events.push(Reverse((now + next[i].delay, Event::CallStarted(i))));
                 }
             }
         }
         if !busy && let Some((i, number)) = queue.pop_front() {
             busy = true;
-            events.push(Reverse((now + crowd.works, Event::Done(i, number))));
+            events.push(Reverse((now + scenario.service_time, Event::CallServed(i, number))));
         }
     }
-    had.into_iter().map(|at| at.expect("it has the list")).collect()
+    received_after.into_iter().map(|at| at.expect("every proxy gets the list")).collect()
 }
 
-/// As the deployments have it: few proxies before a slow discovery, hundreds before a faster one. All calls that are
-/// needed take it a good half of the bound.
-fn crowds() -> Vec<Crowd> {
+/// Few proxies with a slow service up to hundreds with a faster one. Serving all proxies once takes more than
+/// half of the bound.
+fn scenarios() -> Vec<Scenario> {
     let ms = Duration::from_millis;
-    let mut crowds = Vec::new();
-    for (proxies, works) in [(9, 380), (5, 600), (60, 55), (300, 11)] {
-        // One that refuses before it can have done three calls lets chance alone decide who is served.
-        for refuses_after in [1000, 2000, 3000].into_iter().filter(|after| *after >= 3 * works) {
-            for (down_until, apart) in [(8000, 0), (2000, 0), (0, 3000 / proxies as u64)] {
-                crowds.push(Crowd {
+    let mut scenarios = Vec::new();
+    for (proxies, service_time) in [(9, 380), (5, 600), (60, 55), (300, 11)] {
+        // With a shorter queue timeout than three calls, it is random which proxies are served.
+        for queue_timeout in [1000, 2000, 3000].into_iter().filter(|after| *after >= 3 * service_time) {
+            for (down_until, start_interval) in [(8000, 0), (2000, 0), (0, 3000 / proxies as u64)] {
+                scenarios.push(Scenario {
                     proxies,
-                    works: ms(works),
-                    refuses_after: ms(refuses_after),
+                    service_time: ms(service_time),
+                    queue_timeout: ms(queue_timeout),
                     down_until: ms(down_until),
-                    apart: ms(apart),
+                    start_interval: ms(start_interval),
                 });
             }
         }
     }
-    crowds
+    scenarios
 }
 
 #[test]
-fn a_crowd_has_the_list_in_time() {
+fn every_proxy_gets_the_list_within_the_staleness_bound() {
     let mut late = Vec::new();
-    for crowd in crowds() {
+    for scenario in scenarios() {
         let mut worst: Vec<Duration> =
-            (0..100).map(|seed| played(crowd, seed).into_iter().max().unwrap_or_default()).collect();
+            (0..100).map(|seed| simulate(scenario, seed).into_iter().max().unwrap_or_default()).collect();
         worst.sort();
-        println!("{crowd:?}: median {:?}, longest {:?}", worst[50], worst[99]);
+        println!("{scenario:?}: median {:?}, longest {:?}", worst[50], worst[99]);
         if worst[99] > STALENESS_BOUND {
-            late.push((crowd, worst[99]));
+            late.push((scenario, worst[99]));
         }
     }
     assert!(late.is_empty(), "{late:?}");
--- a/crates/http/tests/discovery_schedule.rs
+++ b/crates/http/tests/discovery_schedule.rs
@@ -1,116 +1,120 @@
-//! The intervals of calls to discovery add up to less than the bound on staleness, in whatever way calls fail.
+//! Tests that the intervals of discovery calls keep changes within the staleness bound, however calls fail.
 
-use dewpier_http::discovery::schedule::{Call, Pace, STALENESS_BOUND, Schedule};
+use dewpier_http::discovery::schedule::{Call, CallTiming, STALENESS_BOUND, Schedule};
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Time for the answer itself, the way of the news to the decisions, and a busy machine.
+/// Time for the response itself, for applying the change, and for a busy host.
 const RESERVE: Duration = Duration::from_millis(400);
 
 #[test]
-fn the_longest_way_to_a_change_is_shorter_than_the_bound() {
-    for pace in [Pace::ASKED, Pace::PUSHED] {
-        assert!(pace.staleness() + RESERVE <= STALENESS_BOUND, "{pace:?}: {:?}", pace.staleness());
+fn max_staleness_leaves_a_reserve_to_the_bound() {
+    for timing in [CallTiming::SHARED_SERVICE, CallTiming::LOCAL_AGENT] {
+        assert!(
+            timing.max_staleness() + RESERVE <= STALENESS_BOUND,
+            "{timing:?}: {:?}",
+            timing.max_staleness()
+        );
     }
 }
 
 #[test]
-fn a_wait_is_no_longer_than_settings_allow() {
+fn wait_is_limited_by_the_settings() {
     let second = Duration::from_secs(1);
-    let mut schedule = Schedule::new(Pace::ASKED.waiting_up_to(second), 1);
-    assert!((0..100).all(|_| schedule.watch().wait <= second));
-    assert_eq!(Pace::ASKED.waiting_up_to(9 * second), Pace::ASKED);
+    let mut schedule = Schedule::new(CallTiming::SHARED_SERVICE.with_max_wait(second), 1);
+    assert!((0..100).all(|_| schedule.next_watch().wait <= second));
+    assert_eq!(CallTiming::SHARED_SERVICE.with_max_wait(9 * second), CallTiming::SHARED_SERVICE);
 }
 
 #[test]
-fn failures_are_followed_by_calls_that_ask_at_once_later_and_later() {
-    let mut schedule = Schedule::new(Pace::ASKED, 3);
-    assert_eq!(schedule.watch().pause, Duration::ZERO);
-    let pauses: Vec<f64> = (0..12)
+fn failed_calls_are_retried_without_wait_and_with_growing_delays() {
+    let mut schedule = Schedule::new(CallTiming::SHARED_SERVICE, 3);
+    assert_eq!(schedule.next_watch().delay, Duration::ZERO);
+    let delays: Vec<f64> = (0..12)
         .map(|_| {
-            schedule.failed();
-            let call = schedule.watch();
+            schedule.record_failure();
+            let call = schedule.next_watch();
             assert_eq!(call.wait, Duration::ZERO);
-            call.pause.as_secs_f64()
+            call.delay.as_secs_f64()
         })
         .collect();
-    assert!((0.1..=0.3).contains(&pauses[0]), "{pauses:?}");
-    assert!(pauses[3..].iter().all(|pause| (0.5..=1.5).contains(pause)), "{pauses:?}");
-    schedule.answered();
-    assert!(schedule.watch().wait > Duration::ZERO);
+    assert!((0.1..=0.3).contains(&delays[0]), "{delays:?}");
+    assert!(delays[3..].iter().all(|delay| (0.5..=1.5).contains(delay)), "{delays:?}");
+    schedule.record_success();
+    assert!(schedule.next_watch().wait > Duration::ZERO);
 }
 
 #[test]
-fn the_calls_of_many_proxies_whose_watches_failed_together_are_spread() {
-    let first = |seed| {
-        let mut schedule = Schedule::new(Pace::ASKED, seed);
-        schedule.failed();
-        schedule.watch().pause.as_millis()
+fn retries_of_many_proxies_are_spread() {
+    let first_retry_delay = |seed| {
+        let mut schedule = Schedule::new(CallTiming::SHARED_SERVICE, seed);
+        schedule.record_failure();
+        schedule.next_watch().delay.as_millis()
     };
-    let pauses: std::collections::BTreeSet<u128> = (0..300).map(first).collect();
-    assert!(pauses.len() > 60, "{} instants", pauses.len());
+    let delays: std::collections::BTreeSet<u128> = (0..300).map(first_retry_delay).collect();
+    assert!(delays.len() > 60, "{} distinct delays", delays.len());
 }
 
 /// How a call ends.
 #[derive(Clone, Copy, Debug)]
-enum End {
-    /// Answered so much of its time after it was made.
+enum CallResult {
+    /// Answered after this fraction of its timeout.
     Answered(f64),
-    /// Refused or reset so much of its time after it was made.
-    Refused(f64),
-    /// Nothing comes.
-    Silent,
+    /// Rejected or reset after this fraction of its timeout.
+    Failed(f64),
+    /// Not answered until its timeout.
+    NoResponse,
 }
 
-/// A call of a proxy: when it is made and when it ends, and whether it brings what discovery has at its end.
-fn made(call: Call, end: End, now: Duration) -> (Duration, bool) {
-    let begun = now + call.pause;
-    match end {
-        End::Answered(part) => (begun + call.deadline.mul_f64(part), true),
-        End::Refused(part) => (begun + call.deadline.mul_f64(part), false),
-        End::Silent => (begun + call.deadline, false),
+/// Runs a call and returns when it ends and whether it succeeded.
+fn run_call(call: Call, call_result: CallResult, now: Duration) -> (Duration, bool) {
+    let started = now + call.delay;
+    match call_result {
+        CallResult::Answered(fraction) => (started + call.timeout.mul_f64(fraction), true),
+        CallResult::Failed(fraction) => (started + call.timeout.mul_f64(fraction), false),
+        CallResult::NoResponse => (started + call.timeout, false),
     }
 }
 
-fn end() -> impl Strategy<Value = End> {
+fn call_result() -> impl Strategy<Value = CallResult> {
     prop_oneof![
-        (0.0..1.0f64).prop_map(End::Answered),
-        (0.0..1.0f64).prop_map(End::Refused),
-        Just(End::Silent),
+        (0.0..1.0f64).prop_map(CallResult::Answered),
+        (0.0..1.0f64).prop_map(CallResult::Failed),
+        Just(CallResult::NoResponse),
     ]
 }
 
 proptest! {
-    /// Whatever became of the calls before, once discovery can be reached a call made then is answered promptly, and
-    /// what it has is had in time. A watch may fall silent under that, and the call after it as well.
+    /// After any earlier results, a call made once the service is reachable brings the change in time, even
+    /// if the current watch and the call after it get no response.
     #[test]
-    fn a_change_is_had_in_time_whatever_failed_before(
+    fn change_arrives_within_the_bound_after_any_failures(
         seed in any::<u64>(),
-        before in prop::collection::vec(end(), 0..20),
+        earlier_results in prop::collection::vec(call_result(), 0..20),
         at in 0.0..1.0f64,
-        silent in 0..2usize,
-        pushed in any::<bool>(),
+        unanswered_calls in 0..2usize,
+        is_local_agent in any::<bool>(),
     ) {
-        let pace = if pushed { Pace::PUSHED } else { Pace::ASKED };
-        let mut schedule = Schedule::new(pace, seed);
+        let timing = if is_local_agent { CallTiming::LOCAL_AGENT } else { CallTiming::SHARED_SERVICE };
+        let mut schedule = Schedule::new(timing, seed);
         let mut now = Duration::ZERO;
-        for end in before {
-            let (ended, good) = made(schedule.watch(), end, now);
+        for call_result in earlier_results {
+            let (ended, succeeded) = run_call(schedule.next_watch(), call_result, now);
             now = ended;
-            if good { schedule.answered() } else { schedule.failed() }
+            if succeeded { schedule.record_success() } else { schedule.record_failure() }
         }
-        // The change comes, or discovery can be reached again, while this call is out, which is silent; where it
-        // was a watch that worked until then, so is the call after it.
-        let call = schedule.watch();
+        // The change happens, or the service becomes reachable, during this call, which gets no response. If
+        // the call is a watch that worked before, the next call may get no response either.
+        let call = schedule.next_watch();
         let healthy = schedule.failures() == 0;
-        let reachable = now + call.pause + call.deadline.mul_f64(at);
-        now = made(call, End::Silent, now).0;
-        schedule.failed();
-        for _ in 0..if healthy { silent } else { 0 } {
-            now = made(schedule.watch(), End::Silent, now).0;
-            schedule.failed();
+        let reachable = now + call.delay + call.timeout.mul_f64(at);
+        now = run_call(call, CallResult::NoResponse, now).0;
+        schedule.record_failure();
+        for _ in 0..if healthy { unanswered_calls } else { 0 } {
+            now = run_call(schedule.next_watch(), CallResult::NoResponse, now).0;
+            schedule.record_failure();
         }
-        now += schedule.watch().pause + pace.answer_within;
-        prop_assert!(now - reachable <= pace.staleness(), "{:?} of {:?}", now - reachable, pace.staleness());
+        now += schedule.next_watch().delay + timing.response_timeout;
+        prop_assert!(now - reachable <= timing.max_staleness(), "{:?} of {:?}", now - reachable, timing.max_staleness());
     }
 }
--- a/crates/http/tests/kept_connections.rs
+++ b/crates/http/tests/kept_connections.rs
@@ -1,11 +1,11 @@
-//! Kept connections on which something happens in the very moment of their use. The runtime of these tests does not
-//! hear of it before the attempt begins, so that the bad order comes every time.
+//! Idle connections that fail at the moment of their reuse. The runtime is blocked during the fault, so that
+//! it can't notice the fault before the attempt starts.
 
 use bytes::Bytes;
-use dewpier_http::backend::{Answers, Http, Reuse};
-use dewpier_http::body::Given;
+use dewpier_http::backend::{HttpUpstream, ResponsePolicy, ReusePolicy};
+use dewpier_http::body::ResponseBody;
 use dewpier_http::limits::Budget;
-use dewpier_http::payload::{Carried, Payload};
+use dewpier_http::payload::{Payload, PayloadBody};
 use dewpier_standins::LONG;
 use dewpier_standins::message::{answer, read, reset};
 use gannetproxy::engine::{Attempt, AttemptResult, Clock, SendGate, Upstream};
@@ -17,73 +17,79 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-/// What a backend does with its first connection once its first answer is out and it is told to.
+/// What a backend does to its first connection after the first response, once triggered.
 #[derive(Clone, Copy, Debug)]
-enum Meanwhile {
-    /// Writes this.
-    Writes(&'static str),
-    /// Ends its side.
-    Ends,
-    /// Resets it.
-    Resets,
+enum ConnectionFault {
+    /// Sends these bytes.
+    SendBytes(&'static str),
+    /// Closes its write side.
+    StreamedResponse,
+    /// Resets the connection.
+    Reset,
 }
 
-/// A backend that answers 'good', and does something to its first connection between two requests.
+/// A backend that answers "good" and applies a fault to its first connection between two requests.
 struct Backend {
     address: SocketAddr,
-    go: Sender<()>,
+    trigger: Sender<()>,
     done: Receiver<()>,
     served: Receiver<usize>,
 }
 
 impl Backend {
-    fn start(meanwhile: Meanwhile) -> Self {
+    fn start(fault: ConnectionFault) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let ((go, gone), (tell, done), (serve, served)) = (channel(), channel(), channel());
+        let ((trigger, triggered), (notify_done, done), (record_served, served)) =
+            (channel(), channel(), channel());
         std::thread::spawn(move || {
             let (first, _) = listener.accept().unwrap();
             let mut stream = BufReader::new(first.try_clone().unwrap());
-            answer_one(&mut stream);
-            serve.send(1).unwrap();
-            gone.recv_timeout(LONG).unwrap();
-            let open = match meanwhile {
-                Meanwhile::Writes(text) => (&first).write_all(text.as_bytes()).map(|()| Some(stream)),
-                Meanwhile::Ends => first.shutdown(Shutdown::Write).map(|()| Some(stream)),
-                Meanwhile::Resets => {
+            answer_request(&mut stream);
+            record_served.send(1).unwrap();
+            triggered.recv_timeout(LONG).unwrap();
+            let open = match fault {
+                ConnectionFault::SendBytes(text) => {
+                    (&first).write_all(text.as_bytes()).map(|()| Some(stream))
+                }
+                ConnectionFault::StreamedResponse => first.shutdown(Shutdown::Write).map(|()| Some(stream)),
+                ConnectionFault::Reset => {
                     drop(stream);
                     reset(first);
                     Ok(None)
                 }
             };
             let open = open.unwrap();
-            tell.send(()).unwrap();
-            // What still comes whole on the first connection runs there.
-            let also = serve.clone();
+            notify_done.send(()).unwrap();
+            // Complete requests that still arrive on the first connection are served there.
+            let record_first = record_served.clone();
             std::thread::spawn(move || {
                 let Some(mut stream) = open else { return };
-                while answer_one(&mut stream) {
-                    also.send(1).unwrap();
+                while answer_request(&mut stream) {
+                    record_first.send(1).unwrap();
                 }
             });
             for (number, stream) in listener.incoming().enumerate() {
                 let mut stream = BufReader::new(stream.unwrap());
-                while answer_one(&mut stream) {
-                    serve.send(2 + number).unwrap();
+                while answer_request(&mut stream) {
+                    record_served.send(2 + number).unwrap();
                 }
             }
         });
-        Self { address, go, done, served }
+        Self { address, trigger, done, served }
     }
 }
 
-fn answer_one(stream: &mut BufReader<TcpStream>) -> bool {
-    let asked = read(stream).is_some();
-    asked && stream.get_mut().write_all(answer("200 OK", "good").as_bytes()).is_ok()
+fn answer_request(stream: &mut BufReader<TcpStream>) -> bool {
+    let received = read(stream).is_some();
+    received && stream.get_mut().write_all(answer("200 OK", "good").as_bytes()).is_ok()
 }
 
-async fn attempt(http: &Http, endpoint: &Rc<<Http as Upstream>::Endpoint>) -> (Outcome, Bytes) {
-    let made = Attempt {
+async fn attempt(
+    http: &HttpUpstream,
+    endpoint: &Rc<<HttpUpstream as Upstream>::Endpoint>,
+) -> (Outcome, Bytes) {
+    let context = Attempt {
         gate: Rc::new(SendGate::default()),
         backend: BackendId(1),
         clock: Clock::start(),
@@ -97,52 +103,51 @@
         method: "POST".parse().unwrap(),
         uri: "/api".parse().unwrap(),
         headers: [("host".parse().unwrap(), "app.svc".parse().unwrap())].into_iter().collect(),
-        body: Carried::Whole("body".into()),
-        stake: dewpier_reuse::Stake::Wait,
-        lost: Default::default(),
+        body: PayloadBody::Buffered("body".into()),
+        loss_cost: dewpier_reuse::LossCost::Retryable,
+        lost_on_reused: Default::default(),
     };
-    let AttemptResult { outcome, reply: served, .. } =
-        http.attempt(endpoint.clone(), payload.into(), made).await;
-    let body = served.map(|served| match served.body {
-        Given::Whole(body) => body,
-        Given::Passed(_) => unreachable!("it is short"),
+    let AttemptResult { outcome, reply, .. } = http.attempt(endpoint.clone(), payload.into(), context).await;
+    let body = reply.map(|response| match response.body {
+        ResponseBody::Buffered(body) => body,
+        ResponseBody::Streamed(_) => unreachable!("the body is short"),
     });
     (outcome, body.unwrap_or_default())
 }
 
 #[test]
-fn what_befalls_a_kept_connection_in_the_moment_of_its_use_costs_nothing() {
-    for meanwhile in [
-        Meanwhile::Writes("HTTP/1.1 2"),
-        Meanwhile::Writes("\r\n"),
-        Meanwhile::Writes("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"),
-        Meanwhile::Writes("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nstray"),
-        Meanwhile::Writes("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
-        Meanwhile::Ends,
-        Meanwhile::Resets,
+fn fault_on_idle_connection_at_reuse_is_retried_on_a_new_one() {
+    for fault in [
+        ConnectionFault::SendBytes("HTTP/1.1 2"),
+        ConnectionFault::SendBytes("\r\n"),
+        ConnectionFault::SendBytes("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"),
+        ConnectionFault::SendBytes("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nstray"),
+        ConnectionFault::SendBytes("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
+        ConnectionFault::StreamedResponse,
+        ConnectionFault::Reset,
     ] {
-        let backend = Backend::start(meanwhile);
-        let http = Http {
+        let backend = Backend::start(fault);
+        let http = HttpUpstream {
             connections: Budget::new(4),
             connect_timeout: LONG,
             idle_close: LONG,
             probe_path: "/",
-            reuse: Reuse::new(0.0),
-            answers: Answers::Platform,
-            attempts: Default::default(),
+            reuse_policy: ReusePolicy::new(0.0),
+            response_policy: ResponsePolicy::Platform,
+            attempt_counter: Default::default(),
         };
         let endpoint = Rc::new(http.create_endpoint(backend.address));
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(async {
             assert_eq!(attempt(&http, &endpoint).await, (Outcome::Served, "good".into()));
-            // Until it has settled, and is used again.
+            // Waits until the connection is settled and may be reused.
             tokio::time::sleep(Duration::from_millis(60)).await;
-            // The thread stands still here, so that the runtime hears of nothing before the next attempt begins.
-            backend.go.send(()).unwrap();
+            // Blocks the thread, so that the runtime notices nothing before the next attempt starts.
+            backend.trigger.send(()).unwrap();
             backend.done.recv_timeout(LONG).unwrap();
-            assert_eq!(attempt(&http, &endpoint).await, (Outcome::Served, "good".into()), "{meanwhile:?}");
+            assert_eq!(attempt(&http, &endpoint).await, (Outcome::Served, "good".into()), "{fault:?}");
         });
         let served: Vec<usize> = backend.served.try_iter().collect();
-        assert_eq!(served, [1, 2], "{meanwhile:?}: each ran once, the second one on a new connection");
+        assert_eq!(served, [1, 2], "{fault:?}: each request must run once, the second on a new connection");
     }
 }
--- a/crates/http/tests/routes.rs
+++ b/crates/http/tests/routes.rs
@@ -1,10 +1,10 @@
-//! Which class a plain HTTP request belongs to.
+//! Tests the assignment of plain HTTP requests to classes.
 
 use dewpier_http::routes::{Route, Routes};
 use hyper::Method;
 
 #[test]
-fn the_first_rule_that_fits_holds() {
+fn first_matching_rule_determines_the_class() {
     let route = |methods: &[Method], prefix: &str, class| Route {
         methods: methods.to_vec(),
         prefix: prefix.into(),
@@ -25,6 +25,6 @@
         (Method::GET, "/", Some(2)),
         (Method::DELETE, "/", None),
     ] {
-        assert_eq!(routes.class(&method, path), class, "{method} {path}");
+        assert_eq!(routes.find_class(&method, path), class, "{method} {path}");
     }
 }
--- a/crates/reuse/src/lib.rs
+++ b/crates/reuse/src/lib.rs
@@ -1,9 +1,11 @@
-//! Which kept connections are worth using again. A connection that has stood idle may have been given
-//! up by its other side without a word that arrives: what is written to it then is lost, and if it must
-//! not run twice it can't be sent again. A new connection has a price instead. This crate learns, for
-//! each backend, how often kept connections turn out spoilt by how long they have stood idle, and after
-//! which time the backend closes them, and weighs both against that price. It does no I/O and has no
-//! clock: times come in as seconds, from any origin that stays.
+//! Estimates when an idle backend connection is safe to reuse.
+//!
+//! A backend may close an idle connection without the proxy noticing in time. A request written to such a
+//! stale connection is lost, and a request that must not run twice can't be sent again. Opening a new
+//! connection has a price instead. For each backend this crate tracks how often reused connections turn out
+//! stale, by idle time, and estimates the idle timeout of the backend; [`ReuseHistory`] weighs that risk
+//! against the price of a handshake. The crate does no I/O and reads no clock: callers pass times in seconds
+//! from any fixed origin.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -11,51 +13,51 @@
 mod odds;
 mod tally;
 
-pub use limit::Limit;
-pub use odds::{AGES, Odds, Shared};
+pub use limit::IdleTimeoutEstimate;
+pub use odds::{IDLE_TIME_BOUNDS_SECONDS, ReuseHistory, SharedHistory};
 
-/// Seconds.
+/// A time or duration in seconds.
 pub type Time = f64;
 
-/// What is lost with a request that a spoilt connection swallows, in parts of its worth.
+/// The cost of losing a request on a stale connection, as a fraction of the worth of the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Stake {
-    /// It can't be sent again: all of it.
-    Whole,
-    /// It may be sent again: a wait and one more attempt.
-    Wait,
+pub enum LossCost {
+    /// The request can't be sent again, so that all of its worth is lost.
+    NotRetryable,
+    /// The request may be sent again: the loss is a delay and one more attempt.
+    Retryable,
 }
 
-impl Stake {
-    /// As a part of the worth of a request.
-    pub fn part(self) -> f64 {
+impl LossCost {
+    /// Returns the cost as a fraction of the worth of the request.
+    pub fn fraction(self) -> f64 {
         match self {
-            Stake::Whole => 1.0,
-            Stake::Wait => 0.25,
+            LossCost::NotRetryable => 1.0,
+            LossCost::Retryable => 0.25,
         }
     }
 }
 
-/// What a new connection costs, as a part of the worth of an average request.
+/// The price of a new connection, as a fraction of the worth of an average request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Price(f64);
+pub struct HandshakePrice(f64);
 
-/// A handshake is work for the backend and a wait for the request, even where no price is set.
-const LEAST_PRICE: f64 = 0.01;
+/// Smallest price of a handshake: it always costs the backend work and the request a delay.
+const MIN_HANDSHAKE_PRICE: f64 = 0.01;
 
-impl Price {
-    /// This much, on top of what any handshake costs; what is no number from 0 on counts as none.
-    pub fn new(part: f64) -> Self {
-        Self(LEAST_PRICE + if part.is_finite() { part.max(0.0) } else { 0.0 })
+impl HandshakePrice {
+    /// Adds `fraction` to the smallest price. A negative or non-finite `fraction` counts as 0.
+    pub fn new(fraction: f64) -> Self {
+        Self(MIN_HANDSHAKE_PRICE + if fraction.is_finite() { fraction.max(0.0) } else { 0.0 })
     }
 
-    /// As a part of the worth of a request.
-    pub fn part(self) -> f64 {
+    /// Returns the price as a fraction of the worth of an average request.
+    pub fn fraction(self) -> f64 {
         self.0
     }
 }
 
-impl Default for Price {
+impl Default for HandshakePrice {
     fn default() -> Self {
         Self::new(0.0)
     }
--- a/crates/reuse/src/limit.rs
+++ b/crates/reuse/src/limit.rs
@@ -1,43 +1,46 @@
-//! After which idle time a backend closes its connections, where it has such a time.
+//! Estimates the idle timeout of a backend from the connections that it closed.
 
 use crate::Time;
 
-/// What is closed sooner than this after an answer was closed because of that answer.
-const BEHIND_ANSWER: Time = 0.05;
-/// Closings that are remembered.
-const KEPT: usize = 8;
-/// With fewer there is no telling.
-const FEWEST: usize = 3;
-/// They come from one timer if they lie within this part of the longest: what sees them looks at
-/// connections only now and then.
-const SPREAD: f64 = 0.25;
-/// They are believed for so long.
-const BELIEVED: Time = 600.0;
+/// Shortest idle time that counts, in seconds: a connection closed earlier was closed along with its
+/// response.
+const MIN_IDLE_SECONDS: Time = 0.05;
+/// Number of closings that are remembered.
+const MAX_CLOSINGS: usize = 8;
+/// Fewest closings that an estimate is based on.
+const MIN_CLOSINGS: usize = 3;
+/// Largest difference between observed idle times, as a fraction of the longest, at which they count as one
+/// timeout. Closings are noticed only when connections are checked.
+const MAX_SPREAD_FRACTION: f64 = 0.25;
+/// Age in seconds beyond which a closing is ignored.
+const MAX_AGE_SECONDS: Time = 600.0;
 
-/// The last idle times at which a backend was seen to close.
+/// The idle times after which a backend closed its last connections.
 #[derive(Clone, Debug, Default)]
-pub struct Limit {
-    seen: [(Time, Time); KEPT],
+pub struct IdleTimeoutEstimate {
+    closings: [(Time, Time); MAX_CLOSINGS],
     count: usize,
 }
 
-impl Limit {
-    /// It has closed a connection that had stood idle for so long.
-    pub fn closed(&mut self, now: Time, idle: Time) {
-        if idle > BEHIND_ANSWER {
-            self.seen[self.count % KEPT] = (now, idle);
+impl IdleTimeoutEstimate {
+    /// Records that the backend closed a connection after `idle` seconds without use.
+    pub fn record_close(&mut self, now: Time, idle: Time) {
+        if idle > MIN_IDLE_SECONDS {
+            self.closings[self.count % MAX_CLOSINGS] = (now, idle);
             self.count += 1;
         }
     }
 
-    /// When it closes, if what was seen agrees on that.
-    pub fn known(&self, now: Time) -> Option<Time> {
-        let recent = || self.seen[..self.count.min(KEPT)].iter().filter(|(at, _)| now - at < BELIEVED);
-        if recent().count() < FEWEST {
+    /// Returns the idle timeout of the backend in seconds, if the recent closings agree on one.
+    pub fn estimate(&self, now: Time) -> Option<Time> {
+        let recent = || {
+            self.closings[..self.count.min(MAX_CLOSINGS)].iter().filter(|(at, _)| now - at < MAX_AGE_SECONDS)
+        };
+        if recent().count() < MIN_CLOSINGS {
             return None;
         }
-        let least = recent().map(|(_, idle)| *idle).fold(f64::INFINITY, f64::min);
-        let most = recent().map(|(_, idle)| *idle).fold(0.0, f64::max);
-        (most - least <= SPREAD * most).then_some(least)
+        let shortest = recent().map(|(_, idle)| *idle).fold(f64::INFINITY, f64::min);
+        let longest = recent().map(|(_, idle)| *idle).fold(0.0, f64::max);
+        (longest - shortest <= MAX_SPREAD_FRACTION * longest).then_some(shortest)
     }
 }
--- a/crates/reuse/src/odds.rs
+++ b/crates/reuse/src/odds.rs
@@ -1,99 +1,107 @@
-//! The odds that a kept connection is spoilt, by how long it has stood idle.
+//! Estimates the probability that an idle connection is stale, by how long it has been idle.
 
-use crate::limit::Limit;
-use crate::tally::Tally;
-use crate::{Price, Stake, Time};
+use crate::limit::IdleTimeoutEstimate;
+use crate::tally::DecayingCount;
+use crate::{HandshakePrice, LossCost, Time};
 
-/// Idle times are told apart by these upper bounds, in seconds, and what lies beyond the last one.
-pub const AGES: [Time; 9] = [0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
-const BINS: usize = AGES.len() + 1;
+/// Upper bounds of the idle time buckets, in seconds. One more bucket holds all longer times.
+pub const IDLE_TIME_BOUNDS_SECONDS: [Time; 9] = [0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
+const BUCKETS: usize = IDLE_TIME_BOUNDS_SECONDS.len() + 1;
 
-/// What is believed of connections of which nothing is known: one in 200 is spoilt,
-const PRIOR: f64 = 0.005;
-/// as if that had been seen so many times. Few, so that the first one that is lost tells: each proxy learns by
-/// losing what it must not lose, and where many learn beside each other a stubborn belief is paid for by each.
-const PRIOR_USES: f64 = 5.0;
-/// What all backends show counts for each one as so many uses of its own.
-const SHARED_USES: f64 = 10.0;
-/// From this part of the time on at which a backend closes, what is written may cross that.
-const NEAR_LIMIT: f64 = 0.8;
-/// The odds that it does.
-const CROSSES: f64 = 0.5;
+/// Stale probability assumed for connections without observations.
+const PRIOR_STALE_PROBABILITY: f64 = 0.005;
+/// Weight of the prior, in uses. It is small so that the first lost request already changes the estimate.
+const PRIOR_WEIGHT_USES: f64 = 5.0;
+/// Weight of the history of all backends in the estimate for one backend, in uses.
+const SHARED_WEIGHT_USES: f64 = 10.0;
+/// Fraction of the idle timeout of the backend from which a request may cross the closing of the connection.
+const NEAR_TIMEOUT_FRACTION: f64 = 0.8;
+/// Stale probability assumed from that idle time on.
+const NEAR_TIMEOUT_STALE_PROBABILITY: f64 = 0.5;
 
-fn bin(idle: Time) -> usize {
-    AGES.partition_point(|age| *age < idle)
+fn bucket_index(idle: Time) -> usize {
+    IDLE_TIME_BOUNDS_SECONDS.partition_point(|bound| *bound < idle)
 }
 
-/// What all backends together have shown, of kept connections by age and of new ones.
+/// Outcomes of connections to all backends: reused ones by idle time, and new ones.
 #[derive(Clone, Debug, Default)]
-pub struct Shared {
-    kept: [Tally; BINS],
-    new: Tally,
+pub struct SharedHistory {
+    by_idle_time: [DecayingCount; BUCKETS],
+    new_connections: DecayingCount,
 }
 
-impl Shared {
-    /// The odds by age. A connection that has stood longer is no safer, so that neighbours which say
-    /// otherwise are few and are pooled (isotonic regression by pooling adjacent violators; Ayer,
-    /// Brunk, Ewing, Reid and Silverman 1955).
-    fn by_age(&self, now: Time) -> [f64; BINS] {
-        // Pools of neighbouring ages: uses, spoilt, and how many ages.
-        let mut pools: Vec<(f64, f64, usize)> = Vec::with_capacity(BINS);
-        for tally in &self.kept {
-            let (used, spoilt) = tally.seen(now);
-            let mut pool = (used + PRIOR_USES, spoilt + PRIOR * PRIOR_USES, 1);
-            while let Some(before) = pools.pop_if(|b| b.1 / b.0 > pool.1 / pool.0) {
-                pool = (pool.0 + before.0, pool.1 + before.1, pool.2 + before.2);
+impl SharedHistory {
+    /// Returns the stale probability of each bucket. The probability can't fall with the idle time, so that
+    /// buckets that violate this are pooled (isotonic regression by pooling adjacent violators; Ayer, Brunk,
+    /// Ewing, Reid and Silverman 1955).
+    fn stale_probabilities(&self, now: Time) -> [f64; BUCKETS] {
+        // Pools of adjacent buckets: uses, stale connections and the number of buckets.
+        let mut pools: Vec<(f64, f64, usize)> = Vec::with_capacity(BUCKETS);
+        for count in &self.by_idle_time {
+            let (used, stale) = count.decayed(now);
+            let mut pool = (used + PRIOR_WEIGHT_USES, stale + PRIOR_STALE_PROBABILITY * PRIOR_WEIGHT_USES, 1);
+            while let Some(previous) = pools.pop_if(|b| b.1 / b.0 > pool.1 / pool.0) {
+                pool = (pool.0 + previous.0, pool.1 + previous.1, pool.2 + previous.2);
             }
             pools.push(pool);
         }
-        let mut odds = [PRIOR; BINS];
-        let each = pools.iter().flat_map(|pool| std::iter::repeat_n(pool.1 / pool.0, pool.2));
-        odds.iter_mut().zip(each).for_each(|(place, odds)| *place = odds);
-        odds
+        let mut probabilities = [PRIOR_STALE_PROBABILITY; BUCKETS];
+        let pooled = pools.iter().flat_map(|pool| std::iter::repeat_n(pool.1 / pool.0, pool.2));
+        probabilities.iter_mut().zip(pooled).for_each(|(slot, probability)| *slot = probability);
+        probabilities
     }
 
-    fn new_ones(&self, now: Time) -> f64 {
-        let (used, spoilt) = self.new.seen(now);
-        (spoilt + PRIOR * PRIOR_USES) / (used + PRIOR_USES)
+    fn new_connection_stale_probability(&self, now: Time) -> f64 {
+        let (used, stale) = self.new_connections.decayed(now);
+        (stale + PRIOR_STALE_PROBABILITY * PRIOR_WEIGHT_USES) / (used + PRIOR_WEIGHT_USES)
     }
 }
 
-/// What one backend has shown. Its size is fixed.
+/// Outcomes of connections to one backend. Its size is fixed.
 #[derive(Clone, Debug, Default)]
-pub struct Odds {
-    kept: [Tally; BINS],
-    limit: Limit,
+pub struct ReuseHistory {
+    by_idle_time: [DecayingCount; BUCKETS],
+    idle_timeout: IdleTimeoutEstimate,
 }
 
-impl Odds {
-    /// A request went out on a connection that had stood idle for so long (none: a new one), and
-    /// was spoilt or not: swallowed, or broken before its last byte. The latter costs nothing, and tells that
-    /// the other side gives up connections of that age.
-    pub fn used(&mut self, shared: &mut Shared, now: Time, idle: Option<Time>, spoilt: bool) {
+impl ReuseHistory {
+    /// Records a request that was sent on a connection after `idle` seconds without use, or on a new
+    /// connection if `idle` is `None`. The connection was stale if it lost the request or broke before the
+    /// last byte was sent; the second case loses nothing, but shows that connections are closed at this age.
+    pub fn record_use(&mut self, shared: &mut SharedHistory, now: Time, idle: Option<Time>, was_stale: bool) {
         let Some(idle) = idle else {
-            return shared.new.add(now, spoilt);
+            return shared.new_connections.record(now, was_stale);
         };
-        shared.kept[bin(idle)].add(now, spoilt);
-        self.kept[bin(idle)].add(now, spoilt);
+        shared.by_idle_time[bucket_index(idle)].record(now, was_stale);
+        self.by_idle_time[bucket_index(idle)].record(now, was_stale);
     }
 
-    /// The backend has closed a connection that had stood idle for so long.
-    pub fn closed(&mut self, now: Time, idle: Time) {
-        self.limit.closed(now, idle);
+    /// Records that the backend closed a connection after `idle` seconds without use.
+    pub fn record_close(&mut self, now: Time, idle: Time) {
+        self.idle_timeout.record_close(now, idle);
     }
 
-    /// The odds that a connection which has stood idle for so long swallows what is written to it.
-    pub fn spoilt(&self, shared: &Shared, now: Time, idle: Time) -> f64 {
-        let common = shared.by_age(now)[bin(idle)];
-        let (used, spoilt) = self.kept[bin(idle)].seen(now);
-        let own = (spoilt + common * SHARED_USES) / (used + SHARED_USES);
-        let near = self.limit.known(now).is_some_and(|limit| idle >= NEAR_LIMIT * limit);
-        if near { own.max(CROSSES) } else { own }
+    /// Returns the probability that a connection loses a request after `idle` seconds without use.
+    pub fn stale_probability(&self, shared: &SharedHistory, now: Time, idle: Time) -> f64 {
+        let shared_probability = shared.stale_probabilities(now)[bucket_index(idle)];
+        let (used, stale) = self.by_idle_time[bucket_index(idle)].decayed(now);
+        let blended = (stale + shared_probability * SHARED_WEIGHT_USES) / (used + SHARED_WEIGHT_USES);
+        let is_near_timeout =
+            self.idle_timeout.estimate(now).is_some_and(|timeout| idle >= NEAR_TIMEOUT_FRACTION * timeout);
+        if is_near_timeout { blended.max(NEAR_TIMEOUT_STALE_PROBABILITY) } else { blended }
     }
 
-    /// Whether a kept connection is the better choice than a new one at that price.
-    pub fn worth_using(&self, shared: &Shared, now: Time, idle: Time, stake: Stake, price: Price) -> bool {
-        let more = self.spoilt(shared, now, idle) - shared.new_ones(now);
-        more * stake.part() <= price.part()
+    /// Returns whether reusing the connection is expected to cost less than a new one at `price`.
+    pub fn is_worth_reusing(
+        &self,
+        shared: &SharedHistory,
+        now: Time,
+        idle: Time,
+        loss_cost: LossCost,
+        price: HandshakePrice,
+    ) -> bool {
+        let extra_risk =
+            self.stale_probability(shared, now, idle) - shared.new_connection_stale_probability(now);
+        extra_risk * loss_cost.fraction() <= price.fraction()
     }
 }
--- a/crates/reuse/src/tally.rs
+++ b/crates/reuse/src/tally.rs
@@ -1,31 +1,30 @@
-//! A count of uses that forgets.
+//! Counts connection uses with exponential decay.
 
 use crate::Time;
 
-/// Uses are half forgotten after so long: a backend's settings change with its releases, a network's
-/// temper by the minute.
-const HALF_LIFE: Time = 60.0;
+/// Time in seconds after which an observation has half of its weight.
+const HALF_LIFE_SECONDS: Time = 60.0;
 
-/// How often something was used, and how often it was spoilt.
+/// How often connections were used and how often they were stale, decaying over time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tally {
+pub struct DecayingCount {
     used: f64,
-    spoilt: f64,
-    at: Time,
+    stale: f64,
+    updated_at: Time,
 }
 
-impl Tally {
-    /// One more use.
-    pub fn add(&mut self, now: Time, spoilt: bool) {
-        let (before, lost) = self.seen(now);
-        self.used = before + 1.0;
-        self.spoilt = lost + f64::from(u8::from(spoilt));
-        self.at = self.at.max(now);
+impl DecayingCount {
+    /// Counts one more use at time `now`.
+    pub fn record(&mut self, now: Time, was_stale: bool) {
+        let (previous_uses, previous_stale) = self.decayed(now);
+        self.used = previous_uses + 1.0;
+        self.stale = previous_stale + f64::from(u8::from(was_stale));
+        self.updated_at = self.updated_at.max(now);
     }
 
-    /// Uses and spoilt ones that are remembered now.
-    pub fn seen(&self, now: Time) -> (f64, f64) {
-        let keep = (-(now - self.at).max(0.0) / HALF_LIFE).exp2();
-        (self.used * keep, self.spoilt * keep)
+    /// Returns the decayed numbers of uses and of stale connections at time `now`.
+    pub fn decayed(&self, now: Time) -> (f64, f64) {
+        let decay = (-(now - self.updated_at).max(0.0) / HALF_LIFE_SECONDS).exp2();
+        (self.used * decay, self.stale * decay)
     }
 }
