--- a/src/engine/affine.rs
+++ b/src/engine/affine.rs
@@ -1,16 +1,22 @@
-//! Requests that one backend alone can do, as what they need lives on a connection to it: a statement in a
-//! transaction. There is nothing to choose and nothing to repeat, so that the module is not asked. All else holds
-//! as for any other: the gate, the deadline, the bound on open ones, and one final answer.
+//! Requests with backend affinity: only one backend can run them, since their state lives on a connection to
+//! it, such as a statement in a transaction.
+//!
+//! No backend is chosen and nothing is retried, so that the decision module doesn't know these requests. The
+//! send gate, the deadline, the limit on open requests and the single final answer apply as to any other
+//! request.
 
-use super::{ANSWER_WAY, Answer, Due, Engine, Open, State, Upstream, give_answer, give_up};
+use super::{
+    ANSWER_DELIVERY_SECONDS, Answer, Engine, OpenRequest, State, TimerKind, Upstream, abort_attempt,
+    send_answer,
+};
 use crate::{BackendId, Outcome, RequestId, Time};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
 impl<U: Upstream> Engine<U> {
-    /// Takes in a request for that backend, whose client will wait for `budget` seconds. It gets one attempt. It is
-    /// refused where nothing of it was sent, and failed where it may have run.
+    /// Submits a request to `backend` whose client waits for `budget` seconds. The request gets one attempt;
+    /// it is rejected if nothing of it was sent, and fails if it may have run.
     pub fn submit_request_to(
         &self,
         backend: BackendId,
@@ -19,53 +25,53 @@
     ) -> (RequestId, oneshot::Receiver<Answer<U::Reply>>) {
         let (sender, receiver) = oneshot::channel();
         let mut state = self.state.borrow_mut();
-        state.requests += 1;
-        let id = RequestId(state.requests);
-        if state.open.len() >= self.max_open || !state.endpoints.contains_key(&backend) {
-            let _ = sender.send(Answer::Rejected(None, None)); // the receiver is still here
+        state.last_request_number += 1;
+        let id = RequestId(state.last_request_number);
+        if state.open_requests.len() >= self.max_open_requests || !state.endpoints.contains_key(&backend) {
+            let _ = sender.send(Answer::Rejected(None, None)); // the receiver still exists
             return (id, receiver);
         }
         let now = self.clock.now();
-        let left = budget - self.lag.get();
-        let until = now + left - 0.5 * ANSWER_WAY;
+        let time_left = budget - self.lag.get();
+        let deadline = now + time_left - 0.5 * ANSWER_DELIVERY_SECONDS;
         let payload = Rc::new(payload);
-        let open = Open {
-            txn: None,
+        let open = OpenRequest {
+            client_request_id: None,
             answer: sender,
             payload,
-            until,
+            deadline,
             attempts: 0,
             affine: true,
             class: 0,
-            kept: None,
+            exclusive: None,
             fallback: None,
             request_open: Rc::new(Cell::new(true)),
         };
-        state.open.insert(id, open);
-        self.set_timer(&mut state, until, Due::Request(id));
-        self.send(&mut state, id, backend, (left - ANSWER_WAY).max(0.001), now);
+        state.open_requests.insert(id, open);
+        self.set_timer(&mut state, deadline, TimerKind::Request(id));
+        self.send(&mut state, id, backend, (time_left - ANSWER_DELIVERY_SECONDS).max(0.001), now);
         (id, receiver)
     }
 }
 
-/// Its attempt has ended without being served.
-pub(super) fn end<U: Upstream>(
+/// Answers an affine request whose attempt ended without a reply.
+pub(super) fn end_request<U: Upstream>(
     state: &mut State<U>,
     id: RequestId,
     outcome: Outcome,
     fallback: Option<U::Reply>,
 ) {
     let unsent = matches!(outcome, Outcome::NoConnection | Outcome::NeverSent | Outcome::Full);
-    give_answer(
+    send_answer(
         state,
         id,
         |_| if unsent { Answer::Rejected(None, fallback) } else { Answer::Failed(fallback) },
     );
 }
 
-/// Its client waits no longer.
-pub(super) fn late<U: Upstream>(state: &mut State<U>, id: RequestId) {
-    let written = state.running.get(&(id, 0)).is_some_and(|running| running.written.get());
-    give_up(state, id, 0);
-    give_answer(state, id, |_| if written { Answer::Failed(None) } else { Answer::Rejected(None, None) });
+/// Answers an affine request whose deadline has passed.
+pub(super) fn expire<U: Upstream>(state: &mut State<U>, id: RequestId) {
+    let written = state.running_attempts.get(&(id, 0)).is_some_and(|running| running.written.get());
+    abort_attempt(state, id, 0);
+    send_answer(state, id, |_| if written { Answer::Failed(None) } else { Answer::Rejected(None, None) });
 }
--- a/src/engine/budget.rs
+++ b/src/engine/budget.rs
@@ -1,49 +1,49 @@
-//! Bounds that parts of a process share: connections, bytes.
+//! Limits on resources that are shared within a process, such as connections or bytes.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// So much of something may be in use, all together.
+/// A limit on how much of a resource may be in use at once.
 #[derive(Debug)]
 pub struct Budget {
     used: Cell<usize>,
-    most: Cell<usize>,
+    capacity: Cell<usize>,
 }
 
-/// A part of a budget, given back when it is dropped.
+/// A share of a [`Budget`] that is returned when dropped.
 #[derive(Debug)]
 pub struct Permit {
     budget: Rc<Budget>,
-    part: usize,
+    amount: usize,
 }
 
 impl Budget {
-    /// Room for so much.
-    pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Self { used: Cell::new(0), most: Cell::new(most) })
+    /// Creates a budget of `capacity` units.
+    pub fn new(capacity: usize) -> Rc<Self> {
+        Rc::new(Self { used: Cell::new(0), capacity: Cell::new(capacity) })
     }
 
-    /// Room for so much from now on. What is out beyond that stays until it comes back.
-    pub fn set_capacity(&self, most: usize) {
-        self.most.set(most);
+    /// Changes the capacity. Permits beyond it stay valid until they are dropped.
+    pub fn set_capacity(&self, capacity: usize) {
+        self.capacity.set(capacity);
     }
 
-    /// There is room for none.
+    /// Returns whether no unit is free.
     pub fn is_full(&self) -> bool {
-        self.used.get() >= self.most.get()
+        self.used.get() >= self.capacity.get()
     }
 
-    /// Takes a part, if there is room for it.
-    pub fn try_acquire(self: &Rc<Self>, part: usize) -> Option<Permit> {
-        (part <= self.most.get().saturating_sub(self.used.get())).then(|| {
-            self.used.set(self.used.get() + part);
-            Permit { budget: self.clone(), part }
+    /// Takes `amount` units, or returns `None` if fewer are free.
+    pub fn try_acquire(self: &Rc<Self>, amount: usize) -> Option<Permit> {
+        (amount <= self.capacity.get().saturating_sub(self.used.get())).then(|| {
+            self.used.set(self.used.get() + amount);
+            Permit { budget: self.clone(), amount }
         })
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.budget.used.set(self.budget.used.get() - self.part);
+        self.budget.used.set(self.budget.used.get() - self.amount);
     }
 }
--- a/src/engine/clock.rs
+++ b/src/engine/clock.rs
@@ -1,33 +1,33 @@
-//! The module's clock.
+//! The clock of the engine and its decision module.
 
 use crate::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The module's clock: seconds since the proxy started.
+/// A monotonic clock in seconds since the start of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    unix: Time,
+    unix_start: Time,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at 0 seconds.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
-        Self { start: Instant::now(), unix }
+        let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
+        Self { start: Instant::now(), unix_start }
     }
 
-    /// The time.
+    /// Returns the seconds since the start.
     pub fn now(&self) -> Time {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// A Unix time, in seconds. The same for the same input as long as the proxy runs.
-    pub fn from_unix(&self, unix: Time) -> Time {
-        unix - self.unix
+    /// Converts a Unix time in seconds. The result for one input stays the same while the process runs.
+    pub fn from_unix(&self, unix_time: Time) -> Time {
+        unix_time - self.unix_start
     }
 
-    /// When `time` is, for sleeping until then.
+    /// Converts a time of this clock to an instant that a task can sleep until.
     pub(crate) fn instant_at(&self, time: Time) -> tokio::time::Instant {
         (self.start + Duration::try_from_secs_f64(time).unwrap_or_default()).into()
     }
--- a/src/engine/list.rs
+++ b/src/engine/list.rs
@@ -1,35 +1,35 @@
-//! News of the list of backends, as values from whichever source there is.
+//! Backend list updates and the requests for them, independent of where the list comes from.
 
 use crate::Entry;
 use std::net::SocketAddr;
 
-/// News of the list, as the engine hands it to the module.
+/// An update of the backend list.
 #[derive(Clone, Debug)]
 pub enum BackendListUpdate {
     /// Entries that changed.
     Changes(Vec<ListedBackend>),
-    /// All entries.
+    /// The whole list. Backends that it doesn't name are gone.
     Full(Vec<ListedBackend>),
-    /// All entries, as last had before the start.
+    /// The whole list as persisted before the start of the process.
     Remembered(Vec<ListedBackend>),
-    /// A call failed.
+    /// A request for the list failed.
     Failed,
 }
 
-/// A backend of a list, and where it listens.
+/// An entry of the backend list with the address of the backend.
 #[derive(Clone, Debug)]
 pub struct ListedBackend {
-    /// The module's part.
+    /// The entry as the decision module takes it.
     pub entry: Entry,
-    /// Its address.
+    /// The address that the backend listens on.
     pub address: SocketAddr,
 }
 
-/// What the module asks of the source of the list.
+/// A request of the decision module to the list source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRequest {
-    /// Tell of changes as they come, or no longer.
+    /// Start (true) or stop (false) sending changes.
     Watch(bool),
-    /// Tell the whole list once.
+    /// Send the whole list once.
     Fetch,
 }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,7 +1,8 @@
-//! The one place where the module meets the world: its clock, its timers, the open requests
-//! and their attempts. It knows no protocol and no source of lists: attempts are made by an
-//! [`Upstream`], and [`BackendListUpdate`] of the list come as values. Events become calls of the module, its actions become I/O, and every
-//! request gets exactly one final answer.
+//! Runs a decision module for one kind of backend.
+//!
+//! The engine owns the clock, the timers, the open requests and their attempts. Events become calls of the
+//! decision module and its actions become I/O. Attempts are made by an [`Upstream`], and the backend list
+//! arrives as [`BackendListUpdate`] values from any source. Every request gets exactly one final answer.
 
 mod affine;
 mod budget;
@@ -27,116 +28,116 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::AbortHandle;
 
-/// Time kept for the way of an answer to the client, in seconds: the module's last word comes
-/// this long before the client gives up, and the engine's own, if there was none, at half of it.
-const ANSWER_WAY: Time = 0.006;
-/// Largest allowance for waiting in this process, in seconds.
-const MOST_LAG: Time = 0.1;
-/// Part of the grace of a drain after which a send that was decided before is not made.
-const GRACE_USED: f64 = 0.5;
-/// While nothing may be sent by the whole list, new requests are held back from the module for so long
-/// at most, in seconds: a source that is to lend its list again does so within this, or not soon.
+/// Time in seconds reserved for delivering the answer before the client gives up. The decision module must
+/// answer by then; the engine answers after half of it.
+const ANSWER_DELIVERY_SECONDS: Time = 0.006;
+/// Largest compensation for delays within the process, in seconds.
+const MAX_LAG_SECONDS: Time = 0.1;
+/// Fraction of the drain grace period after which a send that was already decided is dropped.
+const DRAIN_GRACE_FRACTION: f64 = 0.5;
+/// Longest time in seconds that new requests are queued while the lease of the backend list is expired.
 pub const MAX_QUEUED_SECONDS: Time = 0.5;
-/// How often it is seen whether it is lent again, in seconds.
-const LOOK: Time = 0.005;
-/// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_millis(100);
-/// Backends that are gone are forgotten at every such look.
-const FORGET_EVERY: u32 = 10;
+/// Interval in seconds at which the lease is checked while requests are queued.
+const LEASE_CHECK_SECONDS: Time = 0.005;
+/// Interval at which idle connections are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of such checks after which gone backends are removed.
+const FORGET_SWEEPS: u32 = 10;
 
 /// The final answer to a request.
 pub enum Answer<R> {
-    /// What a backend answered.
+    /// The reply of a backend.
     Served(R),
-    /// Not done; trying again is harmless, after so long if that is said. With it the last error
-    /// that a backend worded, where clients are to see it.
+    /// The request was not run and may be retried, after the given time in seconds if any. Carries the last
+    /// error response of a backend, if clients may see it.
     Rejected(Option<Time>, Option<R>),
-    /// It may have been done. With it the same.
+    /// The request may have run. Carries the last error response of a backend, if clients may see it.
     Failed(Option<R>),
 }
 
-/// What falls due.
+/// What happens when a timer is due.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum TimerKind {
     Token(u64),
     Attempt(RequestId, usize),
     Request(RequestId),
-    Held,
+    QueuedRequests,
 }
 
-/// A point in time that can be sorted.
+/// A point in time with a total order.
 #[derive(Debug, PartialEq)]
-struct At(Time);
+struct TimerTime(Time);
 
-impl Eq for At {}
+impl Eq for TimerTime {}
 
-impl PartialOrd for At {
+impl PartialOrd for TimerTime {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for At {
+impl Ord for TimerTime {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.0.total_cmp(&other.0)
     }
 }
 
-/// An event that owns what it tells.
+/// An event that waits for the decision module and owns its data.
 enum QueuedEvent {
     Event(Event<'static>),
     List(BackendListUpdate),
 }
 
-struct Open<U: Upstream> {
-    /// The id that the client gave it, if it gave one.
-    txn: Option<u64>,
+struct OpenRequest<U: Upstream> {
+    /// The ID that the client gave the request, if any.
+    client_request_id: Option<u64>,
     answer: oneshot::Sender<Answer<U::Reply>>,
     payload: Rc<U::Payload>,
-    until: Time,
+    deadline: Time,
     attempts: usize,
-    /// One backend alone can do it: the module does not know of it.
+    /// Only one backend can run the request, and the decision module doesn't know it.
     affine: bool,
-    /// Its class.
+    /// The index of the request class.
     class: usize,
-    /// This attempt is its only one, and sets its own time limit.
-    kept: Option<usize>,
-    /// The last error that a backend worded.
+    /// The attempt that became the only one and sets its own time limit.
+    exclusive: Option<usize>,
+    /// The last error response of a backend.
     fallback: Option<U::Reply>,
-    /// True until it has its answer or its client has left.
+    /// False once the request is answered or its client has disconnected.
     request_open: Rc<Cell<bool>>,
 }
 
-struct Running {
+struct RunningAttempt {
     backend: BackendId,
-    sent: Time,
+    sent_at: Time,
     written: Rc<Cell<bool>>,
     task: AbortHandle,
-    /// As its request is.
+    /// The request has backend affinity.
     affine: bool,
-    /// Its answer has begun, and is with the client, or what it sends can't be sent again.
-    streams: bool,
-    /// The latter: what comes of it is the request's answer.
-    kept: bool,
+    /// The reply is being streamed to the client, or the payload can't be sent twice: the engine sets no time
+    /// limit.
+    streaming: bool,
+    /// The attempt is the only one of its request, so that its outcome is the answer.
+    exclusive: bool,
 }
 
-/// What was seen of a backend since that was asked last.
+/// Attempt counts of a backend since they were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BackendCounts {
-    /// Attempts that are out now.
+    /// Attempts that are in flight now.
     pub in_flight: u32,
-    /// Attempts that were begun.
+    /// Attempts that were started.
     pub sent: u32,
-    /// Those that were served.
+    /// Attempts that were served.
     pub served: u32,
-    /// Those that ended otherwise, but for those that were cancelled or never left.
+    /// Attempts that ended in any other way, except those that were cancelled or never sent.
     pub failed: u32,
-    /// How long those that were served took together, in seconds.
+    /// Total duration of the served attempts, in seconds.
     pub served_time: Time,
 }
 
-/// A listed backend: what the list allows, the connections to it, and what was seen of it.
-struct Known<U: Upstream> {
+/// A known backend: its gate, its connections and its counts.
+struct KnownBackend<U: Upstream> {
     gate: Rc<SendGate>,
     endpoint: Rc<U::Endpoint>,
     counts: BackendCounts,
@@ -144,47 +145,46 @@
 
 struct State<U: Upstream> {
     balancer: Balancer,
-    told: VecDeque<QueuedEvent>,
-    timers: BinaryHeap<Reverse<(At, u64, Due)>>,
+    event_queue: VecDeque<QueuedEvent>,
+    timers: BinaryHeap<Reverse<(TimerTime, u64, TimerKind)>>,
     timers_set: u64,
-    /// Requests without a final answer, by a number that is never used twice: the ids of clients
-    /// may come again, while an attempt of an answered request of that id is still out.
-    open: HashMap<RequestId, Open<U>>,
-    /// The clients' ids of those.
-    in_use: HashSet<u64>,
-    requests: u64,
-    running: HashMap<(RequestId, usize), Running>,
-    /// Requests that the module does not know of yet, and when they came. Open ones, so that there are no
-    /// more than may be open.
-    held: VecDeque<(Time, Request)>,
-    endpoints: HashMap<BackendId, Known<U>>,
+    /// Requests without a final answer, by a number that is never reused. A client may reuse its own ID while
+    /// an attempt of an answered request with that ID is still running.
+    open_requests: HashMap<RequestId, OpenRequest<U>>,
+    /// The client IDs of the open requests.
+    client_request_ids: HashSet<u64>,
+    last_request_number: u64,
+    running_attempts: HashMap<(RequestId, usize), RunningAttempt>,
+    /// Requests that the decision module doesn't know yet, with their arrival times. They count as open.
+    queued_requests: VecDeque<(Time, Request)>,
+    endpoints: HashMap<BackendId, KnownBackend<U>>,
 }
 
-/// What an observer is told of attempts.
+/// An event in the life of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEvent {
-    /// One begins, of a request of that class.
+    /// An attempt to a backend started, for a request of the given class.
     Started(BackendId, usize),
-    /// It has ended.
+    /// The attempt ended.
     Ended(Outcome),
 }
 
-/// Who is told of attempts, each by its request and its number there.
+/// Called for each attempt event with the request and the number of the attempt.
 type Observer = Box<dyn Fn(RequestId, usize, AttemptEvent)>;
 
-/// Where wishes for the list go.
-type Source = Box<dyn Fn(ListRequest)>;
+/// Called for each request to the list source.
+type ListSource = Box<dyn Fn(ListRequest)>;
 
-/// What bounds an engine besides the module's settings.
+/// Limits of an engine besides the settings of the decision module.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineLimits {
-    /// Nothing new to a backend this long after the news that it drains or is gone.
+    /// Time after which nothing new is sent to a backend that drains or is gone.
     pub drain_grace: Duration,
-    /// Requests that may be open at once; what comes beyond is refused.
+    /// Requests that may be open at once; further ones are rejected.
     pub max_open_requests: usize,
 }
 
-/// Drives the module, with one kind of backends.
+/// Drives a decision module with one kind of backend.
 pub struct Engine<U: Upstream> {
     this: Weak<Self>,
     state: RefCell<State<U>>,
@@ -192,27 +192,27 @@
     lease: Rc<Lease>,
     clock: Clock,
     timer_set: Notify,
-    /// How late timers have fired of late: as long may a request have waited to be read.
+    /// Recent delay of timers, which a request may have waited as well before it was read.
     lag: Cell<Time>,
-    listed: Cell<bool>,
-    /// Where the module's wishes for the list go.
-    source: RefCell<Option<Source>>,
+    has_list: Cell<bool>,
+    /// Receives the requests of the decision module for the backend list.
+    list_source: RefCell<Option<ListSource>>,
     observer: RefCell<Option<Observer>>,
     drain_grace: Time,
-    max_open: usize,
+    max_open_requests: usize,
     max_attempts: usize,
 }
 
 impl<U: Upstream> Engine<U> {
-    /// An engine with a module of its own, and its timers running. Its lists hold for good.
-    pub fn start(settings: Settings, bounds: EngineLimits, seed: u64, upstream: U) -> Rc<Self> {
-        Self::start_with_lease(settings, bounds, seed, upstream, Rc::default())
+    /// Starts an engine with its own decision module. Its backend list doesn't expire.
+    pub fn start(settings: Settings, limits: EngineLimits, seed: u64, upstream: U) -> Rc<Self> {
+        Self::start_with_lease(settings, limits, seed, upstream, Rc::default())
     }
 
-    /// The same, with lists that are lent.
+    /// Starts an engine whose backend list is leased.
     pub fn start_with_lease(
         settings: Settings,
-        bounds: EngineLimits,
+        limits: EngineLimits,
         seed: u64,
         upstream: U,
         lease: Rc<Lease>,
@@ -225,163 +225,166 @@
             clock,
             timer_set: Notify::new(),
             lag: Cell::new(0.0),
-            listed: Cell::new(false),
-            source: RefCell::default(),
+            has_list: Cell::new(false),
+            list_source: RefCell::default(),
             observer: RefCell::default(),
-            drain_grace: bounds.drain_grace.as_secs_f64(),
-            max_open: bounds.max_open_requests,
+            drain_grace: limits.drain_grace.as_secs_f64(),
+            max_open_requests: limits.max_open_requests,
             max_attempts: settings.max_attempts,
             state: RefCell::new(State {
                 balancer: Balancer::new(clock.now(), seed, settings),
-                told: VecDeque::new(),
+                event_queue: VecDeque::new(),
                 timers: BinaryHeap::new(),
                 timers_set: 0,
-                open: HashMap::new(),
-                in_use: HashSet::new(),
-                requests: 0,
-                running: HashMap::new(),
-                held: VecDeque::new(),
+                open_requests: HashMap::new(),
+                client_request_ids: HashSet::new(),
+                last_request_number: 0,
+                running_attempts: HashMap::new(),
+                queued_requests: VecDeque::new(),
                 endpoints: HashMap::new(),
             }),
         });
         tokio::task::spawn_local(engine.clone().run_timers());
-        tokio::task::spawn_local(engine.clone().sweep());
+        tokio::task::spawn_local(engine.clone().run_sweeps());
         engine
     }
 
-    /// The kind of backends.
+    /// Returns the backend protocol.
     pub fn upstream(&self) -> &U {
         &self.upstream
     }
 
-    /// The module's clock.
+    /// Returns the clock of the engine.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// Hands the module's wishes for the list to `source`. It is called while the engine is at
-    /// work, and must not call back.
+    /// Sets the receiver of requests for the backend list. It is called while the engine is borrowed and must
+    /// not call the engine.
     pub fn set_list_source(&self, source: impl Fn(ListRequest) + 'static) {
-        *self.source.borrow_mut() = Some(Box::new(source));
+        *self.list_source.borrow_mut() = Some(Box::new(source));
     }
 
-    /// Tells `observer` of every attempt. It is called while the engine is at work, and must not call back.
+    /// Sets the observer of all attempts. It is called while the engine is borrowed and must not call the
+    /// engine.
     pub fn set_observer(&self, observer: impl Fn(RequestId, usize, AttemptEvent) + 'static) {
         *self.observer.borrow_mut() = Some(Box::new(observer));
     }
 
-    fn observed(&self, id: RequestId, attempt: usize, seen: AttemptEvent) {
-        self.observer.borrow().iter().for_each(|observer| observer(id, attempt, seen));
+    fn notify_observer(&self, id: RequestId, attempt: usize, event: AttemptEvent) {
+        self.observer.borrow().iter().for_each(|observer| observer(id, attempt, event));
     }
 
-    /// What many proxies together hold of backends: how many times slower than normal they are, 0 taking it back.
-    pub fn apply_backend_hints(&self, held: &[(BackendId, f64)]) {
+    /// Passes on backend hints of the fleet: the factor by which each backend is slower than normal. A factor
+    /// of 0 withdraws the hint.
+    pub fn apply_backend_hints(&self, hints: &[(BackendId, f64)]) {
         let mut state = self.state.borrow_mut();
-        let believed = |(backend, slowness): &(BackendId, f64)| {
+        let to_event = |(backend, slowness): &(BackendId, f64)| {
             QueuedEvent::Event(Event::Believed { backend: *backend, slowness: *slowness })
         };
-        state.told.extend(held.iter().map(believed));
+        state.event_queue.extend(hints.iter().map(to_event));
         self.decide(state);
     }
 
-    /// It has been listed, and not been gone for longer than sends to it may take.
+    /// Returns whether a backend is listed, or has been gone for no longer than sends to it may take.
     pub fn has_backend(&self, backend: BackendId) -> bool {
         self.state.borrow().endpoints.contains_key(&backend)
     }
 
-    /// What was seen of each backend since this was called last, where that is anything.
+    /// Returns the counts of each backend since the last call, omitting those without any.
     pub fn take_counts(&self) -> Vec<(BackendId, BackendCounts)> {
         let mut state = self.state.borrow_mut();
-        let seen = state.endpoints.iter_mut().filter(|(_, k)| k.counts != BackendCounts::default());
-        let take = |known: &mut Known<U>| {
+        let nonempty =
+            state.endpoints.iter_mut().filter(|(_, known)| known.counts != BackendCounts::default());
+        let take = |known: &mut KnownBackend<U>| {
             let in_flight = known.counts.in_flight;
             std::mem::replace(&mut known.counts, BackendCounts { in_flight, ..BackendCounts::default() })
         };
-        seen.map(|(id, known)| (*id, take(known))).collect()
+        nonempty.map(|(id, known)| (*id, take(known))).collect()
     }
 
-    /// How many backends the list names, and how many of them are avoided now.
+    /// Returns the number of listed backends and how many of them are avoided now.
     pub fn count_backends(&self) -> (usize, usize) {
         let state = self.state.borrow();
         let listed = state.endpoints.values().filter(|known| known.gate.is_listed()).count();
         (listed, state.balancer.avoided().min(listed))
     }
 
-    /// There is a list to go by.
+    /// Returns whether a backend list with a backend in service has been received.
     pub fn has_list(&self) -> bool {
-        self.listed.get()
+        self.has_list.get()
     }
 
-    /// There are requests without a final answer.
+    /// Returns whether any request has no final answer yet.
     pub fn has_open_requests(&self) -> bool {
-        !self.state.borrow().open.is_empty()
+        !self.state.borrow().open_requests.is_empty()
     }
 
-    /// Takes in a request, perhaps named `txn` by its client, which will wait for `request.budget` seconds.
-    /// The answer comes to the receiver in that time. None if the name is in use.
+    /// Submits a request whose client waits for `request.budget` seconds; the receiver gets the answer within
+    /// that time. Returns `None` if another open request has the same `client_request_id`.
     pub fn submit_request(
         &self,
-        txn: Option<u64>,
+        client_request_id: Option<u64>,
         mut request: Request,
         payload: U::Payload,
     ) -> Option<(RequestId, oneshot::Receiver<Answer<U::Reply>>)> {
         let (answer, receiver) = oneshot::channel();
         let mut state = self.state.borrow_mut();
-        if txn.is_some_and(|txn| state.in_use.contains(&txn)) {
+        if client_request_id.is_some_and(|id| state.client_request_ids.contains(&id)) {
             return None;
         }
-        state.requests += 1;
-        request.id = RequestId(state.requests);
-        if state.open.len() >= self.max_open {
-            let _ = answer.send(Answer::Rejected(None, None)); // the receiver is still here
+        state.last_request_number += 1;
+        request.id = RequestId(state.last_request_number);
+        if state.open_requests.len() >= self.max_open_requests {
+            let _ = answer.send(Answer::Rejected(None, None)); // the receiver still exists
             return Some((request.id, receiver));
         }
-        state.in_use.extend(txn);
+        state.client_request_ids.extend(client_request_id);
         let now = self.clock.now();
-        // The client has waited since it sent, so for as long as the request lay unread too.
+        // The request may have waited unread for as long as timers are delayed.
         request.budget -= self.lag.get();
-        let until = now + request.budget - 0.5 * ANSWER_WAY;
-        request.budget -= ANSWER_WAY;
+        let deadline = now + request.budget - 0.5 * ANSWER_DELIVERY_SECONDS;
+        request.budget -= ANSWER_DELIVERY_SECONDS;
         let payload = Rc::new(payload);
-        let open = Open {
-            txn,
+        let open = OpenRequest {
+            client_request_id,
             answer,
             payload,
-            until,
+            deadline,
             attempts: 0,
             affine: false,
             class: request.class,
-            kept: None,
+            exclusive: None,
             fallback: None,
             request_open: Rc::new(Cell::new(true)),
         };
-        state.open.insert(request.id, open);
-        self.set_timer(&mut state, until, Due::Request(request.id));
+        state.open_requests.insert(request.id, open);
+        self.set_timer(&mut state, deadline, TimerKind::Request(request.id));
         let id = request.id;
-        if !self.lease.is_valid() || !state.held.is_empty() {
-            if state.held.is_empty() {
-                self.set_timer(&mut state, now + LOOK, Due::Held);
+        if !self.lease.is_valid() || !state.queued_requests.is_empty() {
+            if state.queued_requests.is_empty() {
+                self.set_timer(&mut state, now + LEASE_CHECK_SECONDS, TimerKind::QueuedRequests);
             }
-            state.held.push_back((now, request));
+            state.queued_requests.push_back((now, request));
             return Some((id, receiver));
         }
-        state.told.push_back(QueuedEvent::Event(Event::Request(request)));
+        state.event_queue.push_back(QueuedEvent::Event(Event::Request(request)));
         self.decide(state);
         Some((id, receiver))
     }
 
-    /// The client has left. Nothing happens if the request has had its answer.
+    /// Withdraws a request whose client has disconnected. Does nothing if the request has been answered.
     pub fn client_disconnected(&self, id: RequestId) {
         let mut state = self.state.borrow_mut();
-        let Some(open) = close(&mut state, id) else { return };
+        let Some(open) = close_request(&mut state, id) else { return };
         if open.affine {
-            self.observed(id, 0, AttemptEvent::Ended(Outcome::Cancelled));
-            return give_up(&mut state, id, 0);
+            self.notify_observer(id, 0, AttemptEvent::Ended(Outcome::Cancelled));
+            return abort_attempt(&mut state, id, 0);
         }
-        if let Some(attempt) = open.kept {
-            self.observed(id, attempt, AttemptEvent::Ended(Outcome::Cancelled));
-            let backend = state.running.get(&(id, attempt)).map(|running| running.backend);
-            give_up(&mut state, id, attempt);
+        if let Some(attempt) = open.exclusive {
+            self.notify_observer(id, attempt, AttemptEvent::Ended(Outcome::Cancelled));
+            let backend = state.running_attempts.get(&(id, attempt)).map(|running| running.backend);
+            abort_attempt(&mut state, id, attempt);
             if let Some(backend) = backend {
                 let ended = Ended {
                     id,
@@ -392,63 +395,68 @@
                     over: true,
                     report: None,
                 };
-                state.told.push_back(QueuedEvent::Event(Event::Outcome(ended)));
+                state.event_queue.push_back(QueuedEvent::Event(Event::Outcome(ended)));
             }
             return self.decide(state);
         }
-        if !unheld(&mut state, id) {
-            state.told.push_back(QueuedEvent::Event(Event::ClientLeft(id)));
-            self.withdraw_unsent(&mut state, id, open.attempts);
+        if !remove_queued(&mut state, id) {
+            state.event_queue.push_back(QueuedEvent::Event(Event::ClientLeft(id)));
+            self.cancel_unsent_attempts(&mut state, id, open.attempts);
             self.decide(state);
         }
     }
 
-    /// A request is closed: those of its attempts of which nothing has gone out are not made any more.
-    fn withdraw_unsent(&self, state: &mut State<U>, id: RequestId, attempts: usize) {
+    /// Ends the attempts of a closed request of which nothing has been sent.
+    fn cancel_unsent_attempts(&self, state: &mut State<U>, id: RequestId, attempts: usize) {
         for attempt in 0..attempts {
-            if state.running.get(&(id, attempt)).is_some_and(|running| !running.written.get()) {
-                self.ended(state, id, attempt, AttemptResult::without_reply(Outcome::NeverSent));
+            if state.running_attempts.get(&(id, attempt)).is_some_and(|running| !running.written.get()) {
+                self.end_attempt(state, id, attempt, AttemptResult::without_reply(Outcome::NeverSent));
             }
         }
     }
 
-    /// Gives a request its final answer, if it has had none.
-    fn answer(
+    /// Answers a request and ends its unsent attempts. Does nothing if the request has been answered.
+    fn answer_request(
         &self,
         state: &mut State<U>,
         id: RequestId,
         answer: impl FnOnce(Option<U::Reply>) -> Answer<U::Reply>,
     ) {
-        let attempts = state.open.get(&id).map_or(0, |open| open.attempts);
-        give_answer(state, id, answer);
-        self.withdraw_unsent(state, id, attempts);
+        let attempts = state.open_requests.get(&id).map_or(0, |open| open.attempts);
+        send_answer(state, id, answer);
+        self.cancel_unsent_attempts(state, id, attempts);
     }
 
-    /// The process is to end: what is open now has its final answer after so long at the latest.
+    /// Moves the deadlines of all open requests to at most `within` from now, because the process is
+    /// stopping.
     pub fn cap_deadlines(&self, within: Duration) {
         let mut state = self.state.borrow_mut();
-        let last = self.clock.now() + within.as_secs_f64();
-        let late: Vec<RequestId> =
-            state.open.iter().filter(|(_, open)| open.until > last).map(|(id, _)| *id).collect();
-        for id in late {
-            if let Some(open) = state.open.get_mut(&id) {
-                open.until = last;
+        let latest = self.clock.now() + within.as_secs_f64();
+        let affected: Vec<RequestId> = state
+            .open_requests
+            .iter()
+            .filter(|(_, open)| open.deadline > latest)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in affected {
+            if let Some(open) = state.open_requests.get_mut(&id) {
+                open.deadline = latest;
             }
-            self.set_timer(&mut state, last, Due::Request(id));
+            self.set_timer(&mut state, latest, TimerKind::Request(id));
         }
     }
 
-    /// News of the list, from whichever source.
-    pub fn update_list(&self, news: BackendListUpdate) {
+    /// Takes in an update of the backend list.
+    pub fn update_list(&self, update: BackendListUpdate) {
         let mut state = self.state.borrow_mut();
-        // Where nothing may be sent by the list before any more, the news may be old: there is no grace.
-        let grace = if self.lease.is_valid() { GRACE_USED * self.drain_grace } else { 0.0 };
-        let last_send = self.clock.now() + grace;
-        let listed: &[ListedBackend] = match &news {
+        // With an expired lease the update may be late, so that there is no grace period.
+        let grace = if self.lease.is_valid() { DRAIN_GRACE_FRACTION * self.drain_grace } else { 0.0 };
+        let send_deadline = self.clock.now() + grace;
+        let listed: &[ListedBackend] = match &update {
             BackendListUpdate::Full(list) | BackendListUpdate::Remembered(list) => {
-                let named: HashSet<BackendId> = list.iter().map(|l| l.entry.id).collect();
-                let gone = state.endpoints.iter().filter(|(id, _)| !named.contains(id));
-                gone.for_each(|(_, known)| self.end(known, last_send));
+                let listed_ids: HashSet<BackendId> = list.iter().map(|l| l.entry.id).collect();
+                let gone = state.endpoints.iter().filter(|(id, _)| !listed_ids.contains(id));
+                gone.for_each(|(_, known)| self.remove_backend(known, send_deadline));
                 list
             }
             BackendListUpdate::Changes(list) => list,
@@ -456,102 +464,113 @@
         };
         for ListedBackend { entry, address } in listed {
             if entry.status == Status::Gone {
-                state.endpoints.get(&entry.id).into_iter().for_each(|known| self.end(known, last_send));
+                state
+                    .endpoints
+                    .get(&entry.id)
+                    .into_iter()
+                    .for_each(|known| self.remove_backend(known, send_deadline));
                 continue;
             }
-            let drained = (entry.status != Status::InService).then_some(last_send);
-            let known = state.endpoints.entry(entry.id).or_insert_with(|| Known {
+            let drain_deadline = (entry.status != Status::InService).then_some(send_deadline);
+            let known = state.endpoints.entry(entry.id).or_insert_with(|| KnownBackend {
                 gate: Rc::new(SendGate::with_lease(self.lease.clone())),
                 endpoint: Rc::new(self.upstream.create_endpoint(*address)),
                 counts: BackendCounts::default(),
             });
             self.upstream.set_address(&known.endpoint, *address);
-            if drained.is_some() {
+            if drain_deadline.is_some() {
                 self.upstream.release_connections(&known.endpoint);
             }
-            known.gate.set_send_deadline(drained);
+            known.gate.set_send_deadline(drain_deadline);
         }
-        self.listed.set(self.listed.get() || listed.iter().any(|l| l.entry.status == Status::InService));
-        state.told.push_back(QueuedEvent::List(news));
+        self.has_list.set(self.has_list.get() || listed.iter().any(|l| l.entry.status == Status::InService));
+        state.event_queue.push_back(QueuedEvent::List(update));
         self.decide(state);
     }
 
-    /// A backend is gone from the list.
-    fn end(&self, known: &Known<U>, last_send: Time) {
+    /// Handles a backend that is gone from the list.
+    fn remove_backend(&self, known: &KnownBackend<U>, send_deadline: Time) {
         self.upstream.release_connections(&known.endpoint);
-        known.gate.mark_gone(last_send);
+        known.gate.mark_gone(send_deadline);
     }
 
-    /// An attempt has ended by itself.
-    fn attempt_done(&self, id: RequestId, attempt: usize, done: AttemptResult<U::Reply>) {
+    /// Handles an attempt that ended by itself.
+    fn handle_attempt_result(&self, id: RequestId, attempt: usize, result: AttemptResult<U::Reply>) {
         let mut state = self.state.borrow_mut();
-        self.ended(&mut state, id, attempt, done);
+        self.end_attempt(&mut state, id, attempt, result);
         self.decide(state);
     }
 
-    /// Tells the module of the end of an attempt, once, and the client of the first answer.
-    fn ended(&self, state: &mut State<U>, id: RequestId, attempt: usize, done: AttemptResult<U::Reply>) {
-        let Some(running) = state.running.remove(&(id, attempt)) else {
-            return; // ended otherwise before
+    /// Reports the end of an attempt to the decision module, once, and answers the client with the first
+    /// reply.
+    fn end_attempt(
+        &self,
+        state: &mut State<U>,
+        id: RequestId,
+        attempt: usize,
+        result: AttemptResult<U::Reply>,
+    ) {
+        let Some(running) = state.running_attempts.remove(&(id, attempt)) else {
+            return; // has ended before
         };
         running.task.abort();
-        self.observed(id, attempt, AttemptEvent::Ended(done.outcome));
-        if let Some(Known { counts, .. }) = state.endpoints.get_mut(&running.backend) {
+        self.notify_observer(id, attempt, AttemptEvent::Ended(result.outcome));
+        if let Some(KnownBackend { counts, .. }) = state.endpoints.get_mut(&running.backend) {
             counts.in_flight = counts.in_flight.saturating_sub(1);
-            match done.outcome {
+            match result.outcome {
                 Outcome::Served => {
                     counts.served += 1;
-                    counts.served_time += self.clock.now() - running.sent;
+                    counts.served_time += self.clock.now() - running.sent_at;
                 }
                 Outcome::Cancelled | Outcome::NeverSent => {}
                 _ => counts.failed += 1,
             }
         }
-        let mut closed = 0;
-        if let Some(served) = done.reply
-            && let Some(open) = close(state, id)
+        let mut attempts_made = 0;
+        if let Some(reply) = result.reply
+            && let Some(open) = close_request(state, id)
         {
-            let _ = open.answer.send(Answer::Served(served)); // if it has left, its guard tells
-            closed = open.attempts;
+            let _ = open.answer.send(Answer::Served(reply)); // fails if the client has disconnected
+            attempts_made = open.attempts;
         }
         if running.affine {
-            return affine::end(state, id, done.outcome, done.fallback);
+            return affine::end_request(state, id, result.outcome, result.fallback);
         }
-        if running.kept {
-            affine::end(state, id, done.outcome, done.fallback);
-        } else if let (Some(fallback), Some(open)) = (done.fallback, state.open.get_mut(&id)) {
+        if running.exclusive {
+            affine::end_request(state, id, result.outcome, result.fallback);
+        } else if let (Some(fallback), Some(open)) = (result.fallback, state.open_requests.get_mut(&id)) {
             open.fallback = Some(fallback);
         }
-        state.told.push_back(QueuedEvent::Event(Event::Outcome(Ended {
+        state.event_queue.push_back(QueuedEvent::Event(Event::Outcome(Ended {
             id,
             backend: running.backend,
             attempt,
-            outcome: done.outcome,
-            took: self.clock.now() - running.sent,
-            over: !state.open.contains_key(&id),
-            report: done.report,
+            outcome: result.outcome,
+            took: self.clock.now() - running.sent_at,
+            over: !state.open_requests.contains_key(&id),
+            report: result.report,
         })));
-        self.withdraw_unsent(state, id, closed);
+        self.cancel_unsent_attempts(state, id, attempts_made);
     }
 
-    fn probed(&self, backend: BackendId, outcome: Outcome, report: Option<Report>) {
+    fn handle_probe_result(&self, backend: BackendId, outcome: Outcome, report: Option<Report>) {
         let mut state = self.state.borrow_mut();
-        state.told.push_back(QueuedEvent::Event(Event::Probed { backend, outcome, report }));
+        state.event_queue.push_back(QueuedEvent::Event(Event::Probed { backend, outcome, report }));
         self.decide(state);
     }
 
-    /// Lets the module decide on all that it has not been told yet.
+    /// Lets the decision module handle all queued events.
     fn decide(&self, mut state: std::cell::RefMut<'_, State<U>>) {
         let mut actions = Vec::new();
-        while let Some(told) = state.told.pop_front() {
+        while let Some(queued_event) = state.event_queue.pop_front() {
             let now = self.clock.now();
             let entries =
                 |list: Vec<ListedBackend>| list.into_iter().map(|l| l.entry).collect::<Vec<Entry>>();
-            match told {
+            match queued_event {
                 QueuedEvent::Event(event) => state.balancer.handle(now, event, &mut actions),
-                QueuedEvent::List(news) => {
+                QueuedEvent::List(update) => {
                     let list;
-                    let update = match news {
+                    let update = match update {
                         BackendListUpdate::Changes(l) => {
                             list = entries(l);
                             ListUpdate::Changes(&list)
@@ -570,100 +589,108 @@
                 }
             }
             for action in actions.drain(..) {
-                self.act(&mut state, action, now);
+                self.execute(&mut state, action, now);
             }
         }
     }
 
-    fn act(&self, state: &mut State<U>, action: Action, now: Time) {
+    fn execute(&self, state: &mut State<U>, action: Action, now: Time) {
         match action {
             Action::Send { id, backend, timeout } => self.send(state, id, backend, timeout, now),
             Action::Cancel { id, attempt } => {
-                self.ended(state, id, attempt, AttemptResult::without_reply(Outcome::Cancelled));
+                self.end_attempt(state, id, attempt, AttemptResult::without_reply(Outcome::Cancelled));
             }
             Action::Refuse { id, retry_after } => {
-                self.answer(state, id, |fallback| Answer::Rejected(retry_after, fallback));
+                self.answer_request(state, id, |fallback| Answer::Rejected(retry_after, fallback));
             }
-            Action::Fail { id } => self.answer(state, id, Answer::Failed),
-            Action::Timer { at, token } => self.set_timer(state, at, Due::Token(token)),
+            Action::Fail { id } => self.answer_request(state, id, Answer::Failed),
+            Action::Timer { at, token } => self.set_timer(state, at, TimerKind::Token(token)),
             Action::Probe(backend) => self.probe(state, backend),
             Action::Release(backend) => {
                 let known = state.endpoints.get(&backend);
                 known.into_iter().for_each(|known| self.upstream.release_connections(&known.endpoint));
             }
-            Action::Watch(on) => self.ask(ListRequest::Watch(on)),
-            Action::Fetch => self.ask(ListRequest::Fetch),
+            Action::Watch(on) => self.send_list_request(ListRequest::Watch(on)),
+            Action::Fetch => self.send_list_request(ListRequest::Fetch),
             Action::Log(text) => eprintln!("{text}"),
         }
     }
 
-    fn ask(&self, ask: ListRequest) {
-        self.source.borrow().iter().for_each(|source| source(ask));
+    fn send_list_request(&self, request: ListRequest) {
+        self.list_source.borrow().iter().for_each(|source| source(request));
     }
 
     fn send(&self, state: &mut State<U>, id: RequestId, backend: BackendId, timeout: Time, now: Time) {
         let known = state.endpoints.get(&backend).map(|known| (known.gate.clone(), known.endpoint.clone()));
-        let most = self.max_attempts;
-        let open = state.open.get_mut(&id).filter(|open| open.attempts < most);
+        let max_attempts = self.max_attempts;
+        let open = state.open_requests.get_mut(&id).filter(|open| open.attempts < max_attempts);
         let (Some(open), Some((gate, endpoint)), Some(engine)) = (open, known, self.this.upgrade()) else {
-            let attempt = state.open.get(&id).map_or(0, |open| open.attempts);
-            return state.told.push_back(QueuedEvent::Event(Event::Outcome(Ended {
+            let attempt = state.open_requests.get(&id).map_or(0, |open| open.attempts);
+            return state.event_queue.push_back(QueuedEvent::Event(Event::Outcome(Ended {
                 id,
                 backend,
                 attempt,
                 outcome: Outcome::NeverSent,
                 took: 0.0,
-                over: !state.open.contains_key(&id),
+                over: !state.open_requests.contains_key(&id),
                 report: None,
             })));
         };
         if self.upstream.is_full() {
-            // Room for a connection that may be needed, at the cost of one that is not.
-            let idle = |known: &Known<U>| {
+            // Closes the oldest idle connection to make room for one that may be needed.
+            let idle = |known: &KnownBackend<U>| {
                 Some((self.upstream.oldest_idle_since(&known.endpoint)?, known.endpoint.clone()))
             };
-            let longest = state.endpoints.values().filter_map(idle).min_by_key(|(since, _)| *since);
-            longest.into_iter().for_each(|(_, endpoint)| self.upstream.close_oldest_idle(&endpoint));
+            let oldest = state.endpoints.values().filter_map(idle).min_by_key(|(since, _)| *since);
+            oldest.into_iter().for_each(|(_, endpoint)| self.upstream.close_oldest_idle(&endpoint));
         }
         let attempt = open.attempts;
         open.attempts += 1;
-        let until = if timeout == 0.0 { open.until } else { (now + timeout).min(open.until) };
+        let deadline = if timeout == 0.0 { open.deadline } else { (now + timeout).min(open.deadline) };
         let written = Rc::new(Cell::new(false));
         let (affine, request_open) = (open.affine, open.request_open.clone());
-        self.observed(id, attempt, AttemptEvent::Started(backend, open.class));
-        let (reply_sink, exclusive_claim) = (self.begins(id, attempt), self.keeps(id, attempt));
+        self.notify_observer(id, attempt, AttemptEvent::Started(backend, open.class));
+        let (reply_sink, exclusive_claim) = (self.reply_sink(id, attempt), self.exclusive_claim(id, attempt));
         let clock = self.clock;
-        let made = Attempt {
+        let attempt_context = Attempt {
             gate,
             backend,
             clock,
-            deadline: until,
+            deadline,
             written: written.clone(),
             request_open,
             reply_sink,
             exclusive_claim,
         };
-        let attempted = self.upstream.attempt(endpoint, open.payload.clone(), made);
+        let running_attempt = self.upstream.attempt(endpoint, open.payload.clone(), attempt_context);
         let task = tokio::task::spawn_local(async move {
-            let done = attempted.await;
-            engine.attempt_done(id, attempt, done);
+            let result = running_attempt.await;
+            engine.handle_attempt_result(id, attempt, result);
         });
         let task = task.abort_handle();
-        if let Some(Known { counts, .. }) = state.endpoints.get_mut(&backend) {
+        if let Some(KnownBackend { counts, .. }) = state.endpoints.get_mut(&backend) {
             counts.in_flight += 1;
             counts.sent += 1;
         }
-        state.running.insert(
+        state.running_attempts.insert(
             (id, attempt),
-            Running { backend, sent: now, written, task, affine, streams: false, kept: false },
+            RunningAttempt {
+                backend,
+                sent_at: now,
+                written,
+                task,
+                affine,
+                streaming: false,
+                exclusive: false,
+            },
         );
-        self.set_timer(state, until, Due::Attempt(id, attempt));
+        self.set_timer(state, deadline, TimerKind::Attempt(id, attempt));
     }
 
     fn probe(&self, state: &State<U>, backend: BackendId) {
         if let (Some(known), Some(engine)) = (state.endpoints.get(&backend), self.this.upgrade()) {
             let (gate, written) = (known.gate.clone(), Rc::default());
-            let made = Attempt {
+            let attempt_context = Attempt {
                 gate,
                 backend,
                 clock: self.clock,
@@ -673,35 +700,35 @@
                 reply_sink: ReplySink::default(),
                 exclusive_claim: ExclusiveClaim::default(),
             };
-            let probed = self.upstream.probe(known.endpoint.clone(), made);
+            let probe = self.upstream.probe(known.endpoint.clone(), attempt_context);
             tokio::task::spawn_local(async move {
-                let done = probed.await;
-                engine.probed(backend, done.outcome, done.report);
+                let result = probe.await;
+                engine.handle_probe_result(backend, result.outcome, result.report);
             });
         }
     }
 
-    /// Hands the module what was held back, where something may be sent again or it has waited for long
-    /// enough: then the module refuses it.
-    fn release(&self, state: &mut State<U>, now: Time) {
-        let lent = self.lease.is_valid();
-        while let Some((since, _)) = state.held.front()
-            && (lent || now - since >= MAX_QUEUED_SECONDS)
+    /// Passes queued requests to the decision module if the lease is valid again or they have waited too
+    /// long; the module then rejects them.
+    fn release_queued(&self, state: &mut State<U>, now: Time) {
+        let lease_valid = self.lease.is_valid();
+        while let Some((since, _)) = state.queued_requests.front()
+            && (lease_valid || now - since >= MAX_QUEUED_SECONDS)
         {
-            let Some((since, mut request)) = state.held.pop_front() else { break };
+            let Some((since, mut request)) = state.queued_requests.pop_front() else { break };
             request.budget -= now - since;
-            state.told.push_back(QueuedEvent::Event(Event::Request(request)));
+            state.event_queue.push_back(QueuedEvent::Event(Event::Request(request)));
         }
-        if !state.held.is_empty() {
-            self.set_timer(state, now + LOOK, Due::Held);
+        if !state.queued_requests.is_empty() {
+            self.set_timer(state, now + LEASE_CHECK_SECONDS, TimerKind::QueuedRequests);
         }
     }
 
-    fn set_timer(&self, state: &mut State<U>, at: Time, due: Due) {
-        let first = state.timers.peek().is_none_or(|Reverse((first, ..))| at < first.0);
+    fn set_timer(&self, state: &mut State<U>, at: Time, kind: TimerKind) {
+        let is_first = state.timers.peek().is_none_or(|Reverse((first, ..))| at < first.0);
         state.timers_set += 1;
-        state.timers.push(Reverse((At(at), state.timers_set, due)));
-        if first {
+        state.timers.push(Reverse((TimerTime(at), state.timers_set, kind)));
+        if is_first {
             self.timer_set.notify_one();
         }
     }
@@ -712,92 +739,95 @@
             match next {
                 None => self.timer_set.notified().await,
                 Some(next) => tokio::select! {
-                    _ = tokio::time::sleep_until(next) => self.fire(),
+                    _ = tokio::time::sleep_until(next) => self.fire_timers(),
                     _ = self.timer_set.notified() => {}
                 },
             }
         }
     }
 
-    /// Hands out all that is due.
-    fn fire(&self) {
+    /// Handles all timers that are due.
+    fn fire_timers(&self) {
         let now = self.clock.now();
-        let mut late: Time = 0.0;
+        let mut max_delay: Time = 0.0;
         loop {
             let mut state = self.state.borrow_mut();
-            let due = state.timers.peek().is_some_and(|Reverse((at, ..))| at.0 <= now);
-            let Some(Reverse((at, _, due))) = due.then(|| state.timers.pop()).flatten() else {
+            let is_due = state.timers.peek().is_some_and(|Reverse((at, ..))| at.0 <= now);
+            let Some(Reverse((at, _, kind))) = is_due.then(|| state.timers.pop()).flatten() else {
                 break;
             };
-            late = late.max(now - at.0);
-            match due {
-                Due::Token(token) => state.told.push_back(QueuedEvent::Event(Event::Timer(token))),
-                Due::Attempt(id, attempt) if state.running.get(&(id, attempt)).is_some_and(|r| r.streams) => {
+            max_delay = max_delay.max(now - at.0);
+            match kind {
+                TimerKind::Token(token) => {
+                    state.event_queue.push_back(QueuedEvent::Event(Event::Timer(token)))
                 }
-                Due::Attempt(id, attempt) => {
-                    let written = state.running.get(&(id, attempt)).is_some_and(|r| r.written.get());
+                TimerKind::Attempt(id, attempt)
+                    if state.running_attempts.get(&(id, attempt)).is_some_and(|r| r.streaming) => {}
+                TimerKind::Attempt(id, attempt) => {
+                    let written = state.running_attempts.get(&(id, attempt)).is_some_and(|r| r.written.get());
                     let outcome = if written { Outcome::Timeout } else { Outcome::NoConnection };
-                    self.ended(&mut state, id, attempt, AttemptResult::without_reply(outcome));
+                    self.end_attempt(&mut state, id, attempt, AttemptResult::without_reply(outcome));
                 }
-                // The module has not answered in time: the client must not be left without.
-                Due::Request(id) if unheld(&mut state, id) => {
-                    self.answer(&mut state, id, |fallback| Answer::Rejected(None, fallback));
+                // The request is still queued at its deadline.
+                TimerKind::Request(id) if remove_queued(&mut state, id) => {
+                    self.answer_request(&mut state, id, |fallback| Answer::Rejected(None, fallback));
                 }
-                Due::Held => self.release(&mut state, now),
-                // Its time counts from the last byte that its client sends; its attempt keeps to that.
-                Due::Request(id) if state.open.get(&id).is_some_and(|open| open.kept.is_some()) => {}
-                Due::Request(id) => {
-                    if state.open.get(&id).is_some_and(|open| open.affine) {
-                        self.observed(id, 0, AttemptEvent::Ended(Outcome::Timeout));
-                        affine::late(&mut state, id);
-                    } else if state.open.contains_key(&id) {
-                        let unsent = state.open.get(&id).is_some_and(|open| open.attempts == 0);
+                TimerKind::QueuedRequests => self.release_queued(&mut state, now),
+                // The attempt enforces its own time limit, counted from the last byte of the request body.
+                TimerKind::Request(id)
+                    if state.open_requests.get(&id).is_some_and(|open| open.exclusive.is_some()) => {}
+                TimerKind::Request(id) => {
+                    if state.open_requests.get(&id).is_some_and(|open| open.affine) {
+                        self.notify_observer(id, 0, AttemptEvent::Ended(Outcome::Timeout));
+                        affine::expire(&mut state, id);
+                    } else if state.open_requests.contains_key(&id) {
+                        let unsent = state.open_requests.get(&id).is_some_and(|open| open.attempts == 0);
                         let answer = |fallback| match unsent {
                             true => Answer::Rejected(None, fallback),
                             false => Answer::Failed(fallback),
                         };
-                        self.answer(&mut state, id, answer);
-                        state.told.push_back(QueuedEvent::Event(Event::ClientLeft(id)));
+                        self.answer_request(&mut state, id, answer);
+                        state.event_queue.push_back(QueuedEvent::Event(Event::ClientLeft(id)));
                     }
                 }
             }
             self.decide(state);
         }
-        self.lag.set(late.max(0.8 * self.lag.get()).min(MOST_LAG));
+        self.lag.set(max_delay.max(0.8 * self.lag.get()).min(MAX_LAG_SECONDS));
     }
 
-    async fn sweep(self: Rc<Self>) {
-        let mut looks: u32 = 0;
+    async fn run_sweeps(self: Rc<Self>) {
+        let mut sweeps: u32 = 0;
         loop {
-            tokio::time::sleep(SWEEP).await;
-            looks = looks.wrapping_add(1);
+            tokio::time::sleep(SWEEP_INTERVAL).await;
+            sweeps = sweeps.wrapping_add(1);
             let mut state = self.state.borrow_mut();
-            // Where backends are ever new, the gone ones must not be kept. The map's handle is the
-            // last one when no attempt or probe is out.
-            let ended = |known: &Known<U>| {
+            // Removes gone backends, so that the map stays small while backends are replaced. The map holds
+            // the last handle once no attempt or probe is running.
+            let can_be_forgotten = |known: &KnownBackend<U>| {
                 Rc::strong_count(&known.endpoint) == 1 && known.gate.can_be_forgotten(&self.clock)
             };
-            if looks.is_multiple_of(FORGET_EVERY) {
-                state.endpoints.retain(|_, known| !ended(known));
+            if sweeps.is_multiple_of(FORGET_SWEEPS) {
+                state.endpoints.retain(|_, known| !can_be_forgotten(known));
             }
             state.endpoints.values().for_each(|known| self.upstream.close_expired(&known.endpoint));
         }
     }
 }
 
-/// Takes out a request that has its final answer or wants none.
-fn close<U: Upstream>(state: &mut State<U>, id: RequestId) -> Option<Open<U>> {
-    let open = state.open.remove(&id)?;
+/// Removes a request that is answered or whose client has disconnected.
+fn close_request<U: Upstream>(state: &mut State<U>, id: RequestId) -> Option<OpenRequest<U>> {
+    let open = state.open_requests.remove(&id)?;
     open.request_open.set(false);
-    if let Some(txn) = open.txn {
-        state.in_use.remove(&txn);
+    if let Some(client_request_id) = open.client_request_id {
+        state.client_request_ids.remove(&client_request_id);
     }
     Some(open)
 }
 
-/// Ends the attempt of a request that the module does not know of.
-fn give_up<U: Upstream>(state: &mut State<U>, id: RequestId, attempt: usize) {
-    if let Some(running) = state.running.remove(&(id, attempt)) {
+/// Ends an attempt without reporting it to the decision module.
+fn abort_attempt<U: Upstream>(state: &mut State<U>, id: RequestId, attempt: usize) {
+    if let Some(running) = state.running_attempts.remove(&(id, attempt)) {
         running.task.abort();
         if let Some(known) = state.endpoints.get_mut(&running.backend) {
             known.counts.in_flight = known.counts.in_flight.saturating_sub(1);
@@ -805,20 +835,20 @@
     }
 }
 
-/// Takes out a request that is held back from the module, if it is.
-fn unheld<U: Upstream>(state: &mut State<U>, id: RequestId) -> bool {
-    let place = state.held.iter().position(|(_, held)| held.id == id);
-    place.and_then(|place| state.held.remove(place)).is_some()
+/// Removes a request from the queue. Returns whether it was queued.
+fn remove_queued<U: Upstream>(state: &mut State<U>, id: RequestId) -> bool {
+    let position = state.queued_requests.iter().position(|(_, queued)| queued.id == id);
+    position.and_then(|position| state.queued_requests.remove(position)).is_some()
 }
 
-/// Gives a request its final answer, if it has had none.
-fn give_answer<U: Upstream>(
+/// Answers a request. Does nothing if the request has been answered.
+fn send_answer<U: Upstream>(
     state: &mut State<U>,
     id: RequestId,
     answer: impl FnOnce(Option<U::Reply>) -> Answer<U::Reply>,
 ) {
-    if let Some(mut open) = close(state, id) {
+    if let Some(mut open) = close_request(state, id) {
         let fallback = open.fallback.take();
-        let _ = open.answer.send(answer(fallback)); // if it has left, its guard tells
+        let _ = open.answer.send(answer(fallback)); // fails if the client has disconnected
     }
 }
--- a/src/engine/streamed.rs
+++ b/src/engine/streamed.rs
@@ -1,58 +1,67 @@
-//! Answers that have begun and go on: the client has its answer from the first part on.
+//! Streamed replies and attempts that can't be repeated.
+//!
+//! Once the first part of a reply has gone to the client, the attempt that streams it is the only one of its
+//! request.
 
-use super::{Answer, Engine, ExclusiveClaim, QueuedEvent, ReplySink, Upstream, close};
+use super::{Answer, Engine, ExclusiveClaim, QueuedEvent, ReplySink, Upstream, close_request};
 use crate::{Event, RequestId};
 use std::rc::Rc;
 
 impl<U: Upstream> Engine<U> {
-    /// What an attempt is given to hand on an answer that has begun.
-    pub(super) fn begins(&self, id: RequestId, attempt: usize) -> ReplySink<U::Reply> {
+    /// Creates the sink that an attempt hands its streamed reply to.
+    pub(super) fn reply_sink(&self, id: RequestId, attempt: usize) -> ReplySink<U::Reply> {
         let engine = self.this.clone();
         ReplySink(Some(Rc::new(move |reply| {
-            engine.upgrade().is_some_and(|engine| engine.begun(id, attempt, reply))
+            engine.upgrade().is_some_and(|engine| engine.start_reply(id, attempt, reply))
         })))
     }
 
-    /// What an attempt is given to become its request's only one.
-    pub(super) fn keeps(&self, id: RequestId, attempt: usize) -> ExclusiveClaim {
+    /// Creates the claim by which an attempt becomes the only one of its request.
+    pub(super) fn exclusive_claim(&self, id: RequestId, attempt: usize) -> ExclusiveClaim {
         let engine = self.this.clone();
-        ExclusiveClaim(Some(Rc::new(move || engine.upgrade().is_some_and(|engine| engine.kept(id, attempt)))))
+        ExclusiveClaim(Some(Rc::new(move || {
+            engine.upgrade().is_some_and(|engine| engine.claim_attempt(id, attempt))
+        })))
     }
 
-    /// The module has done what it can for it: it would wait at its timers for what can't come before the client
-    /// has sent everything, and take a slow client for a slow backend.
-    fn kept(&self, id: RequestId, attempt: usize) -> bool {
+    /// Makes an attempt the only one of its request. The decision module is told that the request has
+    /// started: otherwise its timers would run while the client is still sending, and a slow client would
+    /// count as a slow backend.
+    fn claim_attempt(&self, id: RequestId, attempt: usize) -> bool {
         let mut state = self.state.borrow_mut();
-        let super::State { open, running, .. } = &mut *state;
-        let (Some(open), Some(running)) = (open.get_mut(&id), running.get_mut(&(id, attempt))) else {
+        let super::State { open_requests, running_attempts, .. } = &mut *state;
+        let (Some(open), Some(running)) =
+            (open_requests.get_mut(&id), running_attempts.get_mut(&(id, attempt)))
+        else {
             return false;
         };
-        if open.kept.is_some() {
-            return false; // what can be sent once is with another attempt
+        if open.exclusive.is_some() {
+            return false; // another attempt already sends the body, which can be sent once
         }
-        open.kept = Some(attempt);
-        running.streams = true;
-        running.kept = true;
+        open.exclusive = Some(attempt);
+        running.streaming = true;
+        running.exclusive = true;
         if !open.affine {
-            state.told.push_back(QueuedEvent::Event(Event::Started { id, attempt }));
+            state.event_queue.push_back(QueuedEvent::Event(Event::Started { id, attempt }));
             self.decide(state);
         }
         true
     }
 
-    fn begun(&self, id: RequestId, attempt: usize, reply: U::Reply) -> bool {
+    /// Makes a streamed reply the answer of its request, unless the request is closed.
+    fn start_reply(&self, id: RequestId, attempt: usize, reply: U::Reply) -> bool {
         let mut state = self.state.borrow_mut();
-        if !state.running.contains_key(&(id, attempt)) {
+        if !state.running_attempts.contains_key(&(id, attempt)) {
             return false;
         }
-        let Some(open) = close(&mut state, id) else { return false };
-        if let Some(running) = state.running.get_mut(&(id, attempt)) {
-            running.streams = true;
+        let Some(open) = close_request(&mut state, id) else { return false };
+        if let Some(running) = state.running_attempts.get_mut(&(id, attempt)) {
+            running.streaming = true;
         }
-        let _ = open.answer.send(Answer::Served(reply)); // where it has left, what comes finds nobody
-        if !open.affine && open.kept.is_none() {
-            state.told.push_back(QueuedEvent::Event(Event::Started { id, attempt }));
-            self.withdraw_unsent(&mut state, id, open.attempts);
+        let _ = open.answer.send(Answer::Served(reply)); // fails if the client has disconnected
+        if !open.affine && open.exclusive.is_none() {
+            state.event_queue.push_back(QueuedEvent::Event(Event::Started { id, attempt }));
+            self.cancel_unsent_attempts(&mut state, id, open.attempts);
             self.decide(state);
         }
         true
--- a/src/engine/upstream.rs
+++ b/src/engine/upstream.rs
@@ -1,5 +1,7 @@
-//! What the engine needs of a kind of backend: to make one attempt, and to say exactly how it
-//! ended. HTTP implements it in `crates/http`; other protocols do so in crates of their own.
+//! The interface between the engine and a backend protocol.
+//!
+//! An [`Upstream`] makes single attempts and reports exactly how each ended. `crates/http` implements it for
+//! HTTP; other protocols have crates of their own.
 
 use super::clock::Clock;
 use crate::{BackendId, Outcome, Report, Time};
@@ -9,116 +11,122 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Until when the whole list may be gone by, where its source lends it for a time only. It counts on
-/// the system's monotonic clock and is asked right before a first byte goes out, so that a process
-/// that stood still sends nothing by a list that is over.
+/// The time until which the backend list may be used, if its source leases it.
+///
+/// It follows the monotonic clock and is checked right before the first byte of a request is sent, so that a
+/// process that was suspended sends nothing by an expired list.
 #[derive(Debug, Default)]
 pub struct Lease {
-    until: Cell<Option<std::time::Instant>>,
+    expires_at: Cell<Option<std::time::Instant>>,
 }
 
 impl Lease {
-    /// Until then; None: for good.
-    pub fn set_expiry(&self, until: Option<std::time::Instant>) {
-        self.until.set(until);
+    /// Sets the expiry time. `None` means that the list doesn't expire.
+    pub fn set_expiry(&self, expires_at: Option<std::time::Instant>) {
+        self.expires_at.set(expires_at);
     }
 
-    /// The list may be gone by.
+    /// Returns whether the list may still be used.
     pub fn is_valid(&self) -> bool {
-        self.until.get().is_none_or(|until| std::time::Instant::now() < until)
+        self.expires_at.get().is_none_or(|expires_at| std::time::Instant::now() < expires_at)
     }
 }
 
-/// When sends to a backend must end, and whether it is gone: the engine sets it by the list, and
-/// an attempt asks it right before its first byte goes out.
+/// Decides whether a backend may be sent requests.
+///
+/// The engine updates the gate from the backend list; an attempt checks it right before its first byte is
+/// sent.
 #[derive(Debug, Default)]
 pub struct SendGate {
     lease: Rc<Lease>,
-    /// Set while it drains or is gone.
-    last_send: Cell<Option<Time>>,
-    /// The list says so, or no longer names it.
+    /// When sends must end, set while the backend drains or is gone.
+    send_deadline: Cell<Option<Time>>,
+    /// The list marks the backend as gone or no longer names it.
     gone: Cell<bool>,
 }
 
 impl SendGate {
-    /// A gate that is shut while the lease on the list is over.
+    /// Creates a gate that rejects sends while `lease` is expired.
     pub fn with_lease(lease: Rc<Lease>) -> Self {
         Self { lease, ..Self::default() }
     }
 
-    /// What the list now says: nothing against it, or when sends must end. Hearing of the same
-    /// drain again doesn't extend the grace.
-    pub fn set_send_deadline(&self, last_send: Option<Time>) {
-        let earlier = self.last_send.get().filter(|_| last_send.is_some());
-        self.last_send.set(earlier.or(last_send));
+    /// Sets the time at which sends must end, or clears it with `None`. Setting it again during the same
+    /// drain doesn't extend the grace period.
+    pub fn set_send_deadline(&self, send_deadline: Option<Time>) {
+        let earlier = self.send_deadline.get().filter(|_| send_deadline.is_some());
+        self.send_deadline.set(earlier.or(send_deadline));
         self.gone.set(false);
     }
 
-    /// It is gone from the list: sends must end by `last_send`.
-    pub fn mark_gone(&self, last_send: Time) {
-        self.set_send_deadline(Some(last_send));
+    /// Marks the backend as gone from the list: sends must end by `send_deadline`.
+    pub fn mark_gone(&self, send_deadline: Time) {
+        self.set_send_deadline(Some(send_deadline));
         self.gone.set(true);
     }
 
-    /// The list that names it may be gone by.
+    /// Returns whether the lease of the backend list is valid.
     pub fn is_lease_valid(&self) -> bool {
         self.lease.is_valid()
     }
 
-    /// Something new may be sent now.
+    /// Returns whether a new request may be sent now.
     pub fn can_send(&self, clock: &Clock) -> bool {
-        self.is_lease_valid() && !self.ended(clock)
+        self.is_lease_valid() && !self.is_past_deadline(clock)
     }
 
-    /// Its last send is past.
-    fn ended(&self, clock: &Clock) -> bool {
-        self.last_send.get().is_some_and(|last| clock.now() >= last)
+    /// Returns whether the send deadline has passed.
+    fn is_past_deadline(&self, clock: &Clock) -> bool {
+        self.send_deadline.get().is_some_and(|deadline| clock.now() >= deadline)
     }
 
-    /// The list still names it.
+    /// Returns whether the list still names the backend.
     pub fn is_listed(&self) -> bool {
         !self.gone.get()
     }
 
-    /// It is gone, and its grace is over.
+    /// Returns whether the backend is gone and its send deadline has passed.
     pub fn can_be_forgotten(&self, clock: &Clock) -> bool {
-        self.gone.get() && self.ended(clock)
+        self.gone.get() && self.is_past_deadline(clock)
     }
 }
 
-/// What the engine gives an attempt besides its payload; its replies are of type `R`.
+/// The context of an attempt besides its payload. Replies are of type `R`.
 #[derive(Clone, Debug)]
 pub struct Attempt<R> {
-    /// To be asked right before the first byte goes out: where it says no, the attempt ends with
-    /// [`Outcome::NoConnection`], or with [`Outcome::NeverSent`] where the whole list is not lent any more.
+    /// Checked right before the first byte is sent. If it rejects the send, the attempt ends with
+    /// [`Outcome::NoConnection`], or with [`Outcome::NeverSent`] if the lease has expired.
     pub gate: Rc<SendGate>,
-    /// Which backend it goes to.
+    /// The backend that the attempt goes to.
     pub backend: BackendId,
-    /// The engine's clock.
+    /// The clock of the engine.
     pub clock: Clock,
-    /// When the engine stops waiting, at the latest.
+    /// The latest time until which the engine waits.
     pub deadline: Time,
-    /// To be set as soon as any of the request may have gone out, and back where it is known that
-    /// it can't have run: from then on a break may hide a request that runs.
+    /// Set by the attempt as soon as any byte of the request may have been sent, and cleared once the request
+    /// is known not to have run. While set, a broken connection may hide a request that ran.
     pub written: Rc<Cell<bool>>,
-    /// Its request still wants an answer: to be asked along with the gate. Where it does not (its client has left, or
-    /// another attempt has answered), the attempt ends with [`Outcome::NeverSent`].
+    /// Whether the request still needs an answer; checked along with the gate. If its client has disconnected
+    /// or another attempt has answered, the attempt ends with [`Outcome::NeverSent`].
     pub request_open: Rc<Cell<bool>>,
-    /// How it hands on an answer that has begun and goes on.
+    /// Receives a reply that is streamed.
     pub reply_sink: ReplySink<R>,
-    /// How it makes itself the request's only attempt, where what it sends can't be sent again.
+    /// Makes the attempt the only one of its request, if the payload can't be sent twice.
     pub exclusive_claim: ExclusiveClaim,
 }
 
-/// Makes an attempt the only one that its request has, from here on: what comes of it is the request's answer. The
-/// engine sets no time limit any more; the attempt does.
+/// Makes an attempt the only one of its request from then on, so that its outcome is the answer of the
+/// request.
+///
+/// The engine sets no time limit afterwards; the attempt has to.
 #[derive(Clone, Default)]
 pub struct ExclusiveClaim(pub(super) Option<Rc<dyn Fn() -> bool>>);
 
 impl ExclusiveClaim {
-    /// Does so. False where the request has had its answer, or its client has left: the attempt is to end.
+    /// Claims the request. Returns false if it has been answered or its client has disconnected: the attempt
+    /// must end.
     pub fn claim(&self) -> bool {
-        self.0.as_ref().is_some_and(|keep| keep())
+        self.0.as_ref().is_some_and(|claim| claim())
     }
 }
 
@@ -128,14 +136,17 @@
     }
 }
 
-/// Takes an answer that has begun: it is the request's one answer from there on, no other attempt is made or
-/// waited for, and the engine sets no time limit any more. The attempt goes on until all of it has come.
+/// Receives a reply whose body is still arriving and makes it the answer of the request.
+///
+/// No other attempt is made or waited for, and the engine sets no time limit afterwards. The attempt goes on
+/// until the whole reply has arrived.
 pub struct ReplySink<R>(pub(super) Option<Rc<dyn Fn(R) -> bool>>);
 
 impl<R> ReplySink<R> {
-    /// Hands it on. False where the request has had its answer, or its client has left: the attempt is to end.
+    /// Hands over the reply. Returns false if the request has been answered or its client has disconnected:
+    /// the attempt must end.
     pub fn send(&self, reply: R) -> bool {
-        self.0.as_ref().is_some_and(|begin| begin(reply))
+        self.0.as_ref().is_some_and(|send| send(reply))
     }
 }
 
@@ -157,61 +168,60 @@
     }
 }
 
-/// How an attempt or probe ended.
+/// The result of an attempt or a probe.
 #[derive(Debug)]
 pub struct AttemptResult<R> {
-    /// The outcome.
+    /// How it ended.
     pub outcome: Outcome,
-    /// The answer, if it was served.
+    /// The reply, if the request was served.
     pub reply: Option<R>,
-    /// What the client is answered if the request ends without being served after all: an error
-    /// that the backend worded, where clients are to see it.
+    /// The reply for the client if the request ends without being served: an error response of the backend
+    /// that clients may see.
     pub fallback: Option<R>,
-    /// The load report that came along.
+    /// The load report of the backend.
     pub report: Option<Report>,
 }
 
 impl<R> AttemptResult<R> {
-    /// An end that brought nothing.
+    /// Creates a result without reply and load report.
     pub fn without_reply(outcome: Outcome) -> Self {
         Self { outcome, reply: None, fallback: None, report: None }
     }
 }
 
-/// A kind of backend. Everything here runs on the engine's thread.
+/// A backend protocol. All methods run on the thread of the engine.
 pub trait Upstream: 'static {
-    /// What is sent.
+    /// The request that is sent.
     type Payload: 'static;
-    /// What a served request is answered with.
+    /// The reply to a served request.
     type Reply: 'static;
     /// One backend and the connections to it.
     type Endpoint: 'static;
 
-    /// A backend at `address`; nothing is opened yet.
+    /// Creates the endpoint of a backend at `address` without opening a connection.
     fn create_endpoint(&self, address: SocketAddr) -> Self::Endpoint;
 
-    /// The backend listens at `address` now. Where that is another one, nothing new goes out on
-    /// connections to the old one.
+    /// Sets the address of a backend. If it changes, nothing new is sent on connections to the previous
+    /// address.
     fn set_address(&self, endpoint: &Self::Endpoint, address: SocketAddr);
 
     /// Closes the idle connections, and those in use once they become idle.
     fn release_connections(&self, endpoint: &Self::Endpoint);
 
-    /// Closes connections that are no longer to be used. Called about ten times a second.
+    /// Closes idle connections that must not be reused. Called about ten times a second.
     fn close_expired(&self, endpoint: &Self::Endpoint);
 
-    /// No further connection can be opened unless one is closed.
+    /// Returns whether no further connection can be opened until one is closed.
     fn is_full(&self) -> bool;
 
-    /// Since when its longest idle connection has been idle.
+    /// Returns since when the oldest idle connection has been idle.
     fn oldest_idle_since(&self, endpoint: &Self::Endpoint) -> Option<Instant>;
 
-    /// Closes that connection.
+    /// Closes the oldest idle connection.
     fn close_oldest_idle(&self, endpoint: &Self::Endpoint);
 
-    /// Makes one attempt, and says exactly how it ended; what is not known to have been kept from
-    /// the backend may have run. Dropping the future gives the attempt up: its connection must
-    /// not be used again.
+    /// Makes one attempt and reports exactly how it ended. A request that isn't known to be unsent may have
+    /// run. Dropping the future cancels the attempt: its connection must not be reused.
     fn attempt(
         &self,
         endpoint: Rc<Self::Endpoint>,
@@ -219,7 +229,7 @@
         attempt: Attempt<Self::Reply>,
     ) -> impl Future<Output = AttemptResult<Self::Reply>> + 'static;
 
-    /// Sees whether a backend answers, within a time limit of its own.
+    /// Checks whether a backend answers, within a time limit of its own.
     fn probe(
         &self,
         endpoint: Rc<Self::Endpoint>,
