--- a/crates/dewpier/benches/day.rs
+++ b/crates/dewpier/benches/day.rs
@@ -20,7 +20,7 @@
 use dewpier_plan::{DrainBound, Node, Plan, Slice, Told, Version};
 use dewpier_standins::rng::Rng;
 use forwarder::{Attempt, Forwarder, Open};
-use gannetproxy::{Action, Class, Effect, Ended, Event, Outcome, Request, RequestId, Settings};
+use gannetproxy::{Action, AttemptResult, Class, Effect, Event, Outcome, Request, RequestId, Settings};
 use planner::Planner;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -133,13 +133,13 @@
     let class = |effect| Class { aim: AIM, deadline: DEADLINE, effect, ..Class::default() };
     Settings {
         classes: vec![class(Effect::Safe), class(Effect::Unsafe)],
-        instances: FORWARDERS,
-        me,
+        instance_count: FORWARDERS,
+        instance_index: me,
         max_attempts: 3,
-        cold: COLD,
-        cold_share: COLD_SHARE,
-        fall_multiple: FALL,
-        tip_after: TIP as f64 / 1e6,
+        cold_duration: COLD,
+        cold_capacity_fraction: COLD_SHARE,
+        overload_multiple: FALL,
+        overload_duration: TIP as f64 / 1e6,
         ..Settings::default()
     }
 }
@@ -267,7 +267,7 @@
                 let open = self.forwarders[f].open.get_mut(&request).expect("it came");
                 if open.answers == 0 {
                     open.answers += 1;
-                    self.event(f, Event::ClientLeft(RequestId(request)));
+                    self.event(f, Event::ClientDisconnected(RequestId(request)));
                 }
             }
             What::Becomes(node, is) => self.becomes(node, is),
@@ -407,7 +407,7 @@
                     }
                 }
                 Action::Cancel { id, attempt } => self.ended(f, id.0, attempt, Outcome::Cancelled),
-                Action::Refuse { id, .. } | Action::Fail { id } => {
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     self.forwarders[f].open.get_mut(&id.0).expect("it came").answers += 1;
                 }
                 Action::Timer { at, token } => {
@@ -417,7 +417,7 @@
                 Action::Probe(backend) => {
                     self.event(f, Event::Probed { backend, outcome: Outcome::Served, report: None });
                 }
-                Action::Release(_) | Action::Watch(_) | Action::Fetch | Action::Log(_) => {}
+                Action::CloseIdleConnections(_) | Action::Watch(_) | Action::Fetch | Action::Log(_) => {}
             }
         }
     }
@@ -491,7 +491,15 @@
             }
         }
         let over = open.answers > 0;
-        let ended = Ended { id: RequestId(request), backend, attempt, outcome, took, over, report: None };
+        let ended = AttemptResult {
+            id: RequestId(request),
+            backend,
+            attempt,
+            outcome,
+            duration: took,
+            is_final: over,
+            report: None,
+        };
         self.event(f, Event::Outcome(ended));
     }
 }
--- a/crates/dewpier/benches/decision.rs
+++ b/crates/dewpier/benches/decision.rs
@@ -5,8 +5,8 @@
 use dewpier_peers::{Carried, Name, Process};
 use dewpier_verdicts::{End, Entry, Member, NodeId, Settings as Rules, Tally, Verdicts};
 use gannetproxy::{
-    Action, BackendId, Balancer, Class, Ended, Entry as Listed, Event, ListUpdate, Outcome, Request,
-    RequestId, Settings,
+    Action, AttemptResult, BackendEntry as Listed, BackendId, Balancer, Class, Event, ListUpdate, Outcome,
+    Request, RequestId, Settings,
 };
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -76,13 +76,13 @@
             beside.verdicts.began((n, 0), node(backend), 0, now);
         }
         actions.clear();
-        let ended = Ended {
+        let ended = AttemptResult {
             id: RequestId(n + 1),
             backend,
             attempt: 0,
             outcome: Outcome::Served,
-            took: 0.004,
-            over: true,
+            duration: 0.004,
+            is_final: true,
             report: None,
         };
         balancer.handle(at + 0.004, Event::Outcome(ended), &mut actions);
--- a/crates/dewpier/src/config/classes.rs
+++ b/crates/dewpier/src/config/classes.rs
@@ -2,7 +2,7 @@
 
 use super::check::{HOUR, Wrong, millis, number, wrong};
 use dewpier_http::routes::Route;
-use gannetproxy::{Class, Effect, Group};
+use gannetproxy::{Class, DedupGroup, Effect};
 use hyper::Method;
 use serde::Deserialize;
 use std::time::Duration;
@@ -89,9 +89,9 @@
         (RawEffect::Unsafe, None) => Effect::Unsafe,
         (RawEffect::Keyed, Some(_)) => Effect::Keyed {
             group: match raw.group.unwrap_or(RawGroup::All) {
-                RawGroup::All => Group::All,
-                RawGroup::Zone => Group::Zone,
-                RawGroup::Cell => Group::Cell,
+                RawGroup::All => DedupGroup::All,
+                RawGroup::Zone => DedupGroup::Zone,
+                RawGroup::Cell => DedupGroup::Cell,
             },
             window: seconds(millis(&raw.window_ms, "window_ms", [1, 24 * HOUR], 1)?),
         },
--- a/crates/dewpier/src/config/mod.rs
+++ b/crates/dewpier/src/config/mod.rs
@@ -173,14 +173,14 @@
         let most_wait = millis(&limits.max_retry_after_ms, "max_retry_after_ms", [0, HOUR], 1000)?;
         let settings = Settings {
             classes,
-            instances: instances as usize,
-            me: me as usize,
+            instance_count: instances as usize,
+            instance_index: me as usize,
             max_attempts: whole(&limits.max_attempts, "max_attempts", [1, 16], 4)? as usize,
             max_retry_after: seconds(most_wait),
-            cold_share: number(&backends.cold_share, "cold_share", [0.01, 1.0], 0.2)?,
-            cold: seconds(millis(&backends.cold_ms, "cold_ms", [0, HOUR], 10_000)?),
-            fall_multiple: number(&backends.fall_multiple, "fall_multiple", [1.0, 100.0], 3.0)?,
-            tip_after: seconds(millis(&backends.tip_after_ms, "tip_after_ms", [1, HOUR], 1000)?),
+            cold_capacity_fraction: number(&backends.cold_share, "cold_share", [0.01, 1.0], 0.2)?,
+            cold_duration: seconds(millis(&backends.cold_ms, "cold_ms", [0, HOUR], 10_000)?),
+            overload_multiple: number(&backends.fall_multiple, "fall_multiple", [1.0, 100.0], 3.0)?,
+            overload_duration: seconds(millis(&backends.tip_after_ms, "tip_after_ms", [1, HOUR], 1000)?),
             ..Settings::default()
         };
         let memory = whole(&limits.memory_mb, "memory_mb", [16, 1 << 20], 192)? as usize;
--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -220,7 +220,7 @@
                         Outcome::NoConnection => End::Unreached,
                         Outcome::Timeout => End::Silent,
                         Outcome::Cancelled => End::GivenUp,
-                        Outcome::Full | Outcome::NeverSent => End::Untold,
+                        Outcome::Rejected | Outcome::NeverSent => End::Untold,
                     };
                     state.verdicts.ended((id.0, attempt), end, now);
                 }
--- a/crates/dewpier/src/members.rs
+++ b/crates/dewpier/src/members.rs
@@ -5,14 +5,14 @@
 use dewpier_inventory::{Backend, State};
 use dewpier_verdicts::NodeId;
 use gannetproxy::engine::{Listed, News};
-use gannetproxy::{Entry, Status, Time};
+use gannetproxy::{BackendEntry, Status, Time};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 /// What is remembered of a node that is listed.
 #[derive(Clone, Debug)]
 struct Member {
-    entry: Entry,
+    entry: BackendEntry,
     address: SocketAddr,
     serving: bool,
 }
@@ -62,14 +62,14 @@
                 (None, None) if self.first => None,
                 (None, None) => Some(now),
             };
-            let entry = Entry {
+            let entry = BackendEntry {
                 id: self.names.id(&backend.id),
                 cell: backend.cell,
                 zone: self.zone(&backend.zone),
                 weight: if backend.weight > 0.0 { backend.weight } else { 1.0 },
                 status: if serving { Status::InService } else { Status::Draining },
                 started,
-                usual: self.usual.get(&backend.id).copied(),
+                usual_rate: self.usual.get(&backend.id).copied(),
             };
             let member = Member { entry: entry.clone(), address: *address, serving };
             self.members.insert(backend.id.clone(), member);
@@ -86,8 +86,8 @@
         for id in before.keys().chain(self.usual.keys()) {
             let Some(member) = self.members.get_mut(id) else { continue };
             let usual = self.usual.get(id).copied();
-            if member.entry.usual != usual {
-                member.entry.usual = usual;
+            if member.entry.usual_rate != usual {
+                member.entry.usual_rate = usual;
                 changed.push(Listed { entry: member.entry.clone(), address: member.address });
             }
         }
@@ -189,7 +189,7 @@
         let mut told = |usual: &[(&str, f64)]| {
             let usual = usual.iter().map(|(id, rate)| (id.to_string(), *rate)).collect();
             let News::Changes(list) = members.budgets(usual) else { panic!() };
-            list.iter().map(|l| l.entry.usual).collect::<Vec<_>>()
+            list.iter().map(|l| l.entry.usual_rate).collect::<Vec<_>>()
         };
         assert_eq!(told(&[("b", 5.0), ("unknown", 1.0)]), [Some(5.0)]);
         assert_eq!(told(&[("b", 5.0)]), [None; 0]);
--- a/crates/dewpier/tests/growth.rs
+++ b/crates/dewpier/tests/growth.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 fn listed(id: u32, address: SocketAddr) -> Listed {
-    Listed { entry: Entry { id: BackendId(id), ..Entry::default() }, address }
+    Listed { entry: BackendEntry { id: BackendId(id), ..BackendEntry::default() }, address }
 }
 
 #[test]
--- a/crates/dewpier/tests/levels/forwarder.rs
+++ b/crates/dewpier/tests/levels/forwarder.rs
@@ -4,7 +4,7 @@
 use dewpier::members::Members;
 use dewpier_plan::{Counts, Digest, DrainBound, Follower, Node, Rules, Slice, Standby};
 use gannetproxy::engine::{Listed, News};
-use gannetproxy::{Action, BackendId, Balancer, Entry, Event, ListUpdate, Settings, Status};
+use gannetproxy::{Action, BackendEntry, BackendId, Balancer, Event, ListUpdate, Settings, Status};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -103,7 +103,7 @@
                 _ => *gate = Some(gate.unwrap_or(now + grace)),
             }
         }
-        let entries: Vec<Entry> = list.into_iter().map(|l| l.entry).collect();
+        let entries: Vec<BackendEntry> = list.into_iter().map(|l| l.entry).collect();
         let update = if self.listed { ListUpdate::Full(&entries) } else { ListUpdate::Remembered(&entries) };
         self.listed = true;
         self.event(now, Event::List(update), actions);
@@ -111,7 +111,7 @@
 
     pub fn budgets(&mut self, now: u64, actions: &mut Vec<Action>) {
         if let News::Changes(list) = self.members.budgets(self.follower.budgets()) {
-            let entries: Vec<Entry> = list.into_iter().map(|l| l.entry).collect();
+            let entries: Vec<BackendEntry> = list.into_iter().map(|l| l.entry).collect();
             self.event(now, Event::List(ListUpdate::Changes(&entries)), actions);
         }
     }
--- a/crates/dewpier/tests/levels/world.rs
+++ b/crates/dewpier/tests/levels/world.rs
@@ -6,7 +6,7 @@
 use dewpier_cluster::fleet::Command;
 use dewpier_plan::{Asked, DrainBound, Heard, Mark, Node, Slice, Told, Version, asked_every};
 use dewpier_standins::rng::Rng;
-use gannetproxy::{Action, Class, Effect, Ended, Event, Outcome, Request, RequestId, Settings};
+use gannetproxy::{Action, AttemptResult, Class, Effect, Event, Outcome, Request, RequestId, Settings};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::Duration;
@@ -207,11 +207,11 @@
     let class = |effect| Class { aim: 0.5, deadline: 1.0, effect, ..Class::default() };
     Settings {
         classes: vec![class(Effect::Safe), class(Effect::Unsafe)],
-        instances: FORWARDERS,
-        me,
-        cold: COLD,
-        cold_share: COLD_SHARE,
-        fall_multiple: FALL,
+        instance_count: FORWARDERS,
+        instance_index: me,
+        cold_duration: COLD,
+        cold_capacity_fraction: COLD_SHARE,
+        overload_multiple: FALL,
         ..Settings::default()
     }
 }
@@ -922,7 +922,7 @@
                 if open.answers == 0 {
                     open.answers += 1;
                     self.tally.failed += 1;
-                    forwarder.event(now, Event::ClientLeft(RequestId(request)), &mut actions);
+                    forwarder.event(now, Event::ClientDisconnected(RequestId(request)), &mut actions);
                 }
             }
             other => panic!("a forwarder: {other:?}"),
@@ -956,7 +956,7 @@
             Action::Cancel { id, attempt } => {
                 self.done(forwarder, id.0, attempt, Outcome::Cancelled, further);
             }
-            Action::Refuse { id, .. } => self.answer(forwarder, id.0, false),
+            Action::Reject { id, .. } => self.answer(forwarder, id.0, false),
             Action::Fail { id } => self.answer(forwarder, id.0, true),
             Action::Timer { at, token } => {
                 let after = ((at * 1e6) as u64).saturating_sub(self.now) + 1;
@@ -966,7 +966,7 @@
                 let event = Event::Probed { backend, outcome: Outcome::Served, report: None };
                 forwarder.event(self.now, event, further);
             }
-            Action::Release(_) | Action::Watch(_) | Action::Fetch | Action::Log(_) => {}
+            Action::CloseIdleConnections(_) | Action::Watch(_) | Action::Fetch | Action::Log(_) => {}
         }
     }
 
@@ -1038,7 +1038,15 @@
         }
         let took = (self.now - made.sent) as f64 / 1e6;
         let (backend, over) = (made.backend, open.answers > 0);
-        let ended = Ended { id: RequestId(request), backend, attempt, outcome, took, over, report: None };
+        let ended = AttemptResult {
+            id: RequestId(request),
+            backend,
+            attempt,
+            outcome,
+            duration: took,
+            is_final: over,
+            report: None,
+        };
         forwarder.event(self.now, Event::Outcome(ended), actions);
     }
 
--- a/crates/dewpier/tests/streams.rs
+++ b/crates/dewpier/tests/streams.rs
@@ -7,7 +7,7 @@
 use dewpier_standins::message::read_head;
 use dewpier_standins::rng::Rng;
 use gannetproxy::engine::{Answer, Attempt, Bounds, Done, Engine, Listed, News, Upstream};
-use gannetproxy::{BackendId, Class, Effect, Entry, Outcome, Request, Settings};
+use gannetproxy::{BackendEntry, BackendId, Class, Effect, Outcome, Request, Settings};
 use serde_json::json;
 use sockets::*;
 use std::cell::RefCell;
@@ -326,15 +326,15 @@
         // Attempts that lost are not cancelled, so that both get as far.
         let settings = Settings {
             classes: vec![class],
-            cancel: false,
-            second_copies: true,
+            can_cancel: false,
+            allow_concurrent_attempts: true,
             max_attempts: 4,
             ..Settings::default()
         };
         let bounds = Bounds { drain_grace: LONG, max_open: 10 };
         let engine = Engine::start(settings, bounds, 7, Waits(seen.clone()));
         let listed = |n| Listed {
-            entry: Entry { id: BackendId(n), ..Entry::default() },
+            entry: BackendEntry { id: BackendId(n), ..BackendEntry::default() },
             address: ([127, 0, 0, 1], 1).into(),
         };
         engine.news(News::Remembered(vec![listed(1), listed(2), listed(3)]));
--- a/crates/http/src/backend.rs
+++ b/crates/http/src/backend.rs
@@ -400,7 +400,7 @@
     let plain = answers == Answers::Plain;
     let outcome = match head.status {
         StatusCode::OK => Outcome::Served,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away() => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away() => Outcome::Rejected,
         status if plain && !status.is_server_error() => Outcome::Served,
         _ => Outcome::Error,
     };
@@ -452,5 +452,5 @@
 fn report(json: &[u8]) -> Option<Report> {
     let fields: serde_json::Map<String, serde_json::Value> = serde_json::from_slice(json).ok()?;
     let service = fields.get("avg_ms").or(fields.get("latency_ms")).and_then(|v| v.as_f64());
-    Some(Report { service: service.filter(|ms| *ms >= 0.0).map(|ms| ms / 1000.0) })
+    Some(Report { service_time: service.filter(|ms| *ms >= 0.0).map(|ms| ms / 1000.0) })
 }
--- a/crates/http/src/config.rs
+++ b/crates/http/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::listing::{self, RawList};
 use gannetproxy::engine::Bounds;
-use gannetproxy::{Class, Effect, Group, Settings, Time};
+use gannetproxy::{Class, DedupGroup, Effect, Settings, Time};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -351,25 +351,25 @@
             classes: raw.classes.into_iter().map(class).collect::<Result<_, _>>()?,
             quotas: raw.projects.iter().map(|p| p.quota_per_s).collect(),
             over_share_worth: raw.over_share_worth.unwrap_or(1.0),
-            instances: raw.n_instances,
-            me: raw.me,
+            instance_count: raw.n_instances,
+            instance_index: raw.me,
             tier: raw.tier,
             zone,
-            cross_zone: raw.costs.cross_zone,
-            dear_connections: raw.costs.connection + raw.costs.handshake > 0.0,
+            cross_zone_cost: raw.costs.cross_zone,
+            costly_connections: raw.costs.connection + raw.costs.handshake > 0.0,
             probe_for_reports: raw.stats.how == "on_probe" && raw.caps.probing,
-            cancel: raw.caps.cancel,
-            second_copies: raw.caps.second_copies,
+            can_cancel: raw.caps.cancel,
+            allow_concurrent_attempts: raw.caps.second_copies,
             max_attempts: raw.caps.max_attempts,
             max_retry_after: if raw.caps.retry_after { raw.caps.max_retry_after } else { 0.0 },
             must_watch: raw.registry_mode == RegistryMode::Subscribe,
-            ask_within: raw.rules.ask_within,
-            cold_share: raw.rules.cold_share,
-            cold: raw.rules.cold,
-            fall_multiple: raw.rules.fall_multiple,
-            tip_after: raw.rules.tip_after,
-            settle: raw.rules.settle_after_doubt.unwrap_or(0.0),
-            release_within: raw.rules.release_within,
+            list_request_deadline: raw.rules.ask_within,
+            cold_capacity_fraction: raw.rules.cold_share,
+            cold_duration: raw.rules.cold,
+            overload_multiple: raw.rules.fall_multiple,
+            overload_duration: raw.rules.tip_after,
+            key_settle_time: raw.rules.settle_after_doubt.unwrap_or(0.0),
+            connection_release_deadline: raw.rules.release_within,
             quantum: raw.quantum,
         };
         let (sockets, memory) = (file.limits.sockets, (file.limits.memory_mb * f64::from(1 << 20)) as usize);
@@ -393,9 +393,9 @@
             RawEffect::SingleShot => Effect::Unsafe,
             RawEffect::Guarded => Effect::Keyed {
                 group: match raw.group.ok_or_else(|| absent("group"))? {
-                    RawGroup::All => Group::All,
-                    RawGroup::Zone => Group::Zone,
-                    RawGroup::Cell => Group::Cell,
+                    RawGroup::All => DedupGroup::All,
+                    RawGroup::Zone => DedupGroup::Zone,
+                    RawGroup::Cell => DedupGroup::Cell,
                 },
                 window: positive("window", raw.window.ok_or_else(|| absent("window"))?)?,
             },
--- a/crates/http/src/discovery/mod.rs
+++ b/crates/http/src/discovery/mod.rs
@@ -95,7 +95,7 @@
         engine: Rc<Engine<Http>>,
     ) -> Rc<Self> {
         let pace = if settings.must_watch { Pace::ASKED } else { Pace::PUSHED };
-        let longest = Duration::try_from_secs_f64(settings.ask_within).unwrap_or(pace.wait);
+        let longest = Duration::try_from_secs_f64(settings.list_request_deadline).unwrap_or(pace.wait);
         let discovery = Rc::new(Self {
             names: RefCell::new(Names::new(wire.zones.clone())),
             wanted: RefCell::new(Wanted {
--- a/crates/http/src/listing.rs
+++ b/crates/http/src/listing.rs
@@ -1,7 +1,7 @@
 //! Lists of backends as discovery writes them, and their names in the module's terms.
 
 use gannetproxy::engine::{Clock, Listed};
-use gannetproxy::{BackendId, Entry, Status};
+use gannetproxy::{BackendEntry, BackendId, Status};
 use serde::Deserialize;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -89,7 +89,7 @@
     /// A list in the module's terms.
     pub fn list(&mut self, raw: Vec<RawEntry>, clock: &Clock) -> Vec<Listed> {
         let listed = |raw: RawEntry| Listed {
-            entry: Entry {
+            entry: BackendEntry {
                 id: self.id(&raw.instance_id),
                 cell: raw.cell,
                 zone: zone_index(&mut self.zones, &raw.zone),
@@ -100,7 +100,7 @@
                     Lifecycle::Deleted => Status::Gone,
                 },
                 started: (raw.started_at_ms > 0.0).then(|| clock.of_unix(raw.started_at_ms / 1000.0)),
-                usual: None,
+                usual_rate: None,
             },
             address: raw.host_port,
         };
--- a/crates/mysql/src/io/upstream.rs
+++ b/crates/mysql/src/io/upstream.rs
@@ -337,7 +337,7 @@
     let answer = Some(Served { frames: frames.freeze(), next, rest: Rest::Over(ended, hold), _room: room });
     match never_ran {
         // Another server may do it; else the client hears what this one said.
-        true => Done { fallback: answer, ..done(Outcome::Full, None) },
+        true => Done { fallback: answer, ..done(Outcome::Rejected, None) },
         false => done(Outcome::Served, answer),
     }
 }
--- a/crates/mysql/tests/common/mod.rs
+++ b/crates/mysql/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use dewpier_mysql::login::Credentials;
 use dewpier_standins::mysql::{Asked, MySqlServer, Reply};
 use gannetproxy::engine::{Bounds, Budget, Engine, Listed, News};
-use gannetproxy::{BackendId, Class, Effect, Entry, Settings, Status};
+use gannetproxy::{BackendEntry, BackendId, Class, Effect, Settings, Status};
 use mysql::prelude::Queryable;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,7 +27,7 @@
 }
 
 pub fn listed(id: u32, address: SocketAddr, status: Status) -> Listed {
-    Listed { entry: Entry { id: BackendId(id), status, ..Entry::default() }, address }
+    Listed { entry: BackendEntry { id: BackendId(id), status, ..BackendEntry::default() }, address }
 }
 
 fn addresses(servers: &[&MySqlServer]) -> Vec<SocketAddr> {
--- a/src/bin/gannetproxy-simhost.rs
+++ b/src/bin/gannetproxy-simhost.rs
@@ -4,7 +4,7 @@
 #![forbid(unsafe_code)]
 
 use gannetproxy::wire::{self, InstanceNames, LISTS, Line, Names, UpdateKind, WireError};
-use gannetproxy::{Balancer, Entry, Event, ListUpdate, Time};
+use gannetproxy::{BackendEntry, Balancer, Event, ListUpdate, Time};
 use std::any::Any;
 use std::collections::HashMap;
 use std::io::{self, BufRead, Write};
@@ -22,7 +22,7 @@
     instances: Vec<Instance>,
     by_name: HashMap<String, usize>,
     zones: Names,
-    lists: [Vec<Entry>; LISTS],
+    lists: [Vec<BackendEntry>; LISTS],
     filling: Option<(usize, usize)>,
     selected: Option<usize>,
     now: Time,
@@ -87,7 +87,7 @@
                         UpdateKind::Changes => ListUpdate::Changes(&list),
                         UpdateKind::All => ListUpdate::Full(&list),
                         UpdateKind::Remembered => ListUpdate::Remembered(&list),
-                        UpdateKind::Refused => ListUpdate::Refused,
+                        UpdateKind::Refused => ListUpdate::Failed,
                     }),
                 );
                 self.lists[page] = list;
--- a/src/engine/affine.rs
+++ b/src/engine/affine.rs
@@ -55,7 +55,7 @@
     outcome: Outcome,
     fallback: Option<U::Reply>,
 ) {
-    let unsent = matches!(outcome, Outcome::NoConnection | Outcome::NeverSent | Outcome::Full);
+    let unsent = matches!(outcome, Outcome::NoConnection | Outcome::NeverSent | Outcome::Rejected);
     give_answer(
         state,
         id,
--- a/src/engine/list.rs
+++ b/src/engine/list.rs
@@ -1,6 +1,6 @@
 //! News of the list of backends, as values from whichever source there is.
 
-use crate::Entry;
+use crate::BackendEntry;
 use std::net::SocketAddr;
 
 /// News of the list, as the engine hands it to the module.
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct Listed {
     /// The module's part.
-    pub entry: Entry,
+    pub entry: BackendEntry,
     /// Its address.
     pub address: SocketAddr,
 }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -16,8 +16,8 @@
 pub use upstream::{Attempt, Begin, Done, Gate, Keep, Lease, Upstream};
 
 use crate::{
-    Action, BackendId, Balancer, Ended, Entry, Event, ListUpdate, Outcome, Report, Request, RequestId,
-    Settings, Status, Time,
+    Action, AttemptResult, BackendEntry, BackendId, Balancer, Event, ListUpdate, Outcome, Report, Request,
+    RequestId, Settings, Status, Time,
 };
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -272,7 +272,7 @@
     pub fn believe(&self, held: &[(BackendId, f64)]) {
         let mut state = self.state.borrow_mut();
         let believed = |(backend, slowness): &(BackendId, f64)| {
-            Told::Event(Event::Believed { backend: *backend, slowness: *slowness })
+            Told::Event(Event::BackendHint { backend: *backend, slowness: *slowness })
         };
         state.told.extend(held.iter().map(believed));
         self.decide(state);
@@ -298,7 +298,7 @@
     pub fn members(&self) -> (usize, usize) {
         let state = self.state.borrow();
         let listed = state.endpoints.values().filter(|known| known.gate.listed()).count();
-        (listed, state.balancer.avoided().min(listed))
+        (listed, state.balancer.avoided_backends().min(listed))
     }
 
     /// There is a list to go by.
@@ -377,13 +377,13 @@
             let backend = state.running.get(&(id, attempt)).map(|running| running.backend);
             give_up(&mut state, id, attempt);
             if let Some(backend) = backend {
-                let ended = Ended {
+                let ended = AttemptResult {
                     id,
                     backend,
                     attempt,
                     outcome: Outcome::Cancelled,
-                    took: 0.0,
-                    over: true,
+                    duration: 0.0,
+                    is_final: true,
                     report: None,
                 };
                 state.told.push_back(Told::Event(Event::Outcome(ended)));
@@ -391,7 +391,7 @@
             return self.decide(state);
         }
         if !unheld(&mut state, id) {
-            state.told.push_back(Told::Event(Event::ClientLeft(id)));
+            state.told.push_back(Told::Event(Event::ClientDisconnected(id)));
             self.withdraw_unsent(&mut state, id, open.attempts);
             self.decide(state);
         }
@@ -516,13 +516,13 @@
         } else if let (Some(fallback), Some(open)) = (done.fallback, state.open.get_mut(&id)) {
             open.fallback = Some(fallback);
         }
-        state.told.push_back(Told::Event(Event::Outcome(Ended {
+        state.told.push_back(Told::Event(Event::Outcome(AttemptResult {
             id,
             backend: running.backend,
             attempt,
             outcome: done.outcome,
-            took: self.clock.now() - running.sent,
-            over: !state.open.contains_key(&id),
+            duration: self.clock.now() - running.sent,
+            is_final: !state.open.contains_key(&id),
             report: done.report,
         })));
         self.withdraw_unsent(state, id, closed);
@@ -539,7 +539,8 @@
         let mut actions = Vec::new();
         while let Some(told) = state.told.pop_front() {
             let now = self.clock.now();
-            let entries = |list: Vec<Listed>| list.into_iter().map(|l| l.entry).collect::<Vec<Entry>>();
+            let entries =
+                |list: Vec<Listed>| list.into_iter().map(|l| l.entry).collect::<Vec<BackendEntry>>();
             match told {
                 Told::Event(event) => state.balancer.handle(now, event, &mut actions),
                 Told::List(news) => {
@@ -557,7 +558,7 @@
                             list = entries(l);
                             ListUpdate::Remembered(&list)
                         }
-                        News::Refused => ListUpdate::Refused,
+                        News::Refused => ListUpdate::Failed,
                     };
                     state.balancer.handle(now, Event::List(update), &mut actions);
                 }
@@ -574,13 +575,13 @@
             Action::Cancel { id, attempt } => {
                 self.ended(state, id, attempt, Done::without_answer(Outcome::Cancelled));
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.answer(state, id, |fallback| Answer::Refused(retry_after, fallback));
             }
             Action::Fail { id } => self.answer(state, id, Answer::Failed),
             Action::Timer { at, token } => self.set_timer(state, at, Due::Token(token)),
             Action::Probe(backend) => self.probe(state, backend),
-            Action::Release(backend) => {
+            Action::CloseIdleConnections(backend) => {
                 let known = state.endpoints.get(&backend);
                 known.into_iter().for_each(|known| self.upstream.release(&known.endpoint));
             }
@@ -600,13 +601,13 @@
         let open = state.open.get_mut(&id).filter(|open| open.attempts < most);
         let (Some(open), Some((gate, endpoint)), Some(engine)) = (open, known, self.this.upgrade()) else {
             let attempt = state.open.get(&id).map_or(0, |open| open.attempts);
-            return state.told.push_back(Told::Event(Event::Outcome(Ended {
+            return state.told.push_back(Told::Event(Event::Outcome(AttemptResult {
                 id,
                 backend,
                 attempt,
                 outcome: Outcome::NeverSent,
-                took: 0.0,
-                over: !state.open.contains_key(&id),
+                duration: 0.0,
+                is_final: !state.open.contains_key(&id),
                 report: None,
             })));
         };
@@ -740,7 +741,7 @@
                             false => Answer::Failed(fallback),
                         };
                         self.answer(&mut state, id, answer);
-                        state.told.push_back(Told::Event(Event::ClientLeft(id)));
+                        state.told.push_back(Told::Event(Event::ClientDisconnected(id)));
                     }
                 }
             }
--- a/src/engine/streamed.rs
+++ b/src/engine/streamed.rs
@@ -34,7 +34,7 @@
         running.streams = true;
         running.kept = true;
         if !open.affine {
-            state.told.push_back(Told::Event(Event::Started { id, attempt }));
+            state.told.push_back(Told::Event(Event::StreamStarted { id, attempt }));
             self.decide(state);
         }
         true
@@ -51,7 +51,7 @@
         }
         let _ = open.answer.send(Answer::Served(reply)); // where it has left, what comes finds nobody
         if !open.affine && open.kept.is_none() {
-            state.told.push_back(Told::Event(Event::Started { id, attempt }));
+            state.told.push_back(Told::Event(Event::StreamStarted { id, attempt }));
             self.withdraw_unsent(&mut state, id, open.attempts);
             self.decide(state);
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -13,7 +13,7 @@
 
 /// Which backends drop repeats of each other's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupGroup {
     /// All of them.
     All,
     /// Those of one zone.
@@ -30,7 +30,7 @@
     /// Dropped by the group that has seen it, for `window` seconds from the first send.
     Keyed {
         /// The backends that know of each other's requests.
-        group: Group,
+        group: DedupGroup,
         /// How long they remember.
         window: Time,
     },
@@ -71,23 +71,23 @@
     /// Worth of a request beyond its tenant's share, as a part of the class worth.
     pub over_share_worth: f64,
     /// Number of balancers like this one.
-    pub instances: usize,
+    pub instance_count: usize,
     /// Number of this one among them.
-    pub me: usize,
+    pub instance_index: usize,
     /// How many tiers lie between the clients and this balancer; 0 is the entry.
     pub tier: usize,
-    /// The zone this balancer is in, as [`Entry::zone`] numbers them.
+    /// The zone this balancer is in, as [`BackendEntry::zone`] numbers them.
     pub zone: u32,
     /// What each attempt that crosses zones costs, in parts of the worth of an average request.
-    pub cross_zone: f64,
+    pub cross_zone_cost: f64,
     /// Open or new connections have a price.
-    pub dear_connections: bool,
+    pub costly_connections: bool,
     /// Load reports come with the results of probes only, and probes are allowed.
     pub probe_for_reports: bool,
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    pub can_cancel: bool,
     /// A request may have two attempts out at once.
-    pub second_copies: bool,
+    pub allow_concurrent_attempts: bool,
     /// Attempts that a request may have.
     pub max_attempts: usize,
     /// Clients are told how long to stay away, up to this; 0 where they don't listen.
@@ -95,19 +95,19 @@
     /// The list must be asked for.
     pub must_watch: bool,
     /// Without asking for so long, a balancer counts as told what was listed then.
-    pub ask_within: Time,
+    pub list_request_deadline: Time,
     /// A started backend has at least this part of its capacity,
-    pub cold_share: f64,
+    pub cold_capacity_fraction: f64,
     /// and all of it after this span.
-    pub cold: Time,
+    pub cold_duration: Time,
     /// Sent more than this multiple of its capacity of the moment,
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// for this span, a cold backend falls over.
-    pub tip_after: Time,
+    pub overload_duration: Time,
     /// A key rests so long after an attempt that may still be running.
-    pub settle: Time,
+    pub key_settle_time: Time,
     /// Idle connections to a draining backend must be closed within this, where it is stated.
-    pub release_within: Option<Time>,
+    pub connection_release_deadline: Option<Time>,
     /// Least span between two calls of [`crate::Balancer::handle`] at different times.
     pub quantum: Time,
 }
@@ -118,25 +118,25 @@
             classes: Vec::new(),
             quotas: Vec::new(),
             over_share_worth: 1.0,
-            instances: 1,
-            me: 0,
+            instance_count: 1,
+            instance_index: 0,
             tier: 0,
             zone: 0,
-            cross_zone: 0.0,
-            dear_connections: false,
+            cross_zone_cost: 0.0,
+            costly_connections: false,
             probe_for_reports: false,
-            cancel: true,
-            second_copies: true,
+            can_cancel: true,
+            allow_concurrent_attempts: true,
             max_attempts: 4,
             max_retry_after: 0.0,
             must_watch: false,
-            ask_within: 10.0,
-            cold_share: 0.1,
-            cold: 10.0,
-            fall_multiple: 3.0,
-            tip_after: 1.0,
-            settle: 0.0,
-            release_within: None,
+            list_request_deadline: 10.0,
+            cold_capacity_fraction: 0.1,
+            cold_duration: 10.0,
+            overload_multiple: 3.0,
+            overload_duration: 1.0,
+            key_settle_time: 0.0,
+            connection_release_deadline: None,
             quantum: 0.001,
         }
     }
@@ -156,7 +156,7 @@
 
 /// One line of the list of backends.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct BackendEntry {
     /// Which backend.
     pub id: BackendId,
     /// Its cell.
@@ -172,10 +172,10 @@
     /// What this balancer would usually send it, in requests a second, where somebody says so who knows
     /// what all balancers send: while it is cold it is sent a part of that, and no more than a part of
     /// what the balancer itself takes for usual.
-    pub usual: Option<f64>,
+    pub usual_rate: Option<f64>,
 }
 
-impl Default for Entry {
+impl Default for BackendEntry {
     fn default() -> Self {
         Self {
             id: BackendId(0),
@@ -184,7 +184,7 @@
             weight: 1.0,
             status: Status::InService,
             started: None,
-            usual: None,
+            usual_rate: None,
         }
     }
 }
@@ -193,13 +193,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ListUpdate<'a> {
     /// Entries that changed.
-    Changes(&'a [Entry]),
+    Changes(&'a [BackendEntry]),
     /// The whole list: what is absent is gone.
-    Full(&'a [Entry]),
+    Full(&'a [BackendEntry]),
     /// The whole list as it was known before a restart.
-    Remembered(&'a [Entry]),
+    Remembered(&'a [BackendEntry]),
     /// A call for the list failed, or the watch broke.
-    Refused,
+    Failed,
 }
 
 /// A request that has come in.
@@ -225,7 +225,7 @@
     /// The backend answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection.
@@ -242,12 +242,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     /// How long a request takes it, waiting left out.
-    pub service: Option<Time>,
+    pub service_time: Option<Time>,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ended {
+pub struct AttemptResult {
     /// The request.
     pub id: RequestId,
     /// Where the attempt went.
@@ -257,9 +257,9 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Time since it was sent.
-    pub took: Time,
+    pub duration: Time,
     /// The request has its final answer.
-    pub over: bool,
+    pub is_final: bool,
     /// The load report that came along.
     pub report: Option<Report>,
 }
@@ -270,16 +270,16 @@
     /// A request came in; it needs exactly one final answer.
     Request(Request),
     /// A streamed answer has begun: the attempt is the caller's now.
-    Started {
+    StreamStarted {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: usize,
     },
     /// An attempt ended.
-    Outcome(Ended),
+    Outcome(AttemptResult),
     /// The caller has left: nothing is owed any more.
-    ClientLeft(RequestId),
+    ClientDisconnected(RequestId),
     /// A timer set with [`Action::Timer`] is due.
     Timer(u64),
     /// A probe ended.
@@ -295,7 +295,7 @@
     List(ListUpdate<'a>),
     /// What many balancers together hold of a backend: it is so many times slower than normal, a failure being
     /// 8; 0 takes it back. What this one sees of attempts that it sends after it was told counts instead.
-    Believed {
+    BackendHint {
         /// Which.
         backend: BackendId,
         /// How much slower.
@@ -323,7 +323,7 @@
         attempt: usize,
     },
     /// Final answer: not done, and harmless to try again.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// How long to stay away, if said.
@@ -344,7 +344,7 @@
     /// See whether a backend answers.
     Probe(BackendId),
     /// Close the idle connections to a backend.
-    Release(BackendId),
+    CloseIdleConnections(BackendId),
     /// Ask to be told of changes to the list, or no longer.
     Watch(bool),
     /// Ask for the whole list once.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -23,8 +23,6 @@
 /// Calls beyond the usual number that chance explains, in roots of it, and where they last.
 const CHANCE: [f64; 2] = [3.5, 0.5];
 /// At a busy balancer the root is small beside this part of the usual number, which stands instead.
-/// Guards against an excess that is tolerated for good: with 0.35 a jam in a later tier kept its
-/// backends at the number of calls that had slowed them down.
 const USUAL_SPREAD: f64 = 0.2;
 /// It narrows by this for each root of mean excess
 const NARROWING: f64 = 4.0;
@@ -34,14 +32,9 @@
 const EXCESS_MEMORY: f64 = 0.15;
 /// A member this many times slower than the best one says nothing of the fleet's load.
 const FAR_SLOWER: f64 = 2.5;
-/// So many calls in flight at each backend are no overload, however far beyond the usual. Guards
-/// against shedding by chance: where few balancers face few backends, one slow backend, spoilt
-/// answers or a brief jump bring four calls beyond a usual two, and clients who are refused come
-/// back at once and keep it up. It could do harm where backends can't hold as many.
+/// So many calls in flight at each backend are no overload, however far beyond the usual.
 const FEW: f64 = 2.0;
 /// Calls that are answered at the rate of so many normal answer times past explain themselves.
-/// Guards against the memory of better days: a send rate over 20 s called a jam usual until it was
-/// over, while the backends, fed by it, answered less and less.
 const ANSWER_MEMORY: f64 = 8.0;
 /// A call with less than this part of the normal answer time left would be given up half done.
 const HOPELESS: f64 = 0.6;
@@ -176,7 +169,7 @@
 
 #[derive(Debug)]
 struct Backend {
-    entry: Entry,
+    entry: BackendEntry,
     in_flight: usize,
     /// Those of them that are lost.
     lost: usize,
@@ -214,7 +207,7 @@
 impl Attempt {
     fn may_have_run(&self) -> bool {
         use Outcome::*;
-        !matches!(self.outcome, Some(Full | NoConnection | NeverSent))
+        !matches!(self.outcome, Some(Rejected | NoConnection | NeverSent))
     }
 }
 
@@ -274,7 +267,7 @@
 }
 
 impl Scope {
-    fn holds(self, entry: &Entry) -> bool {
+    fn holds(self, entry: &BackendEntry) -> bool {
         match self {
             Scope::Anywhere => true,
             Scope::Zone(zone) => entry.zone == zone,
@@ -375,13 +368,18 @@
             wait: Normal::default(),
             normal: vec![Normal::default(); settings.classes.len()],
             arrivals: vec![[Rate::new(now); 2]; settings.classes.len()],
-            shares: settings.quotas.iter().map(|q| q / settings.instances.max(1) as f64).map(share).collect(),
+            shares: settings
+                .quotas
+                .iter()
+                .map(|q| q / settings.instance_count.max(1) as f64)
+                .map(share)
+                .collect(),
             memory: RATE_MEMORY * T1_REACH * longest,
             grown: 0,
             service: 0.0,
             sends: 0,
             watch_asked: false,
-            watch_wait: settings.ask_within / 10.0,
+            watch_wait: settings.list_request_deadline / 10.0,
             settings,
         }
     }
@@ -392,12 +390,12 @@
     }
 
     /// Backends that are kept in mind.
-    pub fn backends_known(&self) -> usize {
+    pub fn known_backends(&self) -> usize {
         self.by_backend.len()
     }
 
     /// Listed backends that it avoids now: those that drain, and members far slower than the best.
-    pub fn avoided(&self) -> usize {
+    pub fn avoided_backends(&self) -> usize {
         let drains = self.backends.iter().filter(|b| b.entry.status == Status::Draining).count();
         drains + self.subset.len() - self.sound().count()
     }
@@ -408,19 +406,19 @@
         if self.settings.must_watch && !self.watch_asked {
             // Balancers often start together: they ask for the list one after another.
             self.watch_asked = true;
-            let wait = self.rng.random::<f64>() * 0.5 * self.settings.ask_within;
+            let wait = self.rng.random::<f64>() * 0.5 * self.settings.list_request_deadline;
             actions.push(Action::Timer { at: self.now + wait, token: LIST_TOKEN });
         }
         match event {
             Event::Request(request) => self.arrive(request, actions),
-            Event::Started { id, attempt } => self.end(id, Some(attempt), actions),
+            Event::StreamStarted { id, attempt } => self.end(id, Some(attempt), actions),
             Event::Outcome(ended) => self.ended(ended, actions),
-            Event::ClientLeft(id) => self.end(id, None, actions),
+            Event::ClientDisconnected(id) => self.end(id, None, actions),
             Event::Timer(LIST_TOKEN) => actions.push(Action::Watch(true)),
             Event::Timer(token) => self.timer(token, actions),
             Event::Probed { backend, report, .. } => self.take_report(backend, report),
             Event::List(update) => self.list(update, actions),
-            Event::Believed { backend, slowness } => {
+            Event::BackendHint { backend, slowness } => {
                 let known = self.by_backend.get(&backend).copied();
                 known.into_iter().for_each(|b| self.backends[b].believed = (slowness, now));
             }
@@ -446,7 +444,7 @@
         let rank = self.rank(request.class, over);
         let waits = !self.admits(rank);
         if patience <= needed || waits && lane.is_some() {
-            return actions.push(Action::Refuse { id: request.id, retry_after: self.retry_after(t1) });
+            return actions.push(Action::Reject { id: request.id, retry_after: self.retry_after(t1) });
         }
         let until = self.now + patience;
         let call = Call {
@@ -637,7 +635,8 @@
     /// Calls in flight at each sound backend, if all balancers have as many as this one.
     fn each(&self) -> f64 {
         let sound = self.sound().map(|b| self.ramp(b)).sum::<f64>();
-        let sharing = (self.settings.instances * self.subset.len()) as f64 / self.listed.len().max(1) as f64;
+        let sharing =
+            (self.settings.instance_count * self.subset.len()) as f64 / self.listed.len().max(1) as f64;
         self.crowd() * sharing.max(1.0) / sound.max(1.0)
     }
 
@@ -711,7 +710,7 @@
             // The pressure has lasted: refused at once, and before any work was done.
             if self.calls[slot].held {
                 let (id, t1) = (self.calls[slot].id, self.calls[slot].t1);
-                actions.push(Action::Refuse { id, retry_after: self.retry_after(t1) });
+                actions.push(Action::Reject { id, retry_after: self.retry_after(t1) });
                 self.finish(slot, None, actions);
             }
             return;
@@ -743,7 +742,7 @@
         if call.attempts.len() >= self.settings.max_attempts || self.now >= call.until {
             return None;
         }
-        if !self.settings.second_copies && call.waits() {
+        if !self.settings.allow_concurrent_attempts && call.waits() {
             return None;
         }
         let Some(first) = call.attempts.iter().find(|a| a.may_have_run()) else {
@@ -753,9 +752,9 @@
             Effect::Safe => Some(Scope::Anywhere),
             Effect::Unsafe => None,
             Effect::Keyed { window, .. } if self.now >= first.sent + window => None,
-            Effect::Keyed { group: Group::All, .. } => Some(Scope::Anywhere),
-            Effect::Keyed { group: Group::Zone, .. } => Some(Scope::Zone(first.zone)),
-            Effect::Keyed { group: Group::Cell, .. } => Some(Scope::Cell(first.cell)),
+            Effect::Keyed { group: DedupGroup::All, .. } => Some(Scope::Anywhere),
+            Effect::Keyed { group: DedupGroup::Zone, .. } => Some(Scope::Zone(first.zone)),
+            Effect::Keyed { group: DedupGroup::Cell, .. } => Some(Scope::Cell(first.cell)),
         }
     }
 
@@ -842,7 +841,7 @@
     /// fails fast or hangs looks idle to such a count, so slowness and failures seen there count as load.
     fn load(&self, backend: usize) -> f64 {
         let b = &self.backends[backend];
-        let away = if self.away(backend) { 1.0 + AWAY_LOAD * self.settings.cross_zone } else { 1.0 };
+        let away = if self.away(backend) { 1.0 + AWAY_LOAD * self.settings.cross_zone_cost } else { 1.0 };
         let slow = match (b.service, self.service) {
             (Some(own), mean) if mean > 0.0 => own / mean,
             _ => 1.0,
@@ -865,7 +864,7 @@
         // A turn that was not used stands as long as the rule counts: what was saved for longer would come
         // at once from many balancers.
         let rate = self.cold_rate(backend);
-        let most = rate * self.settings.tip_after;
+        let most = rate * self.settings.overload_duration;
         let room = self.backends[backend].cold.fill(self.now, rate, f64::INFINITY);
         if room > most {
             let none = self.rng.random::<f64>() < (-most).exp();
@@ -878,7 +877,7 @@
     /// to before it. Guards against a fleet of newcomers alone, which turned requests away while idle.
     fn may_borrow(&self, backend: usize) -> bool {
         let b = &self.backends[backend];
-        let lent = b.entry.usual.is_none_or(|usual| usual > 0.0);
+        let lent = b.entry.usual_rate.is_none_or(|usual| usual > 0.0);
         b.entry.status == Status::InService && lent && b.cold.room >= -BORROWED
     }
 
@@ -895,11 +894,11 @@
     fn cold_rate(&mut self, backend: usize) -> f64 {
         self.age_warm();
         let members = self.subset.len().max(1) as f64;
-        let tip = self.settings.tip_after;
+        let tip = self.settings.overload_duration;
         let asked = self.sent.count / (self.sent.span + tip) / members;
         let rate = (self.warm.count + asked * tip) / (self.warm.span + tip).max(f64::EPSILON);
-        let rate = self.backends[backend].entry.usual.map_or(rate, |usual| usual.min(rate));
-        rate * self.ramp(backend) * COLD_MARGIN * self.settings.fall_multiple
+        let rate = self.backends[backend].entry.usual_rate.map_or(rate, |usual| usual.min(rate));
+        rate * self.ramp(backend) * COLD_MARGIN * self.settings.overload_multiple
     }
 
     /// Counts on how long how many members have been warm.
@@ -912,7 +911,7 @@
 
     /// Part of its capacity that a backend has at the least.
     fn ramp(&self, backend: usize) -> f64 {
-        let (from, cold) = (self.settings.cold_share, self.settings.cold);
+        let (from, cold) = (self.settings.cold_capacity_fraction, self.settings.cold_duration);
         let started = self.backends[backend].entry.started.filter(|s| self.now < s + cold);
         started.map_or(1.0, |s| from + (1.0 - from) * ((self.now - s) / cold).clamp(0.0, 1.0))
     }
@@ -924,13 +923,13 @@
         self.by_id.get(&id).copied().into_iter().for_each(|slot| self.finish(slot, keep, actions));
     }
 
-    fn ended(&mut self, ended: Ended, actions: &mut Vec<Action>) {
+    fn ended(&mut self, ended: AttemptResult, actions: &mut Vec<Action>) {
         use Outcome::*;
         let slot = self.by_id.get(&ended.id).copied();
         if let Some(&backend) = self.by_backend.get(&ended.backend) {
             let b = &mut self.backends[backend];
             b.in_flight = b.in_flight.saturating_sub(1);
-            if matches!(ended.outcome, Served | Error | Full | Reset) {
+            if matches!(ended.outcome, Served | Error | Rejected | Reset) {
                 b.alive_at = self.now;
             }
             self.take_report(ended.backend, ended.report);
@@ -941,20 +940,20 @@
                     Served => {
                         let b = &mut self.backends[backend];
                         b.answered_at = self.now;
-                        b.answered_sent = b.answered_sent.max(self.now - ended.took);
+                        b.answered_sent = b.answered_sent.max(self.now - ended.duration);
                         if self.ramp(backend) >= 1.0 {
                             self.age_warm();
                             self.warm.count += 1.0;
                         }
                         self.lately.add(self.now, self.lately_memory());
-                        self.learn(backend, class, ended.took, false);
+                        self.learn(backend, class, ended.duration, false);
                         let calm = self.pressure() <= 0.0;
-                        let took = ended.took.min(NORMAL_REACH * self.settings.classes[class].aim);
+                        let took = ended.duration.min(NORMAL_REACH * self.settings.classes[class].aim);
                         self.normal[class].add(took, calm);
                         self.wait.add(took, calm);
                     }
                     Cancelled | NeverSent => {}
-                    _ => self.learn(backend, class, ended.took, true),
+                    _ => self.learn(backend, class, ended.duration, true),
                 }
             }
         }
@@ -965,7 +964,7 @@
             lane.out -= usize::from(orphan.is_some());
             if matches!(ended.outcome, Timeout | Reset | Cancelled) {
                 // A quantum more, as clocks are rounded.
-                lane.rests_until = self.now + self.settings.settle + self.settings.quantum;
+                lane.rests_until = self.now + self.settings.key_settle_time + self.settings.quantum;
             }
         }
         let Some(slot) = slot else {
@@ -978,13 +977,13 @@
         if !self.calls[slot].waits() {
             self.lost -= usize::from(std::mem::take(&mut self.calls[slot].lost));
         }
-        if ended.over {
+        if ended.is_final {
             return self.finish(slot, Some(ended.attempt), actions);
         }
         if self.calls[slot].waits() {
             return; // a copy may still answer
         }
-        if matches!(ended.outcome, Full | NoConnection) {
+        if matches!(ended.outcome, Rejected | NoConnection) {
             self.turned_away += 1;
             self.calls[slot].turned_away = true;
         }
@@ -999,12 +998,12 @@
     fn finish_unserved(&mut self, slot: Slot, actions: &mut Vec<Action>) {
         let call = &self.calls[slot];
         let harmless = match self.settings.classes[call.class].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Safe | Effect::Keyed { group: DedupGroup::All, .. } => true,
             _ => !call.attempts.iter().any(Attempt::may_have_run),
         };
         let (id, t1) = (call.id, call.t1);
         actions.push(match harmless {
-            true => Action::Refuse { id, retry_after: self.retry_after(t1) },
+            true => Action::Reject { id, retry_after: self.retry_after(t1) },
             false => Action::Fail { id },
         });
         self.finish(slot, None, actions);
@@ -1019,7 +1018,7 @@
         for (i, attempt) in call.attempts.iter().enumerate() {
             self.backends[attempt.backend].named -= 1;
             self.backends[attempt.backend].lost -= usize::from(attempt.lost);
-            if self.settings.cancel && attempt.outcome.is_none() && keep != Some(i) {
+            if self.settings.can_cancel && attempt.outcome.is_none() && keep != Some(i) {
                 actions.push(Action::Cancel { id: call.id, attempt: i });
             }
         }
@@ -1115,7 +1114,7 @@
 
     /// Takes in how long requests take a backend, as it reports.
     fn take_report(&mut self, backend: BackendId, report: Option<Report>) {
-        let service = report.and_then(|r| r.service).filter(|s| *s > 0.0);
+        let service = report.and_then(|r| r.service_time).filter(|s| *s > 0.0);
         if let (Some(&backend), Some(service)) = (self.by_backend.get(&backend), service) {
             let known = self.backends[backend].service.get_or_insert(service);
             *known += SERVICE_WEIGHT * (service - *known);
@@ -1130,17 +1129,17 @@
     /// there, as what was out at the notice leaves a connection behind.
     fn release_if_draining(&self, backend: usize, actions: &mut Vec<Action>) {
         let entry = &self.backends[backend].entry;
-        if self.settings.release_within.is_some() && entry.status == Status::Draining {
-            actions.push(Action::Release(entry.id));
+        if self.settings.connection_release_deadline.is_some() && entry.status == Status::Draining {
+            actions.push(Action::CloseIdleConnections(entry.id));
         }
     }
 
     fn list(&mut self, update: ListUpdate<'_>, actions: &mut Vec<Action>) {
         match update {
-            ListUpdate::Refused => {
+            ListUpdate::Failed => {
                 // Asked again later and later, and not all at once: what failed may be busy.
                 let wait = self.watch_wait * (0.5 + self.rng.random::<f64>());
-                self.watch_wait = (2.0 * self.watch_wait).min(self.settings.ask_within);
+                self.watch_wait = (2.0 * self.watch_wait).min(self.settings.list_request_deadline);
                 actions.push(Action::Timer { at: self.now + wait, token: LIST_TOKEN });
                 return;
             }
@@ -1150,7 +1149,7 @@
             }
             ListUpdate::Changes(entries) => entries.iter().for_each(|e| self.take_in(e, actions)),
         }
-        self.watch_wait = self.settings.ask_within / 10.0;
+        self.watch_wait = self.settings.list_request_deadline / 10.0;
         self.relist();
         self.forget();
     }
@@ -1166,7 +1165,7 @@
         }
     }
 
-    fn take_in(&mut self, entry: &Entry, actions: &mut Vec<Action>) {
+    fn take_in(&mut self, entry: &BackendEntry, actions: &mut Vec<Action>) {
         let fresh = Bucket { room: -self.wait_for_turn(), at: self.now };
         let known = self.by_backend.get(&entry.id).copied().unwrap_or_else(|| {
             let new = Backend {
@@ -1204,7 +1203,7 @@
     /// that has more calls in flight, by Little's law.
     fn subset_size(&mut self) -> usize {
         if self.sent.span > 0.5 * self.memory {
-            let each = MEMBERS_PER_CALL[usize::from(self.settings.dear_connections)];
+            let each = MEMBERS_PER_CALL[usize::from(self.settings.costly_connections)];
             let busy = each * self.sent.per_second() * self.wait.mean;
             self.grown = self.grown.max(busy as usize);
         }
@@ -1214,7 +1213,7 @@
     /// Members without which some backends would be in no subset, and two to choose from.
     fn least_subset(&self) -> usize {
         let least = if self.settings.tier == 0 { ENTRY_SUBSET } else { SUBSET };
-        least.max(self.listed.len().div_ceil(self.settings.instances.max(1)))
+        least.max(self.listed.len().div_ceil(self.settings.instance_count.max(1)))
     }
 
     /// Draws the subset, keeping the members that are still in service. Where crossing zones is
@@ -1254,9 +1253,9 @@
         let count = from.len();
         let base = least.min(count);
         let subsets = count.div_ceil(base.max(1)).max(1);
-        let (round, place) = (self.settings.me / subsets, self.settings.me % subsets);
+        let (round, place) = (self.settings.instance_index / subsets, self.settings.instance_index % subsets);
         // Those of the last round are fewer, and spread as evenly.
-        let in_round = subsets.min(self.settings.instances.saturating_sub(round * subsets)).max(1);
+        let in_round = subsets.min(self.settings.instance_count.saturating_sub(round * subsets)).max(1);
         let start = place * count / in_round;
         from.sort_by_cached_key(|b| (mix(self.backends[*b].entry.id, round as u64), *b));
         (0..size.max(base).min(count)).map(|i| from[(start + i) % count]).collect()
@@ -1264,7 +1263,7 @@
 
     /// A call to it would cross zones, and that is priced.
     fn away(&self, backend: usize) -> bool {
-        self.settings.cross_zone > 0.0 && self.backends[backend].entry.zone != self.settings.zone
+        self.settings.cross_zone_cost > 0.0 && self.backends[backend].entry.zone != self.settings.zone
     }
 }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -107,7 +107,7 @@
     Ok(match text {
         "S" => Outcome::Served,
         "E" => Outcome::Error,
-        "F" => Outcome::Full,
+        "F" => Outcome::Rejected,
         "T" => Outcome::Timeout,
         "C" => Outcome::NoConnection,
         "R" => Outcome::Reset,
@@ -158,7 +158,7 @@
     /// A numbered list of so many entries follows.
     Roster(usize, usize),
     /// An entry of a list.
-    Item(Entry),
+    Item(BackendEntry),
     /// News of the list for the instance.
     Update(UpdateKind, usize),
     /// An event that needs nothing further.
@@ -252,23 +252,23 @@
             positive("the duration", duration)?;
             whole::<u32>("the backend", backend)?;
             let attempt = whole("the attempt", attempt)?;
-            Line::Event(Event::Started { id: request_id(id)?, attempt })
+            Line::Event(Event::StreamStarted { id: request_id(id)?, attempt })
         }
         "RESULT" => {
             let [id, backend, attempt, code, took, over, report] = values("RESULT", rest)?;
-            Line::Event(Event::Outcome(Ended {
+            Line::Event(Event::Outcome(AttemptResult {
                 id: request_id(id)?,
                 backend: BackendId(whole("the backend", backend)?),
                 attempt: whole("the attempt", attempt)?,
                 outcome: outcome(code)?,
-                took: positive("the duration", took)?,
-                over: flag("the end mark", over)?,
+                duration: positive("the duration", took)?,
+                is_final: flag("the end mark", over)?,
                 report: load_report(report, instance)?,
             }))
         }
         "CLIENT_LEFT" => {
             let [id] = values("CLIENT_LEFT", rest)?;
-            Line::Event(Event::ClientLeft(request_id(id)?))
+            Line::Event(Event::ClientDisconnected(request_id(id)?))
         }
         "TICK_DUE" => {
             let [token] = values("TICK_DUE", rest)?;
@@ -310,19 +310,19 @@
     for (i, value) in text.split(',').enumerate().filter(|(_, v)| *v != "-") {
         let value = number("the load report", value)?.max(0.0);
         if names.get(i).is_some_and(|name| name == "avg_ms") {
-            report.service = Some(value / 1000.0);
+            report.service_time = Some(value / 1000.0);
         }
     }
     Ok(Some(report))
 }
 
-fn entry(rest: &str, zones: &mut Names) -> Result<Entry> {
+fn entry(rest: &str, zones: &mut Names) -> Result<BackendEntry> {
     let [_kind, cell, id, weight, zone, status, started] = values("ITEM", rest)?;
     let started = match started {
         "-" => None,
         text => Some(number("the start", text)?).filter(|t| *t != 0.0),
     };
-    Ok(Entry {
+    Ok(BackendEntry {
         id: BackendId(whole("the backend", id)?),
         cell: whole("the cell", cell)?,
         zone: zones.index(zone),
@@ -336,7 +336,7 @@
             }
         },
         started,
-        usual: None,
+        usual_rate: None,
     })
 }
 
@@ -366,9 +366,9 @@
             "single_shot" => Effect::Unsafe,
             "guarded" => Effect::Keyed {
                 group: match text(&at("group"))? {
-                    "all" => Group::All,
-                    "zone" => Group::Zone,
-                    "cell" => Group::Cell,
+                    "all" => DedupGroup::All,
+                    "zone" => DedupGroup::Zone,
+                    "cell" => DedupGroup::Cell,
                     other => return Err(bad(&at("group"), "all, zone or cell", other)),
                 },
                 window: num(&at("window"))?,
@@ -403,20 +403,20 @@
         classes,
         quotas,
         over_share_worth: num_or("over-share-worth", 1.0)?,
-        instances: whole("n-instances", text("n-instances")?)?,
-        me: whole("me", text("me")?)?,
+        instance_count: whole("n-instances", text("n-instances")?)?,
+        instance_index: whole("me", text("me")?)?,
         tier: match map.get("tier") {
             Some(tier) => whole("tier", tier)?,
             None => 0,
         },
         zone: zones.index(map.get("zone").copied().unwrap_or("")),
-        cross_zone: num_or("costs.cross-zone", 0.0)?,
-        dear_connections: num_or("costs.connection", 0.0)? + num_or("costs.handshake", 0.0)? > 0.0,
+        cross_zone_cost: num_or("costs.cross-zone", 0.0)?,
+        costly_connections: num_or("costs.connection", 0.0)? + num_or("costs.handshake", 0.0)? > 0.0,
         probe_for_reports: map.get("stats.how") == Some(&"on_probe")
             && map.contains_key("caps.probing")
             && yes("caps.probing")?,
-        cancel: yes("caps.cancel")?,
-        second_copies: yes("caps.second-copies")?,
+        can_cancel: yes("caps.cancel")?,
+        allow_concurrent_attempts: yes("caps.second-copies")?,
         max_attempts: whole("caps.max-attempts", text("caps.max-attempts")?)?,
         max_retry_after: retry_after,
         must_watch: match text("registry-mode")? {
@@ -424,13 +424,13 @@
             "subscribe" => true,
             other => return Err(bad("registry-mode", "automatic or subscribe", other)),
         },
-        ask_within: num("rules.ask-within")?,
-        cold_share: num("rules.cold-share")?,
-        cold: num("rules.cold")?,
-        fall_multiple: num("rules.fall-multiple")?,
-        tip_after: num("rules.tip-after")?,
-        settle: num_or("rules.settle-after-doubt", 0.0)?,
-        release_within: match map.contains_key("rules.release-within") {
+        list_request_deadline: num("rules.ask-within")?,
+        cold_capacity_fraction: num("rules.cold-share")?,
+        cold_duration: num("rules.cold")?,
+        overload_multiple: num("rules.fall-multiple")?,
+        overload_duration: num("rules.tip-after")?,
+        key_settle_time: num_or("rules.settle-after-doubt", 0.0)?,
+        connection_release_deadline: match map.contains_key("rules.release-within") {
             true => Some(num("rules.release-within")?),
             false => None,
         },
@@ -447,14 +447,14 @@
             writeln!(out, "PLACE {:016x} {:.6} {}", id.0, timeout, backend.0)
         }
         Action::Cancel { id, attempt } => writeln!(out, "REVOKE {:016x} {attempt}", id.0),
-        Action::Refuse { id, retry_after: Some(wait) } => {
+        Action::Reject { id, retry_after: Some(wait) } => {
             writeln!(out, "REJECT {:016x} {wait:.6}", id.0)
         }
-        Action::Refuse { id, retry_after: None } => writeln!(out, "REJECT {:016x} -", id.0),
+        Action::Reject { id, retry_after: None } => writeln!(out, "REJECT {:016x} -", id.0),
         Action::Fail { id } => writeln!(out, "ERROR {:016x}", id.0),
         Action::Timer { at, token } => writeln!(out, "SLEEP {at:.6} {token}"),
         Action::Probe(backend) => writeln!(out, "INSPECT {}", backend.0),
-        Action::Release(backend) => writeln!(out, "RELEASE {}", backend.0),
+        Action::CloseIdleConnections(backend) => writeln!(out, "RELEASE {}", backend.0),
         Action::Watch(on) => writeln!(out, "STREAM_CHANGES {}", u8::from(*on)),
         Action::Fetch => writeln!(out, "REFRESH"),
         Action::Log(text) => writeln!(out, "EMIT {}", text.replace(['\n', '\r'], " ")),
--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -39,12 +39,12 @@
     let class = Class { aim: 2.0, deadline: 4.0, effect: Effect::Safe, ..Class::default() };
     let settings = Settings {
         classes: vec![class],
-        instances: balancers,
+        instance_count: balancers,
         tier: 1,
-        cold: rng.random_range(4.0..12.0),
-        cold_share: rng.random_range(0.08..0.4),
-        fall_multiple: rng.random_range(2.0..4.0),
-        tip_after: rng.random_range(1.0..2.0),
+        cold_duration: rng.random_range(4.0..12.0),
+        cold_capacity_fraction: rng.random_range(0.08..0.4),
+        overload_multiple: rng.random_range(2.0..4.0),
+        overload_duration: rng.random_range(1.0..2.0),
         ..Settings::default()
     };
     Fleet {
@@ -97,13 +97,13 @@
 
 /// When requests came to each cold backend. `told` is what the modules believe of the ramp.
 fn arrivals_at_cold(fleet: &Fleet, told: &Settings, rng: &mut SmallRng) -> BTreeMap<u32, Vec<Time>> {
-    let warm: Vec<Entry> =
-        (0..fleet.backends).map(|id| Entry { id: BackendId(id), ..Entry::default() }).collect();
+    let warm: Vec<BackendEntry> =
+        (0..fleet.backends).map(|id| BackendEntry { id: BackendId(id), ..BackendEntry::default() }).collect();
     let mut now_cold = warm.clone();
     now_cold.iter_mut().take(fleet.cold as usize).for_each(|entry| entry.started = Some(STARTS));
     let mut steps = Steps::default();
-    let start = |seed: u64, now: Time, me: usize, list: &[Entry]| {
-        let mut module = Balancer::new(now, seed, Settings { me, ..told.clone() });
+    let start = |seed: u64, now: Time, me: usize, list: &[BackendEntry]| {
+        let mut module = Balancer::new(now, seed, Settings { instance_index: me, ..told.clone() });
         module.handle(now, Event::List(ListUpdate::Remembered(list)), &mut Vec::new());
         module
     };
@@ -132,13 +132,13 @@
                 if nodes[balancer].epoch != epoch {
                     continue;
                 }
-                let ended = Ended {
+                let ended = AttemptResult {
                     id: RequestId(id),
                     backend: BackendId(backend),
                     attempt,
                     outcome: Outcome::Served,
-                    took: now - sent,
-                    over: true,
+                    duration: now - sent,
+                    is_final: true,
                     report: None,
                 };
                 nodes[balancer].module.handle(now, Event::Outcome(ended), &mut actions);
@@ -187,14 +187,16 @@
 
 /// A cold backend got more in some window than it may, by how much in the worst one.
 fn falls(fleet: &Fleet, came: &BTreeMap<u32, Vec<Time>>) -> bool {
-    let Settings { cold, cold_share, fall_multiple, tip_after, .. } = fleet.settings;
+    let Settings { cold_duration, cold_capacity_fraction, overload_multiple, overload_duration, .. } =
+        fleet.settings;
     came.values().any(|times| {
         (0..times.len()).any(|last| {
             let end = times[last];
-            let since = end - tip_after;
+            let since = end - overload_duration;
             let count = times[..=last].iter().rev().take_while(|at| **at > since).count();
-            let ramp = cold_share + (1.0 - cold_share) * ((since.max(STARTS) - STARTS) / cold).min(1.0);
-            let allowed = fall_multiple * ramp * fleet.capacity * tip_after;
+            let ramp = cold_capacity_fraction
+                + (1.0 - cold_capacity_fraction) * ((since.max(STARTS) - STARTS) / cold_duration).min(1.0);
+            let allowed = overload_multiple * ramp * fleet.capacity * overload_duration;
             count as f64 > allowed + 2.0 * allowed.sqrt() + 2.0
         })
     })
@@ -207,8 +209,8 @@
             let mut rng = SmallRng::seed_from_u64(*seed);
             let fleet = drawn(&mut rng);
             // A module that is told of no cold time sends newcomers what it sends to all others.
-            let cold = if with_ramp { fleet.settings.cold } else { 0.0 };
-            let told = Settings { cold, ..fleet.settings.clone() };
+            let cold_duration = if with_ramp { fleet.settings.cold_duration } else { 0.0 };
+            let told = Settings { cold_duration, ..fleet.settings.clone() };
             let came = arrivals_at_cold(&fleet, &told, &mut rng);
             falls(&fleet, &came)
         })
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -16,8 +16,8 @@
     Settings { classes: vec![class(effect)], tier: 1, ..Settings::default() }
 }
 
-pub fn entry(id: u32) -> Entry {
-    Entry { id: BackendId(id), ..Entry::default() }
+pub fn entry(id: u32) -> BackendEntry {
+    BackendEntry { id: BackendId(id), ..BackendEntry::default() }
 }
 
 pub struct Bench {
@@ -29,11 +29,11 @@
 }
 
 impl Bench {
-    pub fn new(settings: Settings, list: &[Entry]) -> Self {
+    pub fn new(settings: Settings, list: &[BackendEntry]) -> Self {
         Self::seeded(1, settings, list)
     }
 
-    pub fn seeded(seed: u64, settings: Settings, list: &[Entry]) -> Self {
+    pub fn seeded(seed: u64, settings: Settings, list: &[BackendEntry]) -> Self {
         let balancer = Balancer::new(0.0, seed, settings);
         let mut bench = Self { balancer, now: 0.0, timers: vec![], sent: BTreeMap::new() };
         bench.event(Event::List(ListUpdate::Remembered(list)));
@@ -47,13 +47,13 @@
             if let Action::Cancel { id, attempt } = action {
                 let backend = BackendId(self.sent[&id.0][*attempt]);
                 let outcome = Outcome::Cancelled;
-                let ended = Ended {
+                let ended = AttemptResult {
                     id: *id,
                     backend,
                     attempt: *attempt,
                     outcome,
-                    took: 0.0,
-                    over: true,
+                    duration: 0.0,
+                    is_final: true,
                     report: None,
                 };
                 further.extend(self.event(Event::Outcome(ended)));
@@ -108,7 +108,15 @@
     pub fn end(&mut self, id: u64, attempt: usize, to: u32, outcome: Outcome, took: Time) -> Vec<Action> {
         let (id, backend) = (RequestId(id), BackendId(to));
         let over = outcome == Outcome::Served;
-        self.event(Event::Outcome(Ended { id, backend, attempt, outcome, took, over, report: None }))
+        self.event(Event::Outcome(AttemptResult {
+            id,
+            backend,
+            attempt,
+            outcome,
+            duration: took,
+            is_final: over,
+            report: None,
+        }))
     }
 
     /// One request that is answered after `took`; returns where it went.
@@ -131,7 +139,7 @@
 }
 
 pub fn refused(actions: &[Action], id: u64) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id: i, .. } if i.0 == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if i.0 == id))
 }
 
 pub fn failed(actions: &[Action], id: u64) -> bool {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -4,7 +4,7 @@
 use common::*;
 use gannetproxy::*;
 
-fn fleet(n: u32) -> Vec<Entry> {
+fn fleet(n: u32) -> Vec<BackendEntry> {
     (1..=n).map(entry).collect()
 }
 
@@ -139,7 +139,7 @@
     b.request(1);
     assert_eq!(sends(&plain(b.run_to(0.9))), []);
     let mut settings = safe();
-    settings.second_copies = false;
+    settings.allow_concurrent_attempts = false;
     let mut b = Bench::new(settings.clone(), &fleet(4));
     let to = sends(&b.request(1))[0].1;
     assert_eq!(sends(&plain(b.run_to(0.2))), []);
@@ -159,14 +159,14 @@
     // After the failure of the only attempt with the last attempt used: may it be refused?
     let cases = [
         (Effect::Safe, [true; 6]),
-        (keyed(Group::All), [true; 6]),
-        (keyed(Group::Zone), [false, true, false, true, false, true]),
-        (keyed(Group::Cell), [false, true, false, true, false, true]),
+        (keyed(DedupGroup::All), [true; 6]),
+        (keyed(DedupGroup::Zone), [false, true, false, true, false, true]),
+        (keyed(DedupGroup::Cell), [false, true, false, true, false, true]),
         (Effect::Unsafe, [false, true, false, true, false, true]),
     ];
     for (effect, harmless) in cases {
         for (outcome, harmless) in
-            [Error, Full, Timeout, NoConnection, Reset, NeverSent].into_iter().zip(harmless)
+            [Error, Rejected, Timeout, NoConnection, Reset, NeverSent].into_iter().zip(harmless)
         {
             let mut settings = with(effect);
             settings.max_attempts = 1;
@@ -184,7 +184,7 @@
 #[test]
 fn an_unsafe_call_is_sent_again_only_if_it_never_ran() {
     for (outcome, again) in
-        [(Outcome::Full, 1), (Outcome::NoConnection, 1), (Outcome::Error, 0), (Outcome::Reset, 0)]
+        [(Outcome::Rejected, 1), (Outcome::NoConnection, 1), (Outcome::Error, 0), (Outcome::Reset, 0)]
     {
         let mut b = Bench::new(with(Effect::Unsafe), &fleet(4));
         let to = sends(&b.request(1))[0].1;
@@ -200,19 +200,20 @@
 
 #[test]
 fn a_keyed_call_is_repeated_inside_its_cell_and_window_only() {
-    let list: Vec<Entry> = (0..8).map(|i| Entry { cell: i % 4, zone: i % 2, ..entry(i + 1) }).collect();
+    let list: Vec<BackendEntry> =
+        (0..8).map(|i| BackendEntry { cell: i % 4, zone: i % 2, ..entry(i + 1) }).collect();
     for seed in 0..30 {
-        let effect = Effect::Keyed { group: Group::Cell, window: 5.0 };
+        let effect = Effect::Keyed { group: DedupGroup::Cell, window: 5.0 };
         let mut b = Bench::seeded(seed, with(effect), &list);
         let first = sends(&b.request(1))[0].1;
         let again = sends(&plain(b.run_to(0.5)));
         assert_eq!(again.len(), 1, "the other member of the cell, in the subset or not");
         assert_eq!(again[0].1 % 4, first % 4);
-        let effect = Effect::Keyed { group: Group::Cell, window: 0.2 };
+        let effect = Effect::Keyed { group: DedupGroup::Cell, window: 0.2 };
         let mut b = Bench::seeded(seed, with(effect), &list);
         b.request(1);
         assert_eq!(sends(&plain(b.run_to(0.9))), [], "the cell has forgotten it");
-        let effect = Effect::Keyed { group: Group::Zone, window: 5.0 };
+        let effect = Effect::Keyed { group: DedupGroup::Zone, window: 5.0 };
         let mut b = Bench::seeded(seed, with(effect), &list);
         let first = sends(&b.request(1))[0].1;
         assert!(sends(&plain(b.run_to(0.5))).iter().all(|(_, to)| to % 2 == first % 2));
@@ -230,7 +231,7 @@
     let seen = b.run_to(3.0);
     let answers: Vec<Time> = seen
         .iter()
-        .filter(|(_, a)| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
+        .filter(|(_, a)| matches!(a, Action::Reject { .. } | Action::Fail { .. }))
         .map(|(t, _)| *t)
         .collect();
     assert_eq!(answers.len(), 1);
@@ -264,7 +265,7 @@
 fn losers_are_cancelled_where_that_is_allowed() {
     for cancel in [true, false] {
         let mut settings = safe();
-        settings.cancel = cancel;
+        settings.can_cancel = cancel;
         let mut b = Bench::new(settings, &fleet(4));
         b.request(1);
         let second = sends(&plain(b.run_to(0.5)))[0].1;
@@ -278,7 +279,7 @@
 fn a_started_stream_is_the_callers() {
     let mut b = Bench::new(safe(), &fleet(4));
     b.request(1);
-    let actions = b.event(Event::Started { id: RequestId(1), attempt: 0 });
+    let actions = b.event(Event::StreamStarted { id: RequestId(1), attempt: 0 });
     assert_eq!(actions, []);
     assert_eq!(b.run_to(5.0), []);
 }
@@ -287,9 +288,9 @@
 fn a_client_that_left_is_owed_nothing() {
     let mut b = Bench::new(safe(), &fleet(4));
     b.request(1);
-    let actions = b.event(Event::ClientLeft(RequestId(1)));
+    let actions = b.event(Event::ClientDisconnected(RequestId(1)));
     assert_eq!(actions, [Action::Cancel { id: RequestId(1), attempt: 0 }]);
-    assert_eq!(b.event(Event::ClientLeft(RequestId(1))), []);
+    assert_eq!(b.event(Event::ClientDisconnected(RequestId(1))), []);
     assert_eq!(b.run_to(5.0), []);
 }
 
@@ -300,16 +301,16 @@
     for status in [Status::Draining, Status::Gone] {
         let mut b = Bench::new(safe(), &[entry(1)]);
         b.request(1);
-        b.event(Event::List(ListUpdate::Changes(&[Entry { status, ..entry(1) }])));
+        b.event(Event::List(ListUpdate::Changes(&[BackendEntry { status, ..entry(1) }])));
         // Also when it is a held call's only choice.
         let to = BackendId(1);
-        let ended = Ended {
+        let ended = AttemptResult {
             id: RequestId(1),
             backend: to,
             attempt: 0,
-            outcome: Outcome::Full,
-            took: 0.1,
-            over: false,
+            outcome: Outcome::Rejected,
+            duration: 0.1,
+            is_final: false,
             report: None,
         };
         b.event(Event::Outcome(ended));
@@ -329,18 +330,18 @@
     let mut settings = safe();
     settings.must_watch = true;
     let mut b = Bench::new(settings.clone(), &fleet(3));
-    let asked = b.run_to(settings.ask_within);
+    let asked = b.run_to(settings.list_request_deadline);
     assert_eq!(asked.len(), 1);
     assert_eq!(asked[0].1, Action::Watch(true));
     let mut last = 0.0;
     for round in 0..6 {
         let start = b.now;
-        b.event(Event::List(ListUpdate::Refused));
-        let mut again = b.run_to(start + 2.0 * settings.ask_within);
+        b.event(Event::List(ListUpdate::Failed));
+        let mut again = b.run_to(start + 2.0 * settings.list_request_deadline);
         again.retain(|(_, a)| matches!(a, Action::Watch(true)));
         assert_eq!(again.len(), 1, "asked once after each refusal");
         let wait = again[0].0 - start;
-        assert!(wait > 0.0 && wait < 1.5 * settings.ask_within, "{wait}");
+        assert!(wait > 0.0 && wait < 1.5 * settings.list_request_deadline, "{wait}");
         if round > 3 {
             assert!(wait > last * 0.3, "waits grow");
         }
@@ -360,7 +361,7 @@
     let mut settings = with(effect);
     settings.classes[0].in_order = true;
     settings.classes[0].late_worth = 0.5;
-    settings.settle = 0.2;
+    settings.key_settle_time = 0.2;
     settings
 }
 
@@ -381,7 +382,8 @@
     assert_eq!(next.iter().map(|s| s.0).collect::<Vec<_>>(), [2], "in the order of arrival");
     // The one in front leaves; its cancelled attempt holds the key, and then the key rests.
     assert!(
-        b.event(Event::ClientLeft(RequestId(2))).contains(&Action::Cancel { id: RequestId(2), attempt: 0 })
+        b.event(Event::ClientDisconnected(RequestId(2)))
+            .contains(&Action::Cancel { id: RequestId(2), attempt: 0 })
     );
     assert_eq!(sends(&plain(b.run_to(0.4))), []);
     assert_eq!(sends(&b.end(2, 0, next[0].1, Outcome::Cancelled, 0.3)), []);
@@ -410,11 +412,11 @@
 #[test]
 fn idle_connections_to_a_draining_backend_are_closed() {
     let mut settings = safe();
-    settings.release_within = Some(0.5);
+    settings.connection_release_deadline = Some(0.5);
     let mut b = Bench::new(settings, &fleet(1));
     b.request(1);
-    let drains = Entry { status: Status::Draining, ..entry(1) };
-    let close = Action::Release(BackendId(1));
+    let drains = BackendEntry { status: Status::Draining, ..entry(1) };
+    let close = Action::CloseIdleConnections(BackendId(1));
     assert!(b.event(Event::List(ListUpdate::Changes(std::slice::from_ref(&drains)))).contains(&close));
     b.run_to(0.1);
     assert!(b.end(1, 0, 1, Outcome::Served, 0.1).contains(&close), "what was out at the notice");
@@ -431,7 +433,7 @@
 
 #[test]
 fn a_subset_is_small_and_stable() {
-    let mut b = Bench::new(Settings { instances: 50, ..safe() }, &fleet(40));
+    let mut b = Bench::new(Settings { instance_count: 50, ..safe() }, &fleet(40));
     let before = met(&mut b, 0);
     assert!((3..=5).contains(&before.len()), "{before:?}");
     let mut list = fleet(40);
@@ -447,7 +449,11 @@
 fn a_later_tier_finds_fast_members_beside_slow_ones() {
     // Guards against subsets of slow machines alone, which their balancer then drives over.
     let all_slow = |me| {
-        let mut b = Bench::seeded(me as u64, Settings { instances: 200, me, ..safe() }, &fleet(20));
+        let mut b = Bench::seeded(
+            me as u64,
+            Settings { instance_count: 200, instance_index: me, ..safe() },
+            &fleet(20),
+        );
         met(&mut b, 0).iter().all(|member| member % 2 == 0)
     };
     let unlucky = (0..200).filter(|me| all_slow(*me)).count();
@@ -458,8 +464,8 @@
 fn dear_connections_keep_a_busy_subset_small() {
     // Guards against connections over many members, all together beyond what backends accept:
     // failed connects to backends that run and answer others.
-    let members = |dear_connections| {
-        let settings = Settings { instances: 50, dear_connections, ..safe() };
+    let members = |costly_connections| {
+        let settings = Settings { instance_count: 50, costly_connections, ..safe() };
         let mut b = Bench::new(settings, &fleet(40));
         // Sixteen calls in flight on average, for longer than rates are remembered.
         let mut out = std::collections::VecDeque::new();
@@ -485,7 +491,7 @@
     for (instances, backends) in [(3, 20), (1, 9), (7, 30), (40, 60)] {
         let mut all = std::collections::BTreeSet::new();
         for me in 0..instances {
-            let settings = Settings { instances, me, ..safe() };
+            let settings = Settings { instance_count: instances, instance_index: me, ..safe() };
             all.extend(met(&mut Bench::seeded(me as u64, settings, &fleet(backends)), 0));
         }
         assert_eq!(all.len() as u32, backends, "{instances} over {backends}");
@@ -494,7 +500,7 @@
 
 #[test]
 fn fewer_own_calls_in_flight_are_preferred_by_weight() {
-    let list = [Entry { weight: 3.0, ..entry(1) }, entry(2)];
+    let list = [BackendEntry { weight: 3.0, ..entry(1) }, entry(2)];
     let mut b = Bench::new(safe(), &list);
     let mut to = [0, 0];
     for id in 0..40 {
@@ -559,8 +565,8 @@
 fn calls_cross_zones_only_when_the_own_zone_is_much_busier() {
     // Guards against paying for crossings that gain nothing, and against a zone that is given
     // more traffic than its own backends can carry.
-    let list: Vec<Entry> = (1..=8).map(|i| Entry { zone: i % 2, ..entry(i) }).collect();
-    let mut b = Bench::new(Settings { cross_zone: 0.2, zone: 1, ..safe() }, &list);
+    let list: Vec<BackendEntry> = (1..=8).map(|i| BackendEntry { zone: i % 2, ..entry(i) }).collect();
+    let mut b = Bench::new(Settings { cross_zone_cost: 0.2, zone: 1, ..safe() }, &list);
     for id in 0..40 {
         assert_eq!(b.served(id, 0.05) % 2, 1, "idle backends of the own zone");
     }
@@ -576,7 +582,8 @@
 #[test]
 fn cold_backends_get_their_part_of_the_traffic() {
     // Many quiet balancers, each on its own, stay far under the multiple that tips it over.
-    let settings = Settings { instances: 100, cold: 20.0, cold_share: 0.2, ..safe() };
+    let settings =
+        Settings { instance_count: 100, cold_duration: 20.0, cold_capacity_fraction: 0.2, ..safe() };
     let mut list = fleet(4);
     let (mut cold, mut warm) = (0, 0);
     for seed in 0..100 {
@@ -602,7 +609,8 @@
 
 #[test]
 fn a_cold_backend_is_measured_by_what_all_balancers_usually_send_it() {
-    let settings = Settings { instances: 100, cold: 20.0, cold_share: 0.2, ..safe() };
+    let settings =
+        Settings { instance_count: 100, cold_duration: 20.0, cold_capacity_fraction: 0.2, ..safe() };
     let sent = |usual: Option<f64>| {
         let mut cold = 0;
         for seed in 0..300 {
@@ -612,7 +620,7 @@
                 b.served(id, 0.01);
                 b.run_to(b.now + 0.24);
             }
-            (list[0].started, list[0].usual) = (Some(b.now), usual);
+            (list[0].started, list[0].usual_rate) = (Some(b.now), usual);
             b.event(Event::List(ListUpdate::Full(&list)));
             for id in 100..120 {
                 cold += u32::from(b.served(id, 0.01) == 1);
@@ -630,7 +638,7 @@
 
 #[test]
 fn most_of_the_fleet_cold_is_not_pushed_over() {
-    let settings = Settings { instances: 1, cold: 20.0, cold_share: 0.1, ..safe() };
+    let settings = Settings { instance_count: 1, cold_duration: 20.0, cold_capacity_fraction: 0.1, ..safe() };
     let mut list = fleet(3);
     let mut b = Bench::new(settings, &list);
     for id in 0..200 {
@@ -654,9 +662,9 @@
 
 #[test]
 fn nothing_is_sent_in_advance_where_planners_allow_nothing() {
-    let settings = Settings { cold: 20.0, cold_share: 0.3, ..safe() };
+    let settings = Settings { cold_duration: 20.0, cold_capacity_fraction: 0.3, ..safe() };
     for seed in 0..50 {
-        let cold = |id| Entry { started: Some(0.0), usual: Some(0.0), ..entry(id) };
+        let cold = |id| BackendEntry { started: Some(0.0), usual_rate: Some(0.0), ..entry(id) };
         let mut b = Bench::seeded(seed, settings.clone(), &[cold(1), cold(2), cold(3)]);
         assert!(sends(&b.request(1)).is_empty(), "seed {seed}");
     }
@@ -666,7 +674,13 @@
 fn a_fleet_of_newcomers_alone_is_sent_no_less_and_less() {
     // Guards against budgets that follow what is served: where backends are replaced before they are warm,
     // what was served was what the budgets allowed, and they fell with it until nothing was sent at all.
-    let settings = Settings { instances: 1, cold: 20.0, cold_share: 0.3, fall_multiple: 3.0, ..safe() };
+    let settings = Settings {
+        instance_count: 1,
+        cold_duration: 20.0,
+        cold_capacity_fraction: 0.3,
+        overload_multiple: 3.0,
+        ..safe()
+    };
     let mut sent_by = Vec::new();
     let mut b = Bench::new(settings, &fleet(4));
     for id in 0..400 {
@@ -675,8 +689,8 @@
     }
     for round in 1..=12 {
         // Four a second each is what warm ones were seen to do, and all are new every 5 s.
-        let list: Vec<Entry> =
-            (0..4).map(|i| Entry { started: Some(b.now), ..entry(10 * round + i) }).collect();
+        let list: Vec<BackendEntry> =
+            (0..4).map(|i| BackendEntry { started: Some(b.now), ..entry(10 * round + i) }).collect();
         b.event(Event::List(ListUpdate::Full(&list)));
         let mut sent = 0;
         for id in 0..100 {
@@ -700,7 +714,13 @@
 fn an_overload_does_not_widen_the_budget_of_cold_backends() {
     // Guards against budgets that follow what is sent: with clients that repeat without pause
     // it was four times what the backends could do, and one fell over.
-    let settings = Settings { instances: 1, cold: 20.0, cold_share: 0.1, fall_multiple: 2.0, ..safe() };
+    let settings = Settings {
+        instance_count: 1,
+        cold_duration: 20.0,
+        cold_capacity_fraction: 0.1,
+        overload_multiple: 2.0,
+        ..safe()
+    };
     let mut list = fleet(4);
     let mut b = Bench::new(settings, &list);
     let mut cold = 0;
@@ -727,7 +747,13 @@
 fn what_was_saved_for_a_cold_backend_does_not_come_at_once() {
     // Guards against budgets that quiet balancers save up to a whole request: when the other
     // members turned bad, all of them spent it within a second, and a cold backend fell over.
-    let settings = Settings { instances: 100, cold: 20.0, cold_share: 0.1, fall_multiple: 2.0, ..safe() };
+    let settings = Settings {
+        instance_count: 100,
+        cold_duration: 20.0,
+        cold_capacity_fraction: 0.1,
+        overload_multiple: 2.0,
+        ..safe()
+    };
     let mut at_once = 0;
     for seed in 0..200 {
         let mut b = Bench::seeded(seed, settings.clone(), &fleet(4));
@@ -761,7 +787,7 @@
         for id in 1000..1200 {
             assert!(!refused(&b.request(id), id), "it waits for a while");
             let actions = plain(b.run_to(b.now + 0.005));
-            shed += actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+            shed += actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
         }
         if tier == 0 { assert!(shed > 50, "{shed}") } else { assert_eq!(shed, 0) }
     }
@@ -835,7 +861,7 @@
         actions.extend(b.cancelled(&actions.clone()));
         waiting.extend(sends(&actions).into_iter().map(|(id, to)| (id, to, b.now)));
         for id in
-            actions.iter().filter_map(|a| if let Action::Refuse { id, .. } = a { Some(id.0) } else { None })
+            actions.iter().filter_map(|a| if let Action::Reject { id, .. } = a { Some(id.0) } else { None })
         {
             let (class, tenant) = kind(id);
             shed[class][tenant] += usize::from(id > 500);
@@ -849,7 +875,7 @@
 fn hung_backends_do_not_make_the_entry_shed() {
     // Guards against calls stuck at a few bad backends passing for an overload of the fleet.
     let mut settings = safe();
-    (settings.tier, settings.second_copies) = (0, false);
+    (settings.tier, settings.allow_concurrent_attempts) = (0, false);
     let mut b = Bench::new(settings, &fleet(8));
     for id in 0..60 {
         b.served(id, 0.02);
@@ -897,7 +923,7 @@
             if let Action::Probe(backend) = action {
                 probes += 1;
                 let service = Some(0.02 * f64::from(backend.0 * backend.0));
-                let report = Some(Report { service });
+                let report = Some(Report { service_time: service });
                 b.event(Event::Probed { backend: *backend, outcome: Outcome::Served, report });
             }
         }
@@ -917,13 +943,13 @@
     let zero = Settings {
         classes: vec![Class { aim: 0.0, deadline: 0.0, worth: 0.0, ..class(Effect::Safe) }],
         quotas: vec![0.0],
-        instances: 0,
+        instance_count: 0,
         tier: 0,
-        cold: 0.0,
-        cold_share: 0.0,
-        fall_multiple: 0.0,
-        tip_after: 0.0,
-        ask_within: 0.0,
+        cold_duration: 0.0,
+        cold_capacity_fraction: 0.0,
+        overload_multiple: 0.0,
+        overload_duration: 0.0,
+        list_request_deadline: 0.0,
         quantum: 0.0,
         must_watch: true,
         ..Settings::default()
@@ -937,7 +963,7 @@
         let actions = b.event(Event::Request(request));
         assert!(refused(&actions, id), "no aim, no worth: nothing to wait for");
     }
-    b.event(Event::List(ListUpdate::Refused));
+    b.event(Event::List(ListUpdate::Failed));
     assert_eq!(b.balancer.open_requests(), 0);
     assert!(b.timers.iter().all(|(at, _)| at.is_finite()));
 }
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -41,8 +41,8 @@
     /// The clients come after a quiet half minute.
     fn new(settings: Settings, clients: u64, backends: u32, work: f64, slots: usize) -> Self {
         let mut balancer = Balancer::new(0.0, 7, settings);
-        let list: Vec<Entry> =
-            (0..backends).map(|i| Entry { id: BackendId(i), ..Entry::default() }).collect();
+        let list: Vec<BackendEntry> =
+            (0..backends).map(|i| BackendEntry { id: BackendId(i), ..BackendEntry::default() }).collect();
         balancer.handle(0.0, Event::List(ListUpdate::Remembered(&list)), &mut Vec::new());
         let mut new = Self {
             balancer,
@@ -87,7 +87,7 @@
                     let request = Request { id, budget: 20.0, ..Request::default() };
                     self.balancer.handle(now, Event::Request(request), &mut actions);
                     let mine = |a: &Action| match a {
-                        Action::Send { id: i, .. } | Action::Refuse { id: i, .. } => *i == id,
+                        Action::Send { id: i, .. } | Action::Reject { id: i, .. } => *i == id,
                         _ => false,
                     };
                     if !actions.iter().any(mine) {
@@ -98,13 +98,13 @@
                 Due::Outcome(id, backend, attempt) => {
                     let over = self.arrived.contains_key(&id);
                     self.answered(id);
-                    let ended = Ended {
+                    let ended = AttemptResult {
                         id: RequestId(id),
                         backend: BackendId(backend),
                         attempt,
                         outcome: Outcome::Served,
-                        took: self.work as f64 / 1e9,
-                        over,
+                        duration: self.work as f64 / 1e9,
+                        is_final: over,
                         report: None,
                     };
                     self.balancer.handle(now, Event::Outcome(ended), &mut actions);
@@ -132,7 +132,7 @@
                 let done = *slot;
                 self.at(done, Due::Outcome(id.0, backend.0, number));
             }
-            Action::Refuse { id, .. } | Action::Fail { id } => {
+            Action::Reject { id, .. } | Action::Fail { id } => {
                 self.refused += 1;
                 self.answered(id.0);
             }
@@ -197,11 +197,16 @@
     // of them: beside them those that did all the work counted as bad ones, whose calls are no overload.
     // The entry let everything in, until all answers came too late.
     let queued = |newcomers: u32| {
-        let settings = Settings { cold: 1000.0, cold_share: 0.01, fall_multiple: 3.0, ..one_class() };
+        let settings = Settings {
+            cold_duration: 1000.0,
+            cold_capacity_fraction: 0.01,
+            overload_multiple: 3.0,
+            ..one_class()
+        };
         let mut looped = Loop::new(settings, 100, 3, 0.2, 1);
         let started = |i| (i >= 3).then_some(30.0);
-        let list: Vec<Entry> = (0..3 + newcomers)
-            .map(|i| Entry { id: BackendId(i), started: started(i), ..Entry::default() })
+        let list: Vec<BackendEntry> = (0..3 + newcomers)
+            .map(|i| BackendEntry { id: BackendId(i), started: started(i), ..BackendEntry::default() })
             .collect();
         looped.balancer.handle(30.0, Event::List(ListUpdate::Full(&list)), &mut Vec::new());
         looped.run(80.0);
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -21,11 +21,11 @@
         let over = bench.end(id, 0, to, Outcome::Served, 0.01);
         assert!(!refused(&over, id));
     }
-    assert!(bench.balancer.backends_known() <= 5, "{}", bench.balancer.backends_known());
+    assert!(bench.balancer.known_backends() <= 5, "{}", bench.balancer.known_backends());
     // The first call's backend is known until its attempt has ended.
-    assert!(bench.balancer.backends_known() > 2);
+    assert!(bench.balancer.known_backends() > 2);
     bench.end(1, 0, 1, Outcome::Served, 1.0);
     bench.event(Event::List(ListUpdate::Changes(&[])));
     bench.event(Event::List(ListUpdate::Full(&[entry(499)])));
-    assert_eq!(bench.balancer.backends_known(), 1);
+    assert_eq!(bench.balancer.known_backends(), 1);
 }
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -2,7 +2,9 @@
 //! that come up late, second answers. Drawn from seeds; a failure names its seed.
 
 use gannetproxy::engine::{Answer, Attempt, Bounds, Done, Engine, Listed, News, Upstream};
-use gannetproxy::{BackendId, Class, Effect, Entry, Group, Outcome, Request, RequestId, Settings};
+use gannetproxy::{
+    BackendEntry, BackendId, Class, DedupGroup, Effect, Outcome, Request, RequestId, Settings,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -45,7 +47,7 @@
 }
 
 fn may_have_run(outcome: Option<Outcome>) -> bool {
-    !matches!(outcome, Some(Outcome::Full | Outcome::NoConnection | Outcome::NeverSent))
+    !matches!(outcome, Some(Outcome::Rejected | Outcome::NoConnection | Outcome::NeverSent))
 }
 
 impl Account {
@@ -122,7 +124,7 @@
             let (outcome, served) = match end {
                 0 | 1 => (Outcome::Served, Some(())),
                 2 => (Outcome::Error, None),
-                3 => (Outcome::Full, None),
+                3 => (Outcome::Rejected, None),
                 4 => (Outcome::Reset, None),
                 // Broken before its last byte.
                 5 => {
@@ -144,15 +146,15 @@
 
 fn settings(cancel: bool) -> Settings {
     let class = |effect| Class { aim: BUDGET, deadline: BUDGET, effect, late_worth: 1.0, ..Class::default() };
-    let keyed = Effect::Keyed { group: Group::Cell, window: WINDOW };
+    let keyed = Effect::Keyed { group: DedupGroup::Cell, window: WINDOW };
     Settings {
         classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
-        cancel,
-        second_copies: true,
+        can_cancel: cancel,
+        allow_concurrent_attempts: true,
         max_attempts: 4,
         quantum: 0.002,
         tier: 1,
-        instances: 1,
+        instance_count: 1,
         ..Settings::default()
     }
 }
@@ -165,7 +167,7 @@
     // Where attempts may not be withdrawn, those that were not sent yet must end all the same.
     let engine = Engine::start(settings(seed.is_multiple_of(2)), bounds, seed, Script { rng: rng.clone() });
     let listed = |id: u32| Listed {
-        entry: Entry { id: BackendId(id), cell: cell(id), ..Entry::default() },
+        entry: BackendEntry { id: BackendId(id), cell: cell(id), ..BackendEntry::default() },
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
     };
     engine.news(News::Full((0..BACKENDS).map(listed).collect()));
--- a/tests/lost.rs
+++ b/tests/lost.rs
@@ -98,6 +98,6 @@
     let (_, to) = sends(&b.request(1))[0];
     let mut seen = b.end(1, 0, to, Outcome::Error, 0.01);
     seen.extend(plain(b.run_to(3.0)));
-    let told = seen.iter().any(|a| matches!(a, Action::Refuse { retry_after: Some(w), .. } if *w > 0.0));
+    let told = seen.iter().any(|a| matches!(a, Action::Reject { retry_after: Some(w), .. } if *w > 0.0));
     assert!(told, "{seen:?}");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -29,7 +29,7 @@
 struct Checker {
     settings: Settings,
     open: HashMap<u64, Open>,
-    list: HashMap<u32, Entry>,
+    list: HashMap<u32, BackendEntry>,
     /// Draining backends whose connections are to be closed, since the notice or the last use.
     unclosed: HashMap<u32, Time>,
     breaches: Vec<String>,
@@ -57,7 +57,7 @@
         for earlier in self.open.iter().filter(|(i, o)| **i < id && ordered(o) && o.key == key) {
             let rests = |t: &Try| {
                 matches!(t.outcome, Some(Outcome::Timeout | Outcome::Reset | Outcome::Cancelled))
-                    && now < t.ended + self.settings.settle
+                    && now < t.ended + self.settings.key_settle_time
             };
             if !earlier.1.over || earlier.1.tries.iter().any(|t| t.outcome.is_none()) {
                 return Some("order: an earlier one is not over");
@@ -79,7 +79,7 @@
     }
 
     fn check_closed(&mut self, now: Time) {
-        let within = self.settings.release_within.unwrap_or(f64::INFINITY);
+        let within = self.settings.connection_release_deadline.unwrap_or(f64::INFINITY);
         if self.unclosed.values().any(|since| now > since + within) {
             self.unclosed.clear();
             self.breach("drain: connections left open".into());
@@ -88,7 +88,7 @@
 
     fn action(&mut self, now: Time, action: &Action) {
         match action {
-            Action::Release(backend) => {
+            Action::CloseIdleConnections(backend) => {
                 self.unclosed.remove(&backend.0);
             }
             Action::Send { id, backend, timeout } => {
@@ -115,7 +115,7 @@
                 if open.tries.len() >= settings.max_attempts {
                     what.push("too many attempts");
                 }
-                if !settings.second_copies && open.tries.iter().any(|t| t.outcome.is_none()) {
+                if !settings.allow_concurrent_attempts && open.tries.iter().any(|t| t.outcome.is_none()) {
                     what.push("two at once");
                 }
                 if let Some(first) = open.tries.iter().find(|t| may_have_run(t)) {
@@ -124,9 +124,9 @@
                         Effect::Unsafe => what.push("unsafe call twice"),
                         Effect::Keyed { group, window } => {
                             let inside = match group {
-                                Group::All => true,
-                                Group::Zone => first.zone == entry.zone,
-                                Group::Cell => first.cell == entry.cell,
+                                DedupGroup::All => true,
+                                DedupGroup::Zone => first.zone == entry.zone,
+                                DedupGroup::Cell => first.cell == entry.cell,
                             };
                             if !inside || now > first.sent + window {
                                 what.push("keyed call outside its group or window");
@@ -143,11 +143,11 @@
                 });
                 what.into_iter().for_each(|w| self.breaches.push(w.to_string()));
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let harmless = self.open.get(&id.0).is_some_and(|open| {
                     let all = matches!(
                         self.settings.classes[open.class].effect,
-                        Effect::Safe | Effect::Keyed { group: Group::All, .. }
+                        Effect::Safe | Effect::Keyed { group: DedupGroup::All, .. }
                     );
                     all || !open.tries.iter().any(may_have_run)
                 });
@@ -157,7 +157,7 @@
                 self.answer(now, id.0);
             }
             Action::Fail { id } => self.answer(now, id.0),
-            Action::Cancel { .. } if !self.settings.cancel => self.breach("cancel forbidden".into()),
+            Action::Cancel { .. } if !self.settings.can_cancel => self.breach("cancel forbidden".into()),
             Action::Timer { at, .. } if !at.is_finite() => self.breach("timer at no time".into()),
             _ => {}
         }
@@ -182,7 +182,7 @@
 }
 
 fn may_have_run(t: &Try) -> bool {
-    !matches!(t.outcome, Some(Outcome::Full | Outcome::NoConnection | Outcome::NeverSent))
+    !matches!(t.outcome, Some(Outcome::Rejected | Outcome::NoConnection | Outcome::NeverSent))
 }
 
 #[derive(Clone, Debug)]
@@ -216,20 +216,20 @@
         classes: vec![
             class(Effect::Safe),
             Class { late_worth: 0.3, in_order: true, ..class(Effect::Unsafe) },
-            class(keyed(Group::All, 0.6)),
-            class(keyed(Group::Zone, 0.5)),
-            Class { in_order: true, ..class(keyed(Group::Cell, 0.4)) },
+            class(keyed(DedupGroup::All, 0.6)),
+            class(keyed(DedupGroup::Zone, 0.5)),
+            Class { in_order: true, ..class(keyed(DedupGroup::Cell, 0.4)) },
         ],
         quotas: vec![2.0, 100.0],
         over_share_worth: 0.1,
-        second_copies,
-        cancel,
+        allow_concurrent_attempts: second_copies,
+        can_cancel: cancel,
         tier,
         max_attempts: 3,
         max_retry_after: 1.0,
         must_watch: true,
-        settle: 0.2,
-        release_within: Some(0.1),
+        key_settle_time: 0.2,
+        connection_release_deadline: Some(0.1),
         ..Settings::default()
     }
 }
@@ -238,7 +238,7 @@
     const OUTCOMES: [Outcome; 8] = [
         Outcome::Served,
         Outcome::Error,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::Timeout,
         Outcome::NoConnection,
         Outcome::Reset,
@@ -250,7 +250,8 @@
     let mut now = 0.0;
     let mut timers: Vec<(Time, u64)> = Vec::new();
     let mut out: Vec<(u64, usize, u32)> = Vec::new();
-    let mut list: Vec<Entry> = (1..8).map(|i| Entry { cell: i % 3, zone: i % 2, ..entry(i) }).collect();
+    let mut list: Vec<BackendEntry> =
+        (1..8).map(|i| BackendEntry { cell: i % 3, zone: i % 2, ..entry(i) }).collect();
     let mut next = 0;
     let mut all = vec![Step::Full { gone: 0 }];
     all.extend_from_slice(steps);
@@ -278,12 +279,20 @@
                 let took = now - open.tries[attempt].sent;
                 let (id, backend, outcome, over) =
                     (RequestId(id), BackendId(backend), OUTCOMES[outcome], open.over);
-                due.push(Event::Outcome(Ended { id, backend, attempt, outcome, took, over, report: None }));
+                due.push(Event::Outcome(AttemptResult {
+                    id,
+                    backend,
+                    attempt,
+                    outcome,
+                    duration: took,
+                    is_final: over,
+                    report: None,
+                }));
             }
             Step::Leave { which } if next > 0 => {
                 let id = 1 + which as u64 % next;
                 check.open.get_mut(&id).unwrap().over = true;
-                due.push(Event::ClientLeft(RequestId(id)));
+                due.push(Event::ClientDisconnected(RequestId(id)));
             }
             Step::End { .. } | Step::Leave { .. } => {}
             Step::Wait(span) => {
@@ -319,7 +328,7 @@
                 });
                 due.push(Event::List(ListUpdate::Full(&copy)));
             }
-            Step::Refused => due.push(Event::List(ListUpdate::Refused)),
+            Step::Refused => due.push(Event::List(ListUpdate::Failed)),
         }
         for event in due {
             let mut actions = Vec::new();
@@ -374,9 +383,9 @@
 fn the_checker_catches_planted_breaches() {
     let plant = |class: usize, then: &[(Time, Action)]| {
         let mut check = Checker::new(settings(false, false, 0));
-        check.list.insert(1, Entry { cell: 1, ..entry(1) });
-        check.list.insert(2, Entry { cell: 2, ..entry(2) });
-        check.list.insert(3, Entry { status: Status::Draining, ..entry(3) });
+        check.list.insert(1, BackendEntry { cell: 1, ..entry(1) });
+        check.list.insert(2, BackendEntry { cell: 2, ..entry(2) });
+        check.list.insert(3, BackendEntry { status: Status::Draining, ..entry(3) });
         for id in 1..3 {
             check.open.insert(id, Open { class, key: Some(9), deadline: 1.0, tries: vec![], over: id == 2 });
         }
@@ -386,7 +395,7 @@
     };
     let id = RequestId(1);
     let send = |to| Action::Send { id, backend: BackendId(to), timeout: 0.5 };
-    assert_eq!(plant(0, &[(0.0, send(1)), (0.5, Action::Refuse { id, retry_after: None })]).len(), 0);
+    assert_eq!(plant(0, &[(0.0, send(1)), (0.5, Action::Reject { id, retry_after: None })]).len(), 0);
     assert_eq!(plant(0, &[(0.0, send(1))]), ["1 lost"]);
     assert_eq!(plant(0, &[(1.5, Action::Fail { id })]), ["1 answered late"]);
     assert_eq!(plant(0, &[(0.1, Action::Fail { id }), (0.2, Action::Fail { id })]).len(), 1);
@@ -414,15 +423,15 @@
     assert_eq!(check.breaches, ["order: the key has not rested"]);
     assert_eq!(check.out_of_order(0.51, 2), None);
     // Closing: a draining backend's connections left open, after the notice or a later outcome.
-    check.list.insert(1, Entry { status: Status::Draining, ..entry(1) });
+    check.list.insert(1, BackendEntry { status: Status::Draining, ..entry(1) });
     check.used(1.0, 1);
     check.check_closed(1.05);
-    check.action(1.05, &Action::Release(BackendId(1)));
+    check.action(1.05, &Action::CloseIdleConnections(BackendId(1)));
     check.check_closed(1.2);
     assert_eq!(check.breaches.len(), 1);
     check.used(1.3, 1);
     check.check_closed(1.5);
     assert_eq!(check.breaches[1], "drain: connections left open");
-    let refused = [(0.0, send(1)), (0.6, Action::Refuse { id, retry_after: None })];
+    let refused = [(0.0, send(1)), (0.6, Action::Reject { id, retry_after: None })];
     assert!(plant(1, &refused)[0].contains("which may have run"));
 }
