--- a/crates/cluster/src/cluster.rs
+++ b/crates/cluster/src/cluster.rs
@@ -1,13 +1,13 @@
 //! One planner among others, over TCP.
 
-use crate::beside::beside;
 use crate::fleet::{Command, Fleet};
 use crate::join::{Join, Standing, Step, identity, number};
+use crate::lease_grantor::LeaseGrantor;
 use crate::link::{Answered, Link, MOST_BYTES, Message, Question, Reply, Status, ToMember, read, write};
+use crate::missing_nodes::drain_missing_nodes;
 use crate::raft::{self, Applied, Log, Machine, Network, Raft};
-use crate::vouch::Vouch;
-use dewpier_plan::io::{Part, Planner, Security, frame};
-use dewpier_plan::{Announcer, Mark, Node, Told, asked_every};
+use dewpier_plan::io::{Planner, Role, Security, frame};
+use dewpier_plan::{AnnouncementVersion, Announcer, Node, PlannerMessage, lease_check_interval};
 use openraft::{EmptyNode, ServerState};
 use std::collections::hash_map::RandomState;
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,7 +49,7 @@
     /// The view of a planner that was silent for so long no longer counts.
     pub expel_after: Duration,
     /// Forwarders that are let in.
-    pub most: usize,
+    pub max_forwarders: usize,
     /// How connections are secured.
     pub security: Security,
 }
@@ -63,10 +63,10 @@
 /// What is known here alone.
 struct Known {
     announcer: Announcer,
-    vouch: Vouch,
+    vouch: LeaseGrantor,
     join: Join,
     /// Up to where the news of each other planner are known.
-    heard: BTreeMap<u32, Mark>,
+    heard: BTreeMap<u32, AnnouncementVersion>,
     /// The highest term that any planner has seen with a follower.
     term: u64,
 }
@@ -109,7 +109,7 @@
         let others = settings.planners.keys().copied().filter(|n| *n != me);
         let known = Known {
             announcer: Announcer::new(me, epoch),
-            vouch: Vouch::new(others, settings.lease),
+            vouch: LeaseGrantor::new(others, settings.lease),
             join: Join::new(settings.planners.keys().copied().collect()),
             heard: BTreeMap::new(),
             term: 0,
@@ -118,7 +118,7 @@
             let this = this.clone();
             let lease = move || this.upgrade().map_or(Duration::ZERO, |this| this.lease());
             Self {
-                planner: Planner::new(Box::new(lease), settings.lease, settings.most),
+                planner: Planner::new(Box::new(lease), settings.lease, settings.max_forwarders),
                 settings,
                 start: Instant::now(),
                 known: Mutex::new(known),
@@ -144,7 +144,7 @@
     }
 
     /// How many connections of other planners were ended for what they said.
-    pub fn refused(&self) -> u64 {
+    pub fn rejected_connections(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
     }
 
@@ -157,26 +157,26 @@
     }
 
     fn lease(&self) -> Duration {
-        self.known().vouch.lease(self.now())
+        self.known().vouch.grantable_lease(self.now())
     }
 
     /// Membership as it sees it now. Drains go out at once.
     pub fn observe(&self, nodes: Vec<Node>) {
         let drains = self.known().announcer.observe(nodes);
-        self.planner.drains(drains);
+        self.planner.announce_drains(drains);
         self.beside(&self.told.borrow().clone());
         self.wake.notify_one();
     }
 
     /// A look at membership that began then found nothing but what was told to [`Cluster::observe`].
-    pub fn looked(&self, began: Instant) {
-        self.known().vouch.looked(began.saturating_duration_since(self.start));
+    pub fn record_membership_read(&self, began: Instant) {
+        self.known().vouch.record_membership_read(began.saturating_duration_since(self.start));
     }
 
     /// Membership is to be looked at now: another planner is silent, and may have been told of what this
     /// one must know.
-    pub fn wants_look(&self) -> bool {
-        self.known().vouch.look(self.now())
+    pub fn needs_membership_read(&self) -> bool {
+        self.known().vouch.needs_membership_read(self.now())
     }
 
     /// Runs it for good, with the others let in by `listener`.
@@ -216,9 +216,9 @@
         let (drains, turned) = {
             let mut known = self.known();
             let Known { announcer, vouch, .. } = &mut *known;
-            let before = vouch.withheld();
-            let drains = beside(fleet, self.settings.number, announcer, vouch);
-            (drains, (vouch.withheld() != before).then(|| vouch.withheld()))
+            let before = vouch.is_suspended();
+            let drains = drain_missing_nodes(fleet, self.settings.number, announcer, vouch);
+            (drains, (vouch.is_suspended() != before).then(|| vouch.is_suspended()))
         };
         let me = self.settings.number;
         match turned {
@@ -228,7 +228,7 @@
             Some(false) => eprintln!("planner {me}: it lists what others do again"),
             None => {}
         }
-        self.planner.drains(drains);
+        self.planner.announce_drains(drains);
     }
 
     // ---- Its place among the planners ----
@@ -310,14 +310,14 @@
         let fleet = self.told.borrow().clone();
         let command = {
             let mut known = self.known();
-            let mark = known.announcer.mark();
-            if mark.sequence == 0 || known.vouch.withheld() {
+            let mark = known.announcer.version();
+            if mark.sequence == 0 || known.vouch.is_suspended() {
                 return; // it has seen nothing yet, or what can't be right
             }
-            match fleet.mark(me) {
+            match fleet.announcement_version(me) {
                 Some(agreed) if agreed == mark => return,
                 Some(agreed) if agreed.epoch == mark.epoch => {
-                    let Some(listed) = fleet.listed(me) else { return };
+                    let Some(listed) = fleet.listed_nodes(me) else { return };
                     let view = known.announcer.view();
                     let ids: BTreeSet<&String> = view.iter().map(|n| &n.id).collect();
                     let set = view.iter().filter(|n| listed.get(&n.id) != Some(n)).cloned().collect();
@@ -325,16 +325,16 @@
                     Command::Change { planner: me, from: agreed, to: mark, set, gone }
                 }
                 _ => {
-                    let over = fleet.expelled(me).or(fleet.mark(me).map(|m| m.epoch));
+                    let over = fleet.expelled_epoch(me).or(fleet.announcement_version(me).map(|m| m.epoch));
                     if over.is_some_and(|over| over >= mark.epoch) {
                         // What it told counts as settled: it is told anew.
-                        let drains = known.announcer.begin(over.unwrap_or_default() + 1);
+                        let drains = known.announcer.begin_epoch(over.unwrap_or_default() + 1);
                         drop(known);
-                        self.planner.drains(drains);
+                        self.planner.announce_drains(drains);
                         known = self.known();
                     }
-                    let (mark, nodes) = (known.announcer.mark(), known.announcer.view().to_vec());
-                    Command::View { planner: me, mark, nodes }
+                    let (mark, nodes) = (known.announcer.version(), known.announcer.view().to_vec());
+                    Command::View { planner: me, announcement_version: mark, nodes }
                 }
             }
         };
@@ -372,7 +372,8 @@
         let fleet = self.told.borrow().clone();
         let (me, now, wall) = (self.settings.number, self.now(), clock());
         let plan = fleet.plan().version;
-        let seen = self.known().term.max(self.planner.highest().term).max(self.planner.version().term);
+        let seen =
+            self.known().term.max(self.planner.highest_version().term).max(self.planner.version().term);
         let seen = if seen >> 16 <= wall + AHEAD { seen } else { 0 };
         // Followers may have had plans of a group that is no more: those to come must be newer.
         if fleet.base() == 0 || seen > plan.term {
@@ -386,12 +387,13 @@
             let known = self.known();
             let last = known.join.heard_at(*n).unwrap_or_default();
             // Only after a look at membership of its own, which shows what that one was told.
-            now.saturating_sub(last) >= self.settings.expel_after && !known.vouch.lease(now).is_zero()
+            now.saturating_sub(last) >= self.settings.expel_after
+                && !known.vouch.grantable_lease(now).is_zero()
         };
-        let expelled: Vec<u32> = others.filter(|n| fleet.expelled(*n).is_none() && silent(n)).collect();
+        let expelled: Vec<u32> = others.filter(|n| fleet.expelled_epoch(*n).is_none() && silent(n)).collect();
         for planner in expelled {
             eprintln!("planner {me}: planner {planner} is silent, and its view no longer counts");
-            let epoch = wall.max(fleet.mark(planner).map_or(0, |m| m.epoch));
+            let epoch = wall.max(fleet.announcement_version(planner).map_or(0, |m| m.epoch));
             if let Err(why) = self.propose(raft, None, Command::Expel { planner, epoch }).await {
                 eprintln!("planner {me}: that is not agreed yet: {why}");
             }
@@ -432,12 +434,12 @@
     /// Asks one of them where it stands, for good.
     async fn asks(self: Arc<Self>, other: u32, address: SocketAddr) {
         let mut link = Link::new(address, self.settings.security.clone());
-        let mut every = tokio::time::interval(asked_every(self.settings.lease));
+        let mut every = tokio::time::interval(lease_check_interval(self.settings.lease));
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             every.tick().await;
             let asked = self.now();
-            let agreed = self.told.borrow().mark(other).unwrap_or_default();
+            let agreed = self.told.borrow().announcement_version(other).unwrap_or_default();
             let heard = self.known().heard.get(&other).copied().unwrap_or_default().max(agreed);
             let question = Question::Status { from: self.settings.number, heard };
             // That it does not answer shows by itself.
@@ -450,9 +452,9 @@
     }
 
     fn heard(&self, other: u32, status: Status, asked: Duration) {
-        let told = |(mark, id)| Told::Drain { planner: other, mark, id };
+        let told = |(mark, id)| PlannerMessage::Drain { planner: other, announcement_version: mark, id };
         // Followers first: what is confirmed must be told.
-        self.planner.drains(status.news.into_iter().map(told).collect());
+        self.planner.announce_drains(status.news.into_iter().map(told).collect());
         let now = self.now();
         let mut known = self.known();
         let standing = Standing { id: status.id, group: status.group, led: status.led };
@@ -461,7 +463,7 @@
         if status.complete {
             let heard = known.heard.entry(other).or_default();
             *heard = status.mark.max(*heard);
-            known.vouch.confirmed(other, status.mark.epoch, asked, now);
+            known.vouch.record_answer(other, status.mark.epoch, asked, now);
         }
     }
 
@@ -492,7 +494,7 @@
 
     /// Answers one other planner.
     async fn answers(self: &Arc<Self>, stream: TcpStream) -> io::Result<()> {
-        let mut stream = self.settings.security.accept(stream, Part::Planner).await?;
+        let mut stream = self.settings.security.accept(stream, Role::Planner).await?;
         loop {
             let question = read(&frame::read(&mut stream, MOST_BYTES, SILENT).await?)?;
             let reply = match question {
@@ -504,14 +506,14 @@
         }
     }
 
-    async fn status(&self, from: u32, heard: Mark) -> Reply {
+    async fn status(&self, from: u32, heard: AnnouncementVersion) -> Reply {
         if !self.settings.planners.contains_key(&from) || from == self.settings.number {
             return Reply::Refused(format!("expected the number of another planner, found {from}"));
         }
         let standing = self.standing(&*self.seat.lock().await);
-        let term = self.planner.highest().term;
+        let term = self.planner.highest_version().term;
         let known = self.known();
-        let (mark, news) = (known.announcer.mark(), known.announcer.since(heard));
+        let (mark, news) = (known.announcer.version(), known.announcer.drains_since(heard));
         let complete = mark.sequence > 0 && news.is_some();
         let (number, news) = (self.settings.number, news.unwrap_or_default());
         let Standing { id, group, led } = standing;
--- a/crates/cluster/src/fleet.rs
+++ b/crates/cluster/src/fleet.rs
@@ -8,7 +8,7 @@
 //! - The view of a planner that was silent for long is taken out ([`Command::Expel`]), once the others
 //!   have read membership anew; it comes back with a view of a higher epoch.
 
-use dewpier_plan::{MOST_NAME, MOST_NODES, MOST_PLANNERS, Mark, Node, Plan, Version};
+use dewpier_plan::{AnnouncementVersion, MAX_NAME_BYTES, MAX_NODES, MAX_PLANNERS, Node, Plan, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
@@ -23,7 +23,8 @@
         /// Its number.
         planner: u32,
         /// Of the view.
-        mark: Mark,
+        #[serde(rename = "mark")]
+        announcement_version: AnnouncementVersion,
         /// What it lists.
         nodes: Vec<Node>,
     },
@@ -32,9 +33,9 @@
         /// Its number.
         planner: u32,
         /// Of the view that changes,
-        from: Mark,
+        from: AnnouncementVersion,
         /// and of what comes of it.
-        to: Mark,
+        to: AnnouncementVersion,
         /// Nodes that are new or differ.
         set: Vec<Node>,
         /// Nodes that it lists no more.
@@ -51,20 +52,23 @@
 
 /// Why a command changes nothing. It is no failure: who proposed it sees what holds and proposes anew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
-pub enum Passed {
+pub enum CommandRejection {
     /// It is of an epoch that is over, or changes a view that does not hold.
     #[error("it is of a view that does not hold")]
-    Old,
+    #[serde(rename = "Old")]
+    Outdated,
     /// More planners or nodes than there may be.
     #[error("it is more than there may be")]
-    TooMuch,
+    #[serde(rename = "TooMuch")]
+    LimitExceeded,
     /// A node of it can't be: a name without length or over its bound, a weight that is no number above 0.
     #[error("a node of it makes no sense")]
-    Unsound,
+    #[serde(rename = "Unsound")]
+    InvalidNode,
 }
 
 fn unsound(nodes: &[Node]) -> bool {
-    let named = |text: &str, least: usize| (least..=MOST_NAME).contains(&text.len());
+    let named = |text: &str, least: usize| (least..=MAX_NAME_BYTES).contains(&text.len());
     let sound = |n: &Node| named(&n.id, 1) && named(&n.zone, 0) && n.weight.is_finite() && n.weight > 0.0;
     !nodes.iter().all(sound)
 }
@@ -72,7 +76,7 @@
 /// One planner's view.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct View {
-    mark: Mark,
+    mark: AnnouncementVersion,
     nodes: BTreeMap<String, Node>,
     /// What it listed once and lists no more, while others still do.
     ended: BTreeSet<String>,
@@ -95,36 +99,36 @@
     }
 
     /// The mark of a planner's view that is agreed. None where it has none or was expelled.
-    pub fn mark(&self, planner: u32) -> Option<Mark> {
+    pub fn announcement_version(&self, planner: u32) -> Option<AnnouncementVersion> {
         self.views.get(&planner).filter(|v| !v.expelled).map(|v| v.mark)
     }
 
     /// Up to which epoch a planner was expelled, if it is.
-    pub fn expelled(&self, planner: u32) -> Option<u64> {
+    pub fn expelled_epoch(&self, planner: u32) -> Option<u64> {
         self.views.get(&planner).filter(|v| v.expelled).map(|v| v.mark.epoch)
     }
 
     /// What a planner lists.
-    pub fn listed(&self, planner: u32) -> Option<&BTreeMap<String, Node>> {
+    pub fn listed_nodes(&self, planner: u32) -> Option<&BTreeMap<String, Node>> {
         self.views.get(&planner).filter(|v| !v.expelled).map(|v| &v.nodes)
     }
 
     /// Applies the command that stands at that place of the log of agreement: in the term of that
     /// leader, with that index, which no other command has ever had. Returns whether the plan changes.
-    pub fn apply(&mut self, term: u64, index: u64, command: Command) -> Result<bool, Passed> {
+    pub fn apply(&mut self, term: u64, index: u64, command: Command) -> Result<bool, CommandRejection> {
         match command {
-            Command::View { nodes, .. } if unsound(&nodes) => return Err(Passed::Unsound),
-            Command::Change { set, .. } if unsound(&set) => return Err(Passed::Unsound),
+            Command::View { nodes, .. } if unsound(&nodes) => return Err(CommandRejection::InvalidNode),
+            Command::Change { set, .. } if unsound(&set) => return Err(CommandRejection::InvalidNode),
             Command::Base(base) if base <= self.base => return Ok(false),
             Command::Base(base) => self.base = base,
-            Command::View { planner, mark, nodes } => {
-                if nodes.len() > MOST_NODES
-                    || (self.views.len() >= MOST_PLANNERS && !self.views.contains_key(&planner))
+            Command::View { planner, announcement_version: mark, nodes } => {
+                if nodes.len() > MAX_NODES
+                    || (self.views.len() >= MAX_PLANNERS && !self.views.contains_key(&planner))
                 {
-                    return Err(Passed::TooMuch);
+                    return Err(CommandRejection::LimitExceeded);
                 }
                 if mark.epoch <= self.views.get(&planner).map_or(0, |known| known.mark.epoch) {
-                    return Err(Passed::Old);
+                    return Err(CommandRejection::Outdated);
                 }
                 // What the others list and it doesn't has ended by its word: it has just looked.
                 let others = self.views.iter().filter(|(number, view)| **number != planner && !view.expelled);
@@ -149,10 +153,10 @@
             Command::Change { planner, from, to, set, gone } => {
                 let view = self.views.get_mut(&planner).filter(|v| !v.expelled && v.mark == from);
                 let Some(view) = view.filter(|_| to > from && to.epoch == from.epoch) else {
-                    return Err(Passed::Old);
+                    return Err(CommandRejection::Outdated);
                 };
-                if view.nodes.len() + set.len() > 2 * MOST_NODES {
-                    return Err(Passed::TooMuch);
+                if view.nodes.len() + set.len() > 2 * MAX_NODES {
+                    return Err(CommandRejection::LimitExceeded);
                 }
                 view.mark = to;
                 for id in gone {
@@ -165,14 +169,14 @@
                 }
             }
             Command::Expel { planner, epoch } => {
-                if self.views.len() >= MOST_PLANNERS && !self.views.contains_key(&planner) {
-                    return Err(Passed::TooMuch);
+                if self.views.len() >= MAX_PLANNERS && !self.views.contains_key(&planner) {
+                    return Err(CommandRejection::LimitExceeded);
                 }
                 let view = self.views.entry(planner).or_default();
                 if epoch <= view.mark.epoch && view.expelled || epoch < view.mark.epoch {
-                    return Err(Passed::Old);
+                    return Err(CommandRejection::Outdated);
                 }
-                view.mark = Mark { epoch, sequence: u64::MAX };
+                view.mark = AnnouncementVersion { epoch, sequence: u64::MAX };
                 view.expelled = true;
             }
         }
@@ -204,8 +208,8 @@
         }
         Plan {
             version: Version { term: self.base.saturating_add(self.term), generation },
-            nodes: nodes.into_values().take(MOST_NODES).collect(),
-            heard: self.views.iter().map(|(planner, view)| (*planner, view.mark)).collect(),
+            nodes: nodes.into_values().take(MAX_NODES).collect(),
+            acknowledged: self.views.iter().map(|(planner, view)| (*planner, view.mark)).collect(),
         }
     }
 }
--- a/crates/cluster/src/vouch.rs
+++ b/crates/cluster/src/lease_grantor.rs
@@ -22,7 +22,7 @@
 
 /// What one planner knows of the others' knowledge.
 #[derive(Debug)]
-pub struct Vouch {
+pub struct LeaseGrantor {
     lease: Duration,
     peers: BTreeMap<u32, Peer>,
     /// When the last look at membership began that found all told.
@@ -31,7 +31,7 @@
     withheld: bool,
 }
 
-impl Vouch {
+impl LeaseGrantor {
     /// With these others, none of which was heard yet.
     pub fn new(peers: impl IntoIterator<Item = u32>, lease: Duration) -> Self {
         let silent = |number| (number, Peer { id: 0, known: Duration::ZERO, lost: Some(Duration::ZERO) });
@@ -39,18 +39,18 @@
     }
 
     /// It vouches for nothing from now on, or no longer does that.
-    pub fn withhold(&mut self, withheld: bool) {
+    pub fn set_suspended(&mut self, withheld: bool) {
         self.withheld = withheld;
     }
 
     /// It vouches for nothing now.
-    pub fn withheld(&self) -> bool {
+    pub fn is_suspended(&self) -> bool {
         self.withheld
     }
 
     /// A planner answered a question of `asked`: all that it was told by then is here. `id` is that of
     /// its start.
-    pub fn confirmed(&mut self, number: u32, id: u64, asked: Duration, now: Duration) {
+    pub fn record_answer(&mut self, number: u32, id: u64, asked: Duration, now: Duration) {
         let Some(peer) = self.peers.get_mut(&number) else { return };
         if peer.id != id {
             (peer.id, peer.lost) = (id, Some(now));
@@ -61,7 +61,7 @@
     }
 
     /// A look at membership, begun then, found nothing that is not told.
-    pub fn looked(&mut self, began: Duration) {
+    pub fn record_membership_read(&mut self, began: Duration) {
         self.looked = self.looked.max(Some(began));
         for peer in self.peers.values_mut() {
             if peer.lost.is_some_and(|since| began >= since) {
@@ -71,13 +71,13 @@
     }
 
     /// A look is wanted: some other planner was not heard for so long that leases would run short.
-    pub fn look(&self, now: Duration) -> bool {
+    pub fn needs_membership_read(&self, now: Duration) -> bool {
         self.looked.is_none()
             || self.peers.values().any(|p| p.lost.is_some() || p.known + self.lease / 4 < now)
     }
 
     /// For how long from `now` on it may vouch.
-    pub fn lease(&self, now: Duration) -> Duration {
+    pub fn grantable_lease(&self, now: Duration) -> Duration {
         let Some(looked) = self.looked.filter(|_| !self.withheld) else { return Duration::ZERO };
         let known = self.peers.values().map(|p| p.known.max(looked)).min().unwrap_or(now);
         (known + self.lease).saturating_sub(now).min(self.lease)
@@ -94,44 +94,51 @@
 
     #[test]
     fn it_vouches_no_longer_than_it_knows_what_all_know() {
-        let mut vouch = Vouch::new([1, 2], ms(400));
-        assert_eq!((vouch.lease(ms(0)), vouch.look(ms(0))), (ms(0), true));
-        vouch.looked(ms(10));
-        assert_eq!(vouch.lease(ms(20)), ms(390));
-        vouch.confirmed(1, 11, ms(30), ms(31));
-        vouch.confirmed(2, 12, ms(30), ms(31));
-        assert!(vouch.look(ms(32)), "they are new, and what they knew before is unknown");
-        vouch.looked(ms(40));
+        let mut vouch = LeaseGrantor::new([1, 2], ms(400));
+        assert_eq!((vouch.grantable_lease(ms(0)), vouch.needs_membership_read(ms(0))), (ms(0), true));
+        vouch.record_membership_read(ms(10));
+        assert_eq!(vouch.grantable_lease(ms(20)), ms(390));
+        vouch.record_answer(1, 11, ms(30), ms(31));
+        vouch.record_answer(2, 12, ms(30), ms(31));
+        assert!(vouch.needs_membership_read(ms(32)), "they are new, and what they knew before is unknown");
+        vouch.record_membership_read(ms(40));
         for at in [50, 100, 150] {
-            vouch.confirmed(1, 11, ms(at), ms(at + 1));
-            vouch.confirmed(2, 12, ms(at), ms(at + 1));
+            vouch.record_answer(1, 11, ms(at), ms(at + 1));
+            vouch.record_answer(2, 12, ms(at), ms(at + 1));
         }
-        assert_eq!((vouch.lease(ms(160)), vouch.look(ms(160))), (ms(390), false));
+        assert_eq!((vouch.grantable_lease(ms(160)), vouch.needs_membership_read(ms(160))), (ms(390), false));
         // One falls silent: what it was told since 150 is not known, and no lease goes past 550.
-        vouch.confirmed(1, 11, ms(500), ms(501));
-        assert_eq!((vouch.lease(ms(500)), vouch.look(ms(500))), (ms(50), true));
-        assert_eq!(vouch.lease(ms(600)), ms(0));
+        vouch.record_answer(1, 11, ms(500), ms(501));
+        assert_eq!((vouch.grantable_lease(ms(500)), vouch.needs_membership_read(ms(500))), (ms(50), true));
+        assert_eq!(vouch.grantable_lease(ms(600)), ms(0));
         // A look of its own tells what the silent one could have been told by then.
-        vouch.looked(ms(600));
-        assert_eq!(vouch.lease(ms(610)), ms(390));
+        vouch.record_membership_read(ms(600));
+        assert_eq!(vouch.grantable_lease(ms(610)), ms(390));
         // It is back as another start: it no longer knows what it was told.
-        vouch.confirmed(1, 11, ms(700), ms(701));
-        vouch.confirmed(2, 22, ms(700), ms(701));
-        assert_eq!(vouch.lease(ms(701)), ms(299));
-        vouch.looked(ms(700));
-        vouch.confirmed(2, 22, ms(750), ms(751));
-        assert_eq!(vouch.lease(ms(751)), ms(349), "that look began before it was known to be another");
-        vouch.looked(ms(760));
-        vouch.confirmed(1, 11, ms(790), ms(791));
-        vouch.confirmed(2, 22, ms(790), ms(791));
-        assert_eq!(vouch.lease(ms(800)), ms(390));
+        vouch.record_answer(1, 11, ms(700), ms(701));
+        vouch.record_answer(2, 22, ms(700), ms(701));
+        assert_eq!(vouch.grantable_lease(ms(701)), ms(299));
+        vouch.record_membership_read(ms(700));
+        vouch.record_answer(2, 22, ms(750), ms(751));
+        assert_eq!(
+            vouch.grantable_lease(ms(751)),
+            ms(349),
+            "that look began before it was known to be another"
+        );
+        vouch.record_membership_read(ms(760));
+        vouch.record_answer(1, 11, ms(790), ms(791));
+        vouch.record_answer(2, 22, ms(790), ms(791));
+        assert_eq!(vouch.grantable_lease(ms(800)), ms(390));
     }
 
     #[test]
     fn a_planner_alone_knows_all_that_any_does() {
-        let mut vouch = Vouch::new([], ms(400));
-        assert_eq!(vouch.lease(ms(1000)), ms(0), "it has not looked yet");
-        vouch.looked(ms(1000));
-        assert_eq!((vouch.lease(ms(9000)), vouch.look(ms(9000))), (ms(400), false));
+        let mut vouch = LeaseGrantor::new([], ms(400));
+        assert_eq!(vouch.grantable_lease(ms(1000)), ms(0), "it has not looked yet");
+        vouch.record_membership_read(ms(1000));
+        assert_eq!(
+            (vouch.grantable_lease(ms(9000)), vouch.needs_membership_read(ms(9000))),
+            (ms(400), false)
+        );
     }
 }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -8,12 +8,12 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod beside;
 mod cluster;
 pub mod fleet;
 pub mod join;
+pub mod lease_grantor;
 pub mod link;
+pub mod missing_nodes;
 pub mod raft;
-pub mod vouch;
 
 pub use cluster::{Cluster, Settings};
--- a/crates/cluster/src/link.rs
+++ b/crates/cluster/src/link.rs
@@ -2,8 +2,8 @@
 
 use crate::fleet::Command;
 use crate::raft::{Applied, Types};
-use dewpier_plan::Mark;
-use dewpier_plan::io::{Part, Security, Stream, frame};
+use dewpier_plan::AnnouncementVersion;
+use dewpier_plan::io::{Role, Security, Stream, frame};
 use openraft::error::{InstallSnapshotError, RaftError};
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
@@ -55,7 +55,7 @@
         /// Who asks: its number.
         from: u32,
         /// Up to where it has heard the other's news.
-        heard: Mark,
+        heard: AnnouncementVersion,
     },
     /// Of agreement.
     Member(Box<ToMember>),
@@ -91,9 +91,9 @@
     /// `news` for who has heard what was said.
     pub complete: bool,
     /// The mark of its last news.
-    pub mark: Mark,
+    pub mark: AnnouncementVersion,
     /// Drains that it was told of.
-    pub news: Vec<(Mark, String)>,
+    pub news: Vec<(AnnouncementVersion, String)>,
     /// The highest term of a plan that it has seen with a follower.
     pub term: u64,
 }
@@ -138,7 +138,7 @@
                 Some(stream) => stream,
                 None => {
                     let stream = TcpStream::connect(self.address).await?;
-                    self.security.connect(stream, Part::Planner).await?
+                    self.security.connect(stream, Role::Planner).await?
                 }
             };
             frame::write(&mut stream, &write(question)?).await?;
--- a/crates/cluster/src/raft/mod.rs
+++ b/crates/cluster/src/raft/mod.rs
@@ -6,7 +6,7 @@
 pub use network::Network;
 pub use store::{Log, Machine};
 
-use crate::fleet::{Command, Passed};
+use crate::fleet::{Command, CommandRejection};
 use serde::{Deserialize, Serialize};
 use std::io::Cursor;
 
@@ -24,7 +24,7 @@
 
 /// What came of a command: whether the plan has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Applied(pub Result<bool, Passed>);
+pub struct Applied(pub Result<bool, CommandRejection>);
 
 /// A member of a group.
 pub type Raft = openraft::Raft<Types>;
--- a/crates/cluster/tests/fleet.rs
+++ b/crates/cluster/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! What planners agree on, against a plain model of it. Seeded.
 
-use dewpier_cluster::fleet::{Command, Fleet, Passed};
-use dewpier_plan::{Mark, Node};
+use dewpier_cluster::fleet::{Command, CommandRejection, Fleet};
+use dewpier_plan::{AnnouncementVersion, Node};
 use dewpier_standins::rng::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,13 +17,13 @@
     }
 }
 
-fn mark(epoch: u64, sequence: u64) -> Mark {
-    Mark { epoch, sequence }
+fn mark(epoch: u64, sequence: u64) -> AnnouncementVersion {
+    AnnouncementVersion { epoch, sequence }
 }
 
 #[derive(Default)]
 struct Planner {
-    mark: Mark,
+    mark: AnnouncementVersion,
     view: BTreeMap<String, bool>,
     /// What it has ever listed while anyone did.
     seen: BTreeSet<String>,
@@ -59,7 +59,7 @@
                 0 => Command::Expel { planner: number, epoch: p.mark.epoch + rng.below(2) as u64 },
                 1..3 => Command::View {
                     planner: number,
-                    mark: mark(p.mark.epoch + rng.below(2) as u64, 1),
+                    announcement_version: mark(p.mark.epoch + rng.below(2) as u64, 1),
                     nodes: nodes(&view),
                 },
                 _ => {
@@ -72,16 +72,17 @@
             let came = fleet.apply(1, index, command.clone());
             // The model.
             let fits = match &command {
-                Command::View { mark, .. } => mark.epoch > p.mark.epoch,
+                Command::View { announcement_version: mark, .. } => mark.epoch > p.mark.epoch,
                 Command::Change { from, .. } => p.live && *from == p.mark && from.sequence < u64::MAX,
                 Command::Expel { epoch, .. } => *epoch > p.mark.epoch || (*epoch == p.mark.epoch && p.live),
                 Command::Base(_) => unreachable!(),
             };
             // At the very first a planner of epoch 0 is expelled though it was never heard.
-            let fresh = matches!(&command, Command::Expel { epoch: 0, .. }) && p.mark == Mark::default();
+            let fresh = matches!(&command, Command::Expel { epoch: 0, .. })
+                && p.mark == AnnouncementVersion::default();
             assert_eq!(
                 came,
-                if fits || fresh { Ok(true) } else { Err(Passed::Old) },
+                if fits || fresh { Ok(true) } else { Err(CommandRejection::Outdated) },
                 "seed {seed}: {command:?}"
             );
             if came.is_err() {
@@ -94,7 +95,7 @@
             let others: BTreeSet<String> = others.flat_map(|(_, p)| p.view.keys().cloned()).collect();
             let p = &mut planners[n];
             match command {
-                Command::View { mark, .. } => {
+                Command::View { announcement_version: mark, .. } => {
                     p.seen.extend(others);
                     (p.mark, p.view, p.live) = (mark, view.clone(), true);
                     for (_, q) in planners.iter_mut().enumerate().filter(|(q, p)| *q != n && p.live) {
@@ -147,15 +148,15 @@
     assert_eq!(fleet.plan().version.generation, 0, "nobody has a view yet");
     let view = |epoch, count: usize| Command::View {
         planner: 0,
-        mark: mark(epoch, 1),
+        announcement_version: mark(epoch, 1),
         nodes: (0..count).map(|i| node(&format!("n{i}"), false)).collect(),
     };
-    assert_eq!(fleet.apply(3, 2, view(1, 20_001)), Err(Passed::TooMuch));
+    assert_eq!(fleet.apply(3, 2, view(1, 20_001)), Err(CommandRejection::LimitExceeded));
     let mut odd = vec![node("a", false); 3];
     (odd[0].id, odd[1].weight, odd[2].zone) = (String::new(), f64::NAN, "z".repeat(254));
     for node in odd {
-        let view = Command::View { planner: 0, mark: mark(1, 1), nodes: vec![node] };
-        assert_eq!(fleet.apply(3, 2, view), Err(Passed::Unsound));
+        let view = Command::View { planner: 0, announcement_version: mark(1, 1), nodes: vec![node] };
+        assert_eq!(fleet.apply(3, 2, view), Err(CommandRejection::InvalidNode));
     }
     assert_eq!(fleet.apply(3, 3, view(1, 2)), Ok(true));
     let before = fleet.plan().version;
--- a/crates/dewpier/benches/day.rs
+++ b/crates/dewpier/benches/day.rs
@@ -17,7 +17,7 @@
 #[allow(dead_code)]
 mod planner;
 
-use dewpier_plan::{DrainBound, Node, Plan, Slice, Told, Version};
+use dewpier_plan::{DrainBound, Node, Plan, PlannerMessage, Slice, Version};
 use dewpier_standins::rng::Rng;
 use forwarder::{Attempt, Forwarder, Open};
 use gannetproxy::{Action, Class, Effect, Ended, Event, Outcome, Request, RequestId, Settings};
@@ -213,7 +213,7 @@
             Way::Alone => (0..FORWARDERS).for_each(|f| world.forwarders[f].take(0, &nodes, &mut actions)),
             Way::Planned | Way::Parts => {
                 for f in 0..FORWARDERS {
-                    let (part, _) = world.planner.publisher.welcome(slice(f), None, Duration::ZERO);
+                    let (part, _) = world.planner.publisher.initial_messages(slice(f), None, Duration::ZERO);
                     world.planner.parts.insert(f, part);
                     world.at(f as u64 * 100 * MS, What::Digest(f));
                 }
@@ -275,9 +275,9 @@
             What::Digest(f) => {
                 let now = Duration::from_micros(self.now);
                 let digest = self.forwarders[f].digest(SECOND);
-                self.planner.loads.hear(f as u64, digest, now);
+                self.planner.loads.record_digest(f as u64, digest, now);
                 if let Some(told) = self.planner.budgets(f as u64, now) {
-                    self.forwarders[f].follower.hear(0, told);
+                    self.forwarders[f].follower.receive(0, told);
                     let mut actions = Vec::new();
                     self.forwarders[f].budgets(self.now, &mut actions);
                     self.act(f, actions);
@@ -343,20 +343,21 @@
     }
 
     /// Drains, and the plan that follows, to all forwarders: what is on the way is far below what hearing takes.
-    fn publish(&mut self, drains: Vec<Told>) {
+    fn publish(&mut self, drains: Vec<PlannerMessage>) {
         let now = Duration::from_micros(self.now);
         self.planner.highest += 1;
         let version = Version { term: 1, generation: self.planner.highest };
         let (nodes, heard) =
-            (self.planner.announcer.view().to_vec(), vec![(0, self.planner.announcer.mark())]);
-        let mut told = self.planner.publisher.drains(drains);
-        told.extend(self.planner.publisher.publish(Plan { version, nodes, heard }, now));
+            (self.planner.announcer.view().to_vec(), vec![(0, self.planner.announcer.version())]);
+        let mut told = self.planner.publisher.add_drains(drains);
+        told.extend(self.planner.publisher.publish(Plan { version, nodes, acknowledged: heard }, now));
         for f in 0..FORWARDERS {
             let Planner { publisher, parts, .. } = &mut self.planner;
             let part = parts.get_mut(&f).expect("each was welcomed");
-            let told: Vec<Told> = told.iter().filter_map(|t| publisher.tell(part, t, now)).collect();
+            let told: Vec<PlannerMessage> =
+                told.iter().filter_map(|t| publisher.message_for(part, t, now)).collect();
             let forwarder = &mut self.forwarders[f];
-            told.into_iter().for_each(|told| drop(forwarder.follower.hear(0, told)));
+            told.into_iter().for_each(|told| drop(forwarder.follower.receive(0, told)));
             let nodes = forwarder.follower.nodes();
             let mut actions = Vec::new();
             forwarder.take(self.now, &nodes, &mut actions);
--- a/crates/dewpier/src/carried.rs
+++ b/crates/dewpier/src/carried.rs
@@ -4,8 +4,8 @@
 use crate::error::ServeError;
 use dewpier_peers::io::{Udp, Way};
 use dewpier_peers::{Name, Out};
-use dewpier_plan::Letter;
-use dewpier_plan::io::Mail;
+use dewpier_plan::RelayedMessage;
+use dewpier_plan::io::RelayChannel;
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
@@ -26,17 +26,17 @@
 
 /// By way of planners.
 pub(crate) struct ByPlanners {
-    out: mpsc::Sender<Vec<Letter>>,
+    out: mpsc::Sender<Vec<RelayedMessage>>,
     into: mpsc::Receiver<Vec<u8>>,
     /// The one that comes next, once it is known that there is one.
     next: Option<Vec<u8>>,
 }
 
 /// The two ends of what planners carry for a proxy of that name: the fleet's, and the one for who follows planners.
-pub(crate) fn by_planners(me: Name) -> (ByPlanners, Mail) {
+pub(crate) fn by_planners(me: Name) -> (ByPlanners, RelayChannel) {
     let (out, written) = mpsc::channel(ROUNDS);
     let (came, into) = mpsc::channel(WAITING);
-    (ByPlanners { out, into, next: None }, Mail { from: me.0, out: written, into: came })
+    (ByPlanners { out, into, next: None }, RelayChannel { sender: me.0, outgoing: written, incoming: came })
 }
 
 impl Carries {
@@ -105,7 +105,7 @@
     }
 
     fn send(&mut self, outs: Vec<Out>) {
-        let letters = outs.into_iter().map(|out| Letter { to: out.to.0, bytes: out.bytes }).collect();
+        let letters = outs.into_iter().map(|out| RelayedMessage { to: out.to.0, bytes: out.bytes }).collect();
         let _ = self.out.try_send(letters); // the next round says it again
     }
 }
@@ -117,17 +117,21 @@
     #[test]
     fn rounds_go_out_by_number_and_what_comes_is_cut_where_it_is_too_long() {
         let (mut fleet, mut mail) = by_planners(Name(7));
-        assert_eq!(mail.from, 7);
+        assert_eq!(mail.sender, 7);
         for round in 0..10 {
             fleet.send(vec![Out { to: Name(9), bytes: vec![round] }]);
         }
-        let first = mail.out.try_recv().unwrap();
-        assert_eq!(first, [Letter { to: 9, bytes: vec![0] }]);
-        assert_eq!(std::iter::from_fn(|| mail.out.try_recv().ok()).count(), ROUNDS - 1, "others are dropped");
+        let first = mail.outgoing.try_recv().unwrap();
+        assert_eq!(first, [RelayedMessage { to: 9, bytes: vec![0] }]);
+        assert_eq!(
+            std::iter::from_fn(|| mail.outgoing.try_recv().ok()).count(),
+            ROUNDS - 1,
+            "others are dropped"
+        );
         let mut buffer = [0; 4];
         assert_eq!(fleet.take(&mut buffer), None);
-        mail.into.try_send(vec![5; 9]).unwrap();
-        mail.into.try_send(vec![6; 2]).unwrap();
+        mail.incoming.try_send(vec![5; 9]).unwrap();
+        mail.incoming.try_send(vec![6; 2]).unwrap();
         let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
         runtime.block_on(fleet.ready()).unwrap();
         runtime.block_on(fleet.ready()).unwrap();
--- a/crates/dewpier/src/config/mod.rs
+++ b/crates/dewpier/src/config/mod.rs
@@ -153,7 +153,7 @@
         let drain_grace = match &source {
             ListFrom::Planners(planners) => {
                 let drains = planners.drains;
-                fitting(grace, "drain_grace_ms", drains, drains.graces(), drains.grace())?
+                fitting(grace, "drain_grace_ms", drains, drains.grace_range(), drains.max_grace())?
             }
             ListFrom::Inventory(_) => millis(grace, "drain_grace_ms", [10, 60_000], 500)?,
         };
--- a/crates/dewpier/src/config/planner.rs
+++ b/crates/dewpier/src/config/planner.rs
@@ -3,8 +3,8 @@
 use super::check::{ConfigError, HOUR, Wrong, millis, parse, text, whole, wrong};
 use super::inventory::{Inventory, RawInventory, inventory};
 use super::secured::{RawTls, drain_bound, fitting, reached, secured};
-use dewpier_plan::MOST_PLANNERS;
-use dewpier_plan::io::Files;
+use dewpier_plan::MAX_PLANNERS;
+use dewpier_plan::io::CertificateFiles;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -29,7 +29,7 @@
     /// The view of a planner that was silent for so long no longer counts.
     pub expel_after: Duration,
     /// As for forwarders.
-    pub tls: Option<Files>,
+    pub tls: Option<CertificateFiles>,
 }
 
 #[derive(Deserialize)]
@@ -72,8 +72,8 @@
             listed.iter().map(|a| reached(a, "planners", &tls)).collect::<Result<_, _>>()?;
         if let Some(cluster) = &file.cluster {
             let span = cluster.planners.span();
-            if planners.is_empty() || planners.len() >= MOST_PLANNERS {
-                let expected = format!("1 to {}", MOST_PLANNERS - 1);
+            if planners.is_empty() || planners.len() >= MAX_PLANNERS {
+                let expected = format!("1 to {}", MAX_PLANNERS - 1);
                 return wrong(span, "planners", &expected, planners.len());
             }
             if let Some(twice) = planners.iter().enumerate().find(|(i, p)| planners[..*i].contains(p)) {
@@ -86,7 +86,7 @@
         Ok(Self {
             listen: reached(&file.listen, "listen", &tls)?,
             number: whole(&file.number, "number", [0, most], 0)? as u32,
-            lease: fitting(&file.lease_ms, "lease_ms", drains, drains.leases(), drains.lease())?,
+            lease: fitting(&file.lease_ms, "lease_ms", drains, drains.lease_range(), drains.max_lease())?,
             most: whole(&file.max_forwarders, "max_forwarders", [1, 100_000], 1000)? as usize,
             inventory: inventory(&file.inventory, path)?,
             planners,
--- a/crates/dewpier/src/config/planners.rs
+++ b/crates/dewpier/src/config/planners.rs
@@ -3,8 +3,8 @@
 use super::check::{Wrong, beside, whole, wrong};
 use super::inventory::Inventory;
 use super::secured::{RawTls, drain_bound, fitting, reached, secured};
-use dewpier_plan::io::Files;
-use dewpier_plan::{DrainBound, MOST_NAME, MOST_NODES, MOST_PLANNERS};
+use dewpier_plan::io::CertificateFiles;
+use dewpier_plan::{DrainBound, MAX_NAME_BYTES, MAX_NODES, MAX_PLANNERS};
 use gannetproxy::engine::MOST_HELD;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     /// The longest wait before it does.
     pub spread: Duration,
     /// The files by which connections are secured; none where they are plain.
-    pub tls: Option<Files>,
+    pub tls: Option<CertificateFiles>,
     /// Where it says what it goes by, to those who may open that socket.
     pub status: Option<PathBuf>,
 }
@@ -52,20 +52,21 @@
 
 pub(super) fn planners(raw: &RawPlanners, own: Option<Inventory>, path: &Path) -> Result<Planners, Wrong> {
     let listed = raw.addresses.get_ref();
-    if listed.is_empty() || listed.len() > MOST_PLANNERS {
-        let expected = format!("1 to {MOST_PLANNERS}");
+    if listed.is_empty() || listed.len() > MAX_PLANNERS {
+        let expected = format!("1 to {MAX_PLANNERS}");
         return wrong(raw.addresses.span(), "addresses", &expected, listed.len());
     }
     let name = raw.name.get_ref();
-    if !(1..=MOST_NAME).contains(&name.len()) || name.chars().any(char::is_control) {
+    if !(1..=MAX_NAME_BYTES).contains(&name.len()) || name.chars().any(char::is_control) {
         return wrong(raw.name.span(), "name", "1 to 253 bytes without control characters", name.len());
     }
     let tls = secured(&raw.tls, raw.plaintext, raw.addresses.span(), path)?;
-    let nodes = whole(&raw.nodes, "nodes", [1, MOST_NODES as i64], 1)?;
+    let nodes = whole(&raw.nodes, "nodes", [1, MAX_NODES as i64], 1)?;
     let drains = drain_bound(&raw.drain_ms)?;
-    let beat = fitting(&raw.beat_ms, "beat_ms", drains, drains.beats(), drains.beat())?;
-    let spreads = drains.spreads(beat, Duration::from_secs_f64(MOST_HELD));
-    let spread = drains.left(beat);
+    let beat =
+        fitting(&raw.beat_ms, "beat_ms", drains, drains.heartbeat_range(), drains.default_heartbeat())?;
+    let spreads = drains.spread_range(beat, Duration::from_secs_f64(MOST_HELD));
+    let spread = drains.remaining_lease(beat);
     let spread = fitting(&raw.own_watch_spread_ms, "own_watch_spread_ms", drains, spreads, spread)?;
     Ok(Planners {
         addresses: listed.iter().map(|a| reached(a, "addresses", &tls)).collect::<Result<_, _>>()?,
--- a/crates/dewpier/src/config/secured.rs
+++ b/crates/dewpier/src/config/secured.rs
@@ -2,7 +2,7 @@
 
 use super::check::{Wrong, address, beside, millis, wrong};
 use dewpier_plan::DrainBound;
-use dewpier_plan::io::Files;
+use dewpier_plan::io::CertificateFiles;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::ops::{Range, RangeInclusive};
@@ -20,7 +20,7 @@
 
 /// How long after a planner's word that a node drains something new may be begun there.
 pub(super) fn drain_bound(value: &Option<Spanned<i64>>) -> Result<DrainBound, Wrong> {
-    let [least, most] = [DrainBound::LEAST, DrainBound::MOST].map(|bound| bound.as_millis() as i64);
+    let [least, most] = [DrainBound::MIN, DrainBound::MAX].map(|bound| bound.as_millis() as i64);
     let default = DrainBound::default().get().as_millis() as i64;
     let bound = millis(value, "drain_ms", [least, most], default)?;
     DrainBound::new(bound).or_else(|unkept| wrong(0..0, "drain_ms", "a bound that can be kept", unkept))
@@ -48,9 +48,9 @@
     plaintext: bool,
     span: Range<usize>,
     path: &Path,
-) -> Result<Option<Files>, Wrong> {
+) -> Result<Option<CertificateFiles>, Wrong> {
     match (tls, plaintext) {
-        (Some(raw), false) => Ok(Some(Files {
+        (Some(raw), false) => Ok(Some(CertificateFiles {
             authority: beside(path, &raw.authority),
             certificate: beside(path, &raw.certificate),
             key: beside(path, &raw.key),
@@ -64,7 +64,11 @@
 }
 
 /// Where connections are plain, a stranger who could reach them could move traffic.
-pub(super) fn reached(value: &Spanned<String>, what: &str, tls: &Option<Files>) -> Result<SocketAddr, Wrong> {
+pub(super) fn reached(
+    value: &Spanned<String>,
+    what: &str,
+    tls: &Option<CertificateFiles>,
+) -> Result<SocketAddr, Wrong> {
     let address = address(value, what)?;
     match address.ip().is_loopback() || tls.is_some() {
         true => Ok(address),
--- a/crates/dewpier/src/feed.rs
+++ b/crates/dewpier/src/feed.rs
@@ -6,7 +6,7 @@
 use crate::lists::resolve::Resolved;
 use crate::members::Members;
 use dewpier_inventory::{Backend, State};
-use dewpier_plan::{Digest, MOST_COUNTED};
+use dewpier_plan::{Digest, MAX_DIGEST_NODES};
 use gannetproxy::BackendId;
 use gannetproxy::engine::{Counts, Engine, Lease, News, Upstream};
 use std::cmp::Reverse;
@@ -102,19 +102,21 @@
 /// What was seen lately, for planners: by node for those that were sent most.
 fn digested(mut seen: Vec<(BackendId, Counts)>, names: &HashMap<BackendId, &str>, span: Duration) -> Digest {
     seen.sort_by_key(|(_, counts)| Reverse((counts.sent, counts.in_flight)));
-    let mut digest =
-        Digest { span_ms: u32::try_from(span.as_millis()).unwrap_or(u32::MAX).max(1), ..Digest::default() };
+    let mut digest = Digest {
+        interval_ms: u32::try_from(span.as_millis()).unwrap_or(u32::MAX).max(1),
+        ..Digest::default()
+    };
     for (id, counts) in seen {
         match names.get(&id) {
-            Some(name) if digest.nodes.len() < MOST_COUNTED => digest.nodes.push(dewpier_plan::Counts {
+            Some(name) if digest.nodes.len() < MAX_DIGEST_NODES => digest.nodes.push(dewpier_plan::Counts {
                 id: name.to_string(),
                 in_flight: counts.in_flight,
                 sent: counts.sent,
                 served: counts.served,
                 failed: counts.failed,
-                took_ms: (counts.took * 1000.0) as u64,
+                served_ms: (counts.took * 1000.0) as u64,
             }),
-            _ => digest.rest = digest.rest.saturating_add(counts.served),
+            _ => digest.other_served = digest.other_served.saturating_add(counts.served),
         }
     }
     digest
--- a/crates/dewpier/src/lists/mod.rs
+++ b/crates/dewpier/src/lists/mod.rs
@@ -14,7 +14,7 @@
 use crate::config::{Inventory, Planners};
 use crate::error::ServeError;
 use crate::{status, tls};
-use dewpier_plan::io::{Mail, Security};
+use dewpier_plan::io::{RelayChannel, Security};
 use dewpier_plan::{Digest, Node};
 use gannetproxy::engine::Lease;
 use std::collections::HashMap;
@@ -63,7 +63,7 @@
 
     /// The lists that planners tell, who carry letters to and fro as well where there are to be any. Runs on a
     /// [`tokio::task::LocalSet`].
-    pub fn of_planners(planners: Planners, mail: Option<Mail>) -> Result<Self, ServeError> {
+    pub fn of_planners(planners: Planners, mail: Option<RelayChannel>) -> Result<Self, ServeError> {
         let from = format!("{} planners", planners.addresses.len());
         let (told, latest) = watch::channel(Vec::new());
         let start = Instant::now();
--- a/crates/dewpier/src/lists/planned.rs
+++ b/crates/dewpier/src/lists/planned.rs
@@ -6,8 +6,8 @@
 use super::watched::Watched;
 use crate::config::Planners;
 use crate::status::{self, Shown, ShownNode};
-use dewpier_plan::io::{Following, Mail, Security, Seen, follow};
-use dewpier_plan::{Digest, Follower, Node, Rules, Slice, Standby, asked_every};
+use dewpier_plan::io::{FollowEvent, FollowSettings, RelayChannel, Security, follow};
+use dewpier_plan::{Digest, Follower, Node, Slice, Standby, StandbySettings, lease_check_interval};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::collections::hash_map::RandomState;
@@ -36,8 +36,8 @@
 impl Sides {
     fn shown(&self) -> Shown {
         let (follower, standby) = (self.follower.borrow(), self.standby.borrow());
-        let until = standby.until(&follower, self.start.elapsed());
-        let by = match (standby.on_its_own(), until) {
+        let until = standby.send_deadline(&follower, self.start.elapsed());
+        let by = match (standby.uses_own_list(), until) {
             (true, _) => "own watch",
             (false, None) => "last plan",
             (false, Some(_)) => "planners",
@@ -56,32 +56,32 @@
             version: follower.version().map(|v| format!("{}.{}", v.term, v.generation)),
             plan_age_ms: self.since.get().map(|at| millis(at.elapsed())),
             lease_left_ms: until.map(|until| millis(until.saturating_sub(self.start.elapsed()))),
-            refused: follower.refused().iter().map(|(why, n)| (why.to_string(), *n)).collect(),
+            refused: follower.rejections().iter().map(|(why, n)| (why.to_string(), *n)).collect(),
             nodes: standby.nodes(&follower).into_iter().map(node).collect(),
         }
     }
 
     /// Sees where things stand after something has happened.
-    fn see(&self, follower: &Follower, seen: Seen) {
+    fn see(&self, follower: &Follower, seen: FollowEvent) {
         let mut standby = self.standby.borrow_mut();
         let now = self.start.elapsed();
-        let (watched, on_its_own) = (standby.watches(), standby.on_its_own());
+        let (watched, on_its_own) = (standby.is_watching(), standby.uses_own_list());
         // The keys of the standard hasher are random; no more is needed of a lot.
         let lot = RandomState::new().build_hasher().finish() as f64 / u64::MAX as f64;
-        let turned = standby.see(follower, now, lot);
-        if !watched && standby.watches() {
+        let turned = standby.update(follower, now, lot);
+        if !watched && standby.is_watching() {
             eprintln!("dewpier: planners are silent: an own watch begins");
         }
-        if on_its_own && !standby.on_its_own() {
+        if on_its_own && !standby.uses_own_list() {
             eprintln!("dewpier: planners are back");
         }
-        if seen == Seen::Nodes {
+        if seen == FollowEvent::NodesChanged {
             self.since.set(Some(Instant::now()));
         }
-        if seen == Seen::Budgets {
+        if seen == FollowEvent::BudgetsChanged {
             self.budgets.send_replace(follower.budgets());
         }
-        self.hand_on(&standby, follower, seen == Seen::Nodes || turned);
+        self.hand_on(&standby, follower, seen == FollowEvent::NodesChanged || turned);
     }
 
     fn hand_on(&self, standby: &Standby, follower: &Follower, changed: bool) {
@@ -90,7 +90,7 @@
             self.lent.waits();
             self.told.send_replace(standby.nodes(follower));
         }
-        let until = standby.until(follower, self.start.elapsed());
+        let until = standby.send_deadline(follower, self.start.elapsed());
         self.lent.lend(until.map(|until| self.start + until));
     }
 
@@ -98,9 +98,9 @@
     fn look(&self, watch: &Watched) {
         let mut standby = self.standby.borrow_mut();
         if let Some(began) = watch.looked() {
-            standby.looked(began.saturating_duration_since(self.start));
+            standby.record_read(began.saturating_duration_since(self.start));
         }
-        standby.look();
+        standby.record_read_request();
         watch.look();
     }
 
@@ -108,7 +108,7 @@
         let nodes: Vec<Node> = list.iter().map(|(b, a)| node(b, *a)).collect();
         let follower = self.follower.borrow();
         let mut standby = self.standby.borrow_mut();
-        if standby.own(&follower, nodes) {
+        if standby.receive_own_list(&follower, nodes) {
             self.hand_on(&standby, &follower, true);
         }
     }
@@ -120,7 +120,7 @@
     pub(super) budgets: watch::Sender<HashMap<String, f64>>,
     pub(super) digests: watch::Receiver<Digest>,
     /// Letters that planners carry, if any.
-    pub(super) mail: Option<Mail>,
+    pub(super) mail: Option<RelayChannel>,
     /// Where it is asked what it goes by.
     pub(super) status: Option<UnixListener>,
 }
@@ -129,15 +129,15 @@
 pub(super) async fn run(planners: Planners, security: Security, ends: Ends, lent: Rc<Lent>, start: Instant) {
     let Planners { addresses, name, drains, beat, nodes, own, spread, .. } = planners;
     let slice = nodes.map(|nodes| Slice::new(&name, nodes));
-    let follower = Rc::new(RefCell::new(Follower::of(slice).bounded(drains)));
-    let rules = Rules { own: own.is_some(), spread, lease: drains.lease() };
-    let look_every = asked_every(rules.lease);
+    let follower = Rc::new(RefCell::new(Follower::with_slice(slice).with_drain_bound(drains)));
+    let rules = StandbySettings { own_watch: own.is_some(), spread, lease: drains.max_lease() };
+    let look_every = lease_check_interval(rules.lease);
     let standby = RefCell::new(Standby::new(rules));
     let (told, budgets) = (ends.told, ends.budgets);
     let (since, own_name) = (Cell::new(None), name.clone());
     let sides =
         Sides { follower: follower.clone(), standby, told, budgets, lent, start, name: own_name, since };
-    let following = Following { planners: addresses, name, beat, start, security };
+    let following = FollowSettings { planners: addresses, name, heartbeat_interval: beat, start, security };
     let followed =
         follow(following, follower, ends.digests, ends.mail, |follower, seen| sides.see(follower, seen));
     tokio::pin!(followed);
@@ -145,7 +145,7 @@
     let status = ends.status;
     let mut looked = start;
     loop {
-        let turning = sides.standby.borrow().watches() || sides.follower.borrow().silent();
+        let turning = sides.standby.borrow().is_watching() || sides.follower.borrow().is_silent();
         let look = if turning { LOOK } else { beat };
         tokio::select! {
             () = &mut followed => return,
@@ -154,7 +154,7 @@
                     looked = Instant::now();
                     sides.look(lists);
                 }
-                sides.see(&sides.follower.borrow(), Seen::Lease);
+                sides.see(&sides.follower.borrow(), FollowEvent::LeaseChanged);
             }
             asking = asked(&status) => {
                 tokio::task::spawn_local(status::answer(asking, sides.shown()));
@@ -167,17 +167,17 @@
                 }
                 Err(why) => {
                     eprintln!("dewpier: its own watch brings no list: {why}");
-                    sides.standby.borrow_mut().no_list();
+                    sides.standby.borrow_mut().record_own_list_failure();
                 }
             },
         }
-        let watches = sides.standby.borrow().watches();
+        let watches = sides.standby.borrow().is_watching();
         match (&own, watches, &watch) {
             (Some(inventory), true, None) => match Watched::start(inventory.clone()) {
                 Ok(watched) => watch = Some(watched),
                 Err(error) => {
                     eprintln!("dewpier: an own watch can't begin: {error}");
-                    sides.standby.borrow_mut().no_list();
+                    sides.standby.borrow_mut().record_own_list_failure();
                     // It is tried again, not at once.
                     tokio::select! {
                         () = &mut followed => return,
--- a/crates/dewpier/src/planner.rs
+++ b/crates/dewpier/src/planner.rs
@@ -32,7 +32,7 @@
         planners: (0..).zip(planners).collect(),
         lease,
         expel_after: config.expel_after,
-        most: config.most,
+        max_forwarders: config.most,
         security: security.clone(),
     });
     let take = |list: &Resolved, from: &str| {
@@ -54,8 +54,8 @@
             },
             _ = look.tick() => {
                 // In this order: what a look found is told by the time that it counts.
-                lists.looked().into_iter().for_each(|began| cluster.looked(began));
-                if cluster.wants_look() {
+                lists.looked().into_iter().for_each(|began| cluster.record_membership_read(began));
+                if cluster.needs_membership_read() {
                     lists.look();
                 }
             }
--- a/crates/dewpier/tests/levels/forwarder.rs
+++ b/crates/dewpier/tests/levels/forwarder.rs
@@ -2,7 +2,7 @@
 
 use dewpier::lists::nodes::backend;
 use dewpier::members::Members;
-use dewpier_plan::{Counts, Digest, DrainBound, Follower, Node, Rules, Slice, Standby};
+use dewpier_plan::{Counts, Digest, DrainBound, Follower, Node, Slice, Standby, StandbySettings};
 use gannetproxy::engine::{Listed, News};
 use gannetproxy::{Action, BackendId, Balancer, Entry, Event, ListUpdate, Settings, Status};
 use std::collections::HashMap;
@@ -42,11 +42,15 @@
 
 impl Forwarder {
     pub fn new(now: u64, seed: u64, settings: Settings, slice: Option<Slice>, drains: DrainBound) -> Self {
-        let rules = Rules { own: true, spread: drains.left(drains.beat()), lease: drains.lease() };
+        let rules = StandbySettings {
+            own_watch: true,
+            spread: drains.remaining_lease(drains.default_heartbeat()),
+            lease: drains.max_lease(),
+        };
         Self {
-            follower: Follower::of(slice).bounded(drains),
+            follower: Follower::with_slice(slice).with_drain_bound(drains),
             // Of the grace of a drain, half is used.
-            grace: drains.grace().as_micros() as u64 / 2,
+            grace: drains.max_grace().as_micros() as u64 / 2,
             standby: Standby::new(rules),
             members: Members::new(Vec::new()),
             balancer: Balancer::new(now as f64 / 1e6, seed, settings),
@@ -69,9 +73,9 @@
     /// After all that its follower hears or asks; `changed` where the nodes may differ.
     pub fn see(&mut self, now: u64, start: u64, lot: f64, changed: bool, actions: &mut Vec<Action>) {
         let own = Duration::from_micros(now - start);
-        let turned = self.standby.see(&self.follower, own, lot);
+        let turned = self.standby.update(&self.follower, own, lot);
         self.hand_on(now, start, changed || turned, actions);
-        self.watches = self.standby.watches();
+        self.watches = self.standby.is_watching();
     }
 
     pub fn hand_on(&mut self, now: u64, start: u64, changed: bool, actions: &mut Vec<Action>) {
@@ -79,7 +83,7 @@
             let nodes = self.standby.nodes(&self.follower);
             self.take(now, &nodes, actions);
         }
-        let until = self.standby.until(&self.follower, Duration::from_micros(now - start));
+        let until = self.standby.send_deadline(&self.follower, Duration::from_micros(now - start));
         self.lease = until.map(|until| start + until.as_micros() as u64);
     }
 
@@ -125,6 +129,6 @@
         let named =
             |(id, counts): (BackendId, Counts)| Some(Counts { id: names.get(&id)?.to_string(), ..counts });
         let nodes = self.counts.drain().filter_map(named).collect();
-        Digest { span_ms: (span / 1000) as u32, nodes, rest: 0 }
+        Digest { interval_ms: (span / 1000) as u32, nodes, other_served: 0 }
     }
 }
--- a/crates/dewpier/tests/levels/world.rs
+++ b/crates/dewpier/tests/levels/world.rs
@@ -2,9 +2,12 @@
 
 use crate::forwarder::{Attempt, Forwarder, Open};
 use crate::planner::Planner;
-use dewpier_cluster::beside::beside;
 use dewpier_cluster::fleet::Command;
-use dewpier_plan::{Asked, DrainBound, Heard, Mark, Node, Slice, Told, Version, asked_every};
+use dewpier_cluster::missing_nodes::drain_missing_nodes;
+use dewpier_plan::{
+    AnnouncementVersion, DrainBound, ForwarderMessage, MessageEffect, Node, PlannerMessage, Slice, Version,
+    lease_check_interval,
+};
 use dewpier_standins::rng::Rng;
 use gannetproxy::{Action, Class, Effect, Ended, Event, Outcome, Request, RequestId, Settings};
 use std::cmp::Reverse;
@@ -73,14 +76,14 @@
     Tick,
     Ask {
         from: usize,
-        heard: Mark,
+        heard: AnnouncementVersion,
         asked: u64,
     },
     Answer {
         from: usize,
         epoch: u64,
-        mark: Mark,
-        news: Option<Vec<(Mark, String)>>,
+        mark: AnnouncementVersion,
+        news: Option<Vec<(AnnouncementVersion, String)>>,
         asked: u64,
     },
     /// What is agreed is applied.
@@ -99,12 +102,12 @@
     ToPlanner {
         forwarder: usize,
         connection: u64,
-        asked: Asked,
+        asked: ForwarderMessage,
     },
     ToForwarder {
         planner: usize,
         connection: u64,
-        told: Box<Told>,
+        told: Box<PlannerMessage>,
     },
     Request,
     Held {
@@ -262,15 +265,15 @@
     }
 
     fn lease(&self) -> Duration {
-        self.planned.lease()
+        self.planned.max_lease()
     }
 
     fn beat(&self) -> u64 {
-        self.drains.beat().as_micros() as u64
+        self.drains.default_heartbeat().as_micros() as u64
     }
 
     fn asked_every(&self) -> u64 {
-        asked_every(self.lease()).as_micros() as u64
+        lease_check_interval(self.lease()).as_micros() as u64
     }
 
     fn below(&mut self, from: u64, to: u64) -> u64 {
@@ -340,7 +343,7 @@
                 // It reads membership before anything else.
                 let mut planner = Planner::new(p as u32, self.now / MS + 1, self.lease());
                 let drains = planner.announcer.observe(self.nodes());
-                planner.publisher.drains(drains);
+                planner.publisher.add_drains(drains);
                 planner.seen = self.truth.len() - 1;
                 self.planners[p] = Some(planner);
                 self.observed(true);
@@ -389,7 +392,7 @@
         }
         let number = connection.number;
         if let Some(planner) = &mut self.planners[p] {
-            planner.loads.lost(f as u64);
+            planner.loads.remove_forwarder(f as u64);
         }
         if self.up(Who::F(f)) {
             let late = if self.rng.below(2) == 0 { 0 } else { self.below(0, 1500 * MS) };
@@ -570,16 +573,16 @@
             }
             What::Tick => {
                 // Twice in the time between two questions to the others a look where one is wanted.
-                if planner.vouch.look(now) && !self.blind(who) {
+                if planner.vouch.needs_membership_read(now) && !self.blind(who) {
                     if planner.seen == self.truth.len() - 1 {
-                        planner.vouch.looked(now);
+                        planner.vouch.record_membership_read(now);
                     } else {
                         self.later(who, 20 * MS, What::Notice); // once it has settled
                     }
                 }
                 if self.rng.below(2) == 0 {
                     for q in (0..PLANNERS).filter(|q| *q != p) {
-                        let agreed = planner.fleet.mark(q as u32).unwrap_or_default();
+                        let agreed = planner.fleet.announcement_version(q as u32).unwrap_or_default();
                         let heard = planner.heard.get(&(q as u32)).copied().unwrap_or_default().max(agreed);
                         let asked = self.now;
                         self.between(p, q, What::Ask { from: p, heard, asked });
@@ -588,7 +591,7 @@
                 self.later(who, self.asked_every() / 2, What::Tick);
             }
             What::Ask { from, heard, asked } => {
-                let (mark, news) = (planner.announcer.mark(), planner.announcer.since(heard));
+                let (mark, news) = (planner.announcer.version(), planner.announcer.drains_since(heard));
                 let answer = What::Answer { from: p, epoch: mark.epoch, mark, news, asked };
                 self.between(p, from, answer);
             }
@@ -596,14 +599,15 @@
                 let q = from as u32;
                 planner.heard_at.insert(q, self.now);
                 if let Some(news) = news {
-                    let told = |(mark, id)| Told::Drain { planner: q, mark, id };
+                    let told =
+                        |(mark, id)| PlannerMessage::Drain { planner: q, announcement_version: mark, id };
                     self.broadcast(p, &mut planner, news.into_iter().map(told).collect());
                     let heard = planner.heard.entry(q).or_default();
                     *heard = mark.max(*heard);
                     let start = self.processes[&who].start;
                     // An answer to the life before says nothing.
                     if asked >= start {
-                        planner.vouch.confirmed(q, epoch, Duration::from_micros(asked - start), now);
+                        planner.vouch.record_answer(q, epoch, Duration::from_micros(asked - start), now);
                     }
                 }
             }
@@ -615,12 +619,12 @@
                         let _ = planner.fleet.apply(term, planner.applied as u64, command);
                     }
                     let Planner { fleet, announcer, vouch, .. } = &mut planner;
-                    let drains = beside(fleet, p as u32, announcer, vouch);
+                    let drains = drain_missing_nodes(fleet, p as u32, announcer, vouch);
                     self.broadcast(p, &mut planner, drains);
                     if let Some(told) = planner.publisher.publish(planner.fleet.plan(), now) {
                         for f in 0..FORWARDERS {
                             let Some(part) = planner.parts.get_mut(&f) else { continue };
-                            let told = planner.publisher.tell(part, &told, now);
+                            let told = planner.publisher.message_for(part, &told, now);
                             told.into_iter().for_each(|told| self.send_down(f, p, told));
                         }
                     }
@@ -629,25 +633,25 @@
             What::ToPlanner { forwarder: f, connection, asked } => {
                 if self.connections[&(f, p)].number == connection && self.connections[&(f, p)].up {
                     let told = match asked {
-                        Asked::Hello { has, name, nodes } => {
+                        ForwarderMessage::Hello { plan_version: has, name, slice_size: nodes } => {
                             planner.highest = planner.highest.max(has.map_or(0, |v| v.term));
                             let slice = nodes.map(|nodes| Slice::new(&name, nodes as usize));
-                            let (part, told) = planner.publisher.welcome(slice, has, now);
+                            let (part, told) = planner.publisher.initial_messages(slice, has, now);
                             planner.parts.insert(f, part);
                             told
                         }
-                        Asked::Resend => {
+                        ForwarderMessage::Resend => {
                             let part = planner.parts.get_mut(&f).expect("it has said hello");
-                            planner.publisher.again(part, now)
+                            planner.publisher.full_update(part, now)
                         }
-                        Asked::Beat { number } => {
-                            let lease = planner.vouch.lease(now).as_millis() as u64;
-                            vec![planner.publisher.beat(number, lease)]
+                        ForwarderMessage::Heartbeat { number } => {
+                            let lease = planner.vouch.grantable_lease(now).as_millis() as u64;
+                            vec![planner.publisher.heartbeat_reply(number, lease)]
                         }
                         // What planners carry is no matter of plans.
-                        Asked::Letters { .. } => Vec::new(),
-                        Asked::Digest(digest) => {
-                            planner.loads.hear(f as u64, digest, now);
+                        ForwarderMessage::Relay { .. } => Vec::new(),
+                        ForwarderMessage::Digest(digest) => {
+                            planner.loads.record_digest(f as u64, digest, now);
                             planner.budgets(f as u64, now).into_iter().collect()
                         }
                     };
@@ -660,12 +664,12 @@
     }
 
     /// To all forwarders that are connected, drains ahead of any plan.
-    fn broadcast(&mut self, p: usize, planner: &mut Planner, drains: Vec<Told>) {
-        let told = planner.publisher.drains(drains);
+    fn broadcast(&mut self, p: usize, planner: &mut Planner, drains: Vec<PlannerMessage>) {
+        let told = planner.publisher.add_drains(drains);
         self.tell(p, told);
     }
 
-    fn tell(&mut self, p: usize, told: Vec<Told>) {
+    fn tell(&mut self, p: usize, told: Vec<PlannerMessage>) {
         for told in told {
             (0..FORWARDERS).for_each(|f| self.send_down(f, p, told.clone()));
         }
@@ -683,7 +687,7 @@
         if self.rng.below(50) == 0 { self.below(20 * MS, 300 * MS) } else { self.below(MS / 5, 8 * MS) }
     }
 
-    fn send_down(&mut self, f: usize, p: usize, told: Told) {
+    fn send_down(&mut self, f: usize, p: usize, told: PlannerMessage) {
         let delay = self.delay();
         let Some(connection) = self.connections.get_mut(&(f, p)).filter(|c| c.up) else { return };
         let at = (self.now + delay).max(connection.last[0] + 1);
@@ -692,7 +696,7 @@
         self.later(Who::F(f), at - self.now, what);
     }
 
-    fn send_up(&mut self, f: usize, p: usize, asked: Asked) {
+    fn send_up(&mut self, f: usize, p: usize, asked: ForwarderMessage) {
         let delay = self.delay();
         let Some(connection) = self.connections.get_mut(&(f, p)).filter(|c| c.up) else { return };
         let at = (self.now + delay).max(connection.last[1] + 1);
@@ -766,9 +770,10 @@
         let start = self.processes[&Who::P(leader)].start;
         for q in (0..PLANNERS as u32).filter(|q| *q as usize != leader) {
             let last = lead.heard_at.get(&q).copied().unwrap_or(start);
-            let silent = self.now - last >= 2000 * MS && !lead.vouch.lease(now).is_zero();
-            if applied && silent && lead.fleet.expelled(q).is_none() {
-                let epoch = (self.now / MS + 1).max(lead.fleet.mark(q).map_or(0, |m| m.epoch));
+            let silent = self.now - last >= 2000 * MS && !lead.vouch.grantable_lease(now).is_zero();
+            if applied && silent && lead.fleet.expelled_epoch(q).is_none() {
+                let epoch =
+                    (self.now / MS + 1).max(lead.fleet.announcement_version(q).map_or(0, |m| m.epoch));
                 commands.push(Command::Expel { planner: q, epoch });
             }
         }
@@ -802,30 +807,30 @@
         let mut actions = Vec::new();
         match what {
             What::Beat => {
-                forwarder.follower.round();
+                forwarder.follower.begin_round();
                 for p in 0..PLANNERS {
-                    let asked = forwarder.follower.ask(p, own);
+                    let asked = forwarder.follower.next_heartbeat(p, own);
                     self.send_up(f, p, asked);
                 }
                 forwarder.see(now, start, lot, false, &mut actions);
                 // While it turns it looks more often; and its own watch begins with a read.
-                if forwarder.watches && !forwarder.standby.on_its_own() {
+                if forwarder.watches && !forwarder.standby.uses_own_list() {
                     let after = self.below(MS, 20 * MS);
                     self.later(who, after, What::Notice);
                 }
                 self.later(who, self.beat(), What::Beat);
             }
             What::Tick => {
-                if forwarder.standby.on_its_own() {
+                if forwarder.standby.uses_own_list() {
                     // The answer to the look before comes first.
-                    forwarder.standby.look();
+                    forwarder.standby.record_read_request();
                     self.later(who, self.rng.clone().below(2000) as u64, What::Look);
                 }
                 self.later(who, self.asked_every(), What::Tick);
             }
             What::Look => {
                 if forwarder.seen == self.truth.len() - 1 {
-                    forwarder.standby.looked(own);
+                    forwarder.standby.record_read(own);
                     forwarder.hand_on(now, start, false, &mut actions);
                 } else {
                     self.later(who, 20 * MS, What::Notice);
@@ -833,16 +838,16 @@
             }
             What::Digest => {
                 let digest = forwarder.digest(500 * MS);
-                (0..PLANNERS).for_each(|p| self.send_up(f, p, Asked::Digest(digest.clone())));
+                (0..PLANNERS).for_each(|p| self.send_up(f, p, ForwarderMessage::Digest(digest.clone())));
                 self.later(who, 500 * MS, What::Digest);
             }
             What::Notice => {
-                if forwarder.standby.watches() {
-                    forwarder.own_watches += usize::from(!forwarder.standby.on_its_own());
+                if forwarder.standby.is_watching() {
+                    forwarder.own_watches += usize::from(!forwarder.standby.uses_own_list());
                     let nodes = self.nodes();
                     self.observed(false);
                     forwarder.seen = self.truth.len() - 1;
-                    if forwarder.standby.own(&forwarder.follower, nodes) {
+                    if forwarder.standby.receive_own_list(&forwarder.follower, nodes) {
                         forwarder.hand_on(now, start, true, &mut actions);
                     }
                 }
@@ -854,7 +859,15 @@
                     connection.last = [now, now];
                     let has = forwarder.follower.version();
                     let nodes = forwarder.follower.slice().map(|slice| slice.size() as u32);
-                    self.send_up(f, p, Asked::Hello { name: format!("f{f}"), has, nodes });
+                    self.send_up(
+                        f,
+                        p,
+                        ForwarderMessage::Hello {
+                            name: format!("f{f}"),
+                            plan_version: has,
+                            slice_size: nodes,
+                        },
+                    );
                 } else {
                     let after = self.below(50 * MS, 200 * MS);
                     self.later(who, after, What::Connect(p));
@@ -862,24 +875,24 @@
             }
             What::Down { planner: p, connection } => {
                 if self.connections[&(f, p)].number == connection {
-                    forwarder.follower.lost(p);
+                    forwarder.follower.remove_connection(p);
                     self.later(who, 50 * MS, What::Connect(p));
                 }
             }
             What::ToForwarder { planner: p, connection, told } => {
                 let known = &self.connections[&(f, p)];
                 if known.number == connection && known.up {
-                    let heard = forwarder.follower.hear(p, *told);
+                    let heard = forwarder.follower.receive(p, *told);
                     let mut changed = false;
                     match heard {
-                        Heard::Changed => {
+                        MessageEffect::NodesChanged => {
                             changed = true;
-                            let asked = forwarder.follower.ask(p, own);
+                            let asked = forwarder.follower.next_heartbeat(p, own);
                             self.send_up(f, p, asked);
                         }
-                        Heard::Ask(asked) => self.send_up(f, p, asked),
-                        Heard::Budgets => forwarder.budgets(now, &mut actions),
-                        Heard::Noted | Heard::Refused(_) => {}
+                        MessageEffect::Request(asked) => self.send_up(f, p, asked),
+                        MessageEffect::BudgetsChanged => forwarder.budgets(now, &mut actions),
+                        MessageEffect::Accepted | MessageEffect::Rejected(_) => {}
                     }
                     let last = self.versions.get_mut(&(f, process.life)).expect("it has started");
                     let version = forwarder.follower.version().unwrap_or_default();
--- a/crates/dewpier/tests/secured.rs
+++ b/crates/dewpier/tests/secured.rs
@@ -1,6 +1,6 @@
 //! Planners and forwarders that show each other certificates, and strangers who can't move traffic.
 
-use dewpier_plan::io::{Files, Part, Planner, Security};
+use dewpier_plan::io::{CertificateFiles, Planner, Role, Security};
 use dewpier_plan::{Node, Plan, Version};
 use dewpier_standins::backend::Backend;
 use dewpier_standins::{LONG, own_addresses, wait_for};
@@ -25,13 +25,13 @@
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         std::fs::write(folder.join("authority.pem"), params.self_signed(&key).unwrap().pem()).unwrap();
         let authority = Self { folder, issuer: Issuer::new(params, key) };
-        authority.sign("planner", Part::Planner);
-        authority.sign("forwarder", Part::Forwarder);
+        authority.sign("planner", Role::Planner);
+        authority.sign("forwarder", Role::Forwarder);
         authority
     }
 
     /// Signs a new certificate for that part.
-    fn sign(&self, file: &str, part: Part) {
+    fn sign(&self, file: &str, part: Role) {
         let key = KeyPair::generate().unwrap();
         let params = CertificateParams::new(vec![part.name().to_string()]).unwrap();
         let certificate = params.signed_by(&key, &self.issuer).unwrap();
@@ -39,9 +39,9 @@
         std::fs::write(self.folder.join(format!("{file}.key")), key.serialize_pem()).unwrap();
     }
 
-    fn files(&self, part: &str) -> Files {
+    fn files(&self, part: &str) -> CertificateFiles {
         let file = |name: &str| self.folder.join(name);
-        Files {
+        CertificateFiles {
             authority: file("authority.pem"),
             certificate: file(&format!("{part}.pem")),
             key: file(&format!("{part}.key")),
@@ -49,7 +49,7 @@
     }
 
     fn settings(&self, table: &str, part: &str) -> String {
-        let Files { authority, certificate, key } = self.files(part);
+        let CertificateFiles { authority, certificate, key } = self.files(part);
         format!(
             "[{table}]\nauthority = \"{}\"\ncertificate = \"{}\"\nkey = \"{}\"\n",
             authority.display(),
@@ -70,13 +70,13 @@
 }
 
 /// Connects as one with these files, and tells what the other side has to say.
-fn heard(address: SocketAddr, files: Files, says: &'static [u8]) -> Vec<u8> {
+fn heard(address: SocketAddr, files: CertificateFiles, says: &'static [u8]) -> Vec<u8> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         use tokio::io::{AsyncReadExt, AsyncWriteExt};
         let stream = tokio::net::TcpStream::connect(address).await.unwrap();
         let mut answer = Vec::new();
-        if let Ok(mut stream) = Security::read(files).unwrap().connect(stream, Part::Planner).await {
+        if let Ok(mut stream) = Security::read(files).unwrap().connect(stream, Role::Planner).await {
             let _ = stream.write_all(says).await;
             let _ = stream.flush().await;
             let _ = tokio::time::timeout(LONG, stream.read_to_end(&mut answer)).await.unwrap();
@@ -126,14 +126,14 @@
     ] {
         let lines = planners[1].lines();
         // The authority of the other side is not checked here: this one wants to be let in.
-        let files = Files { authority: ours.files("planner").authority, ..files };
+        let files = CertificateFiles { authority: ours.files("planner").authority, ..files };
         assert_eq!(heard(address, files, b"\x06\x00\x00\x00\x08\x01\x12\x02\x0a\x00"), b"");
         planners[1].logged(lines, words);
     }
 
     // A drain goes through as ever, also after new certificates were put in place.
-    ours.sign("planner", Part::Planner);
-    ours.sign("forwarder", Part::Forwarder);
+    ours.sign("planner", Role::Planner);
+    ours.sign("forwarder", Role::Forwarder);
     planners.iter().for_each(|p| p.signal("-HUP"));
     forwarder.signal("-HUP");
     let lines = forwarder.lines();
@@ -158,7 +158,7 @@
         age_ms: None,
     };
     let version = Version { term: 1, generation: 1 };
-    let plan = Plan { version, nodes: vec![node], heard: Vec::new() };
+    let plan = Plan { version, nodes: vec![node], acknowledged: Vec::new() };
     let mut addresses = Vec::new();
     for files in [theirs.files("planner"), ours.files("forwarder"), ours.files("planner")] {
         let planner = Planner::new(Box::new(|| Duration::from_millis(400)), Duration::from_millis(400), 10);
@@ -208,15 +208,18 @@
     let empty = ours.folder.join("empty.pem");
     for (files, words) in [
         (
-            Files { authority: "/none/such.pem".into(), ..good.clone() },
+            CertificateFiles { authority: "/none/such.pem".into(), ..good.clone() },
             "/none/such.pem: expected certificates",
         ),
         (
-            Files { certificate: empty.clone(), ..good.clone() },
+            CertificateFiles { certificate: empty.clone(), ..good.clone() },
             "empty.pem: expected certificates in PEM form",
         ),
-        (Files { key: empty, ..good.clone() }, "empty.pem: expected a private key in PEM form"),
-        (Files { key: ours.files("forwarder").key, ..good.clone() }, "planner.pem: cannot be used: "),
+        (CertificateFiles { key: empty, ..good.clone() }, "empty.pem: expected a private key in PEM form"),
+        (
+            CertificateFiles { key: ours.files("forwarder").key, ..good.clone() },
+            "planner.pem: cannot be used: ",
+        ),
     ] {
         let told = Security::read(files).unwrap_err().to_string();
         assert!(told.contains(words), "{words}: {told}");
--- a/crates/plan/benches/growth.rs
+++ b/crates/plan/benches/growth.rs
@@ -12,10 +12,11 @@
 //!
 //! `cargo bench -p dewpier-plan --bench growth`, two minutes.
 
-use dewpier_plan::io::{Following, Mail, Planner, Security, Seen, follow};
-use dewpier_plan::wire::{write_asked, write_told};
+use dewpier_plan::io::{FollowEvent, FollowSettings, Planner, RelayChannel, Security, follow};
+use dewpier_plan::wire::{write_forwarder_message, write_planner_message};
 use dewpier_plan::{
-    Asked, Counts, Digest, Follower, Letter, MOST_COUNTED, Mark, Node, Plan, Slice, Told, Version,
+    AnnouncementVersion, Counts, Digest, Follower, ForwarderMessage, MAX_DIGEST_NODES, Node, Plan,
+    PlannerMessage, RelayedMessage, Slice, Version,
 };
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -57,7 +58,7 @@
         age_ms: (i < cold).then_some(0),
     };
     let nodes = (0..nodes).map(node).collect();
-    Plan { version: Version { term: 1, generation: 1 }, nodes, heard: Vec::new() }
+    Plan { version: Version { term: 1, generation: 1 }, nodes, acknowledged: Vec::new() }
 }
 
 /// What a forwarder saw in a second, of the nodes that it sent most.
@@ -68,10 +69,10 @@
         sent: 12,
         served: 12,
         failed: 0,
-        took_ms: 2400,
+        served_ms: 2400,
     };
-    let named = MOST_COUNTED.min(nodes);
-    Digest { span_ms: 1000, nodes: (0..named).map(counts).collect(), rest: 20 }
+    let named = MAX_DIGEST_NODES.min(nodes);
+    Digest { interval_ms: 1000, nodes: (0..named).map(counts).collect(), other_served: 20 }
 }
 
 /// How long this thread has run on a core, where the system tells.
@@ -120,7 +121,7 @@
 }
 
 /// Writes letters, and takes those that come.
-fn mail(me: usize, count: usize) -> Mail {
+fn mail(me: usize, count: usize) -> RelayChannel {
     let (rounds, out) = mpsc::channel(4);
     let (into, mut came) = mpsc::channel(256);
     tokio::task::spawn_local(async move {
@@ -128,14 +129,14 @@
         loop {
             tokio::select! {
                 _ = ticks.tick() => {
-                    let letter = |to| Letter { to, bytes: vec![me as u8; LETTER] };
+                    let letter = |to| RelayedMessage { to, bytes: vec![me as u8; LETTER] };
                     let _ = rounds.try_send(partners(me, count).into_iter().map(letter).collect());
                 }
                 _ = came.recv() => {}
             }
         }
     });
-    Mail { from: me as u64, out, into }
+    RelayChannel { sender: me as u64, outgoing: out, incoming: into }
 }
 
 #[derive(Default)]
@@ -156,10 +157,10 @@
     let local = LocalSet::new();
     for forwarder in 0..count {
         let (digests, heard) = watch::channel(Digest::default());
-        let following = Following {
+        let following = FollowSettings {
             planners: vec![planner],
             name: format!("f{forwarder}"),
-            beat: BEAT,
+            heartbeat_interval: BEAT,
             start: Instant::now(),
             security: Security::plain(),
         };
@@ -168,8 +169,8 @@
             // They did not all start in one moment.
             tokio::time::sleep(DIGEST * (forwarder % 100) as u32 / 100).await;
             let planned = std::cell::Cell::new(false);
-            let seen = move |follower: &Follower, seen: Seen| {
-                if seen != Seen::Nodes || follower.version().is_none() {
+            let seen = move |follower: &Follower, seen: FollowEvent| {
+                if seen != FollowEvent::NodesChanged || follower.version().is_none() {
                     return;
                 }
                 if !planned.replace(true) {
@@ -185,7 +186,7 @@
                     digests.send_replace(digest(nodes, forwarder));
                 }
             };
-            let follower = Rc::new(RefCell::new(Follower::of(
+            let follower = Rc::new(RefCell::new(Follower::with_slice(
                 part.map(|part| Slice::new(&format!("f{forwarder}"), part)),
             )));
             let mail = letters.then(|| mail(forwarder, count));
@@ -235,13 +236,13 @@
         questions.blocking_send(tell).expect("the planner runs");
         told.recv_timeout(LONG).expect("the planner answers")
     };
-    let before = planner.letters();
+    let before = planner.relay_counts();
     let (from, start) = (ran(), Instant::now());
     std::thread::sleep(MEASURED);
     let core = (ran() - from).as_secs_f64() / start.elapsed().as_secs_f64();
-    let after = planner.letters();
+    let after = planner.relay_counts();
     let per_second = |from: u64, to: u64| (to - from) as f64 / start.elapsed().as_secs_f64();
-    let carried = [per_second(before.carried, after.carried), per_second(before.dropped, after.dropped)];
+    let carried = [per_second(before.delivered, after.delivered), per_second(before.dropped, after.dropped)];
     let heard = |tell: &dyn Fn(u64)| {
         let mut sums = [0.0; 3];
         for number in 1..=TOLD as u64 {
@@ -259,8 +260,12 @@
         sums
     };
     let drain = heard(&|sequence| {
-        let mark = Mark { epoch: 1, sequence };
-        planner.drains(vec![Told::Drain { planner: 0, mark, id: name(nodes - sequence as usize) }]);
+        let mark = AnnouncementVersion { epoch: 1, sequence };
+        planner.announce_drains(vec![PlannerMessage::Drain {
+            planner: 0,
+            announcement_version: mark,
+            id: name(nodes - sequence as usize),
+        }]);
     });
     let changed = heard(&|number| {
         let mut plan = plan(nodes, cold);
@@ -277,10 +282,17 @@
     let version = Version { term: 1, generation: 1 };
     let beats = 1.0 / BEAT.as_secs_f64();
     let budgets = (0..cold).map(|i| (name(i), 1.0)).collect::<Vec<_>>();
-    let answer = write_told(&Told::Beat { number: 1000, version, lease_ms: 400, full_ms: 400 }).len() as f64;
-    let budgets = if cold > 0 { write_told(&Told::Budgets(budgets)).len() as f64 } else { 0.0 };
-    let question = write_asked(&Asked::Beat { number: 1000 }).len() as f64;
-    let digests = write_asked(&Asked::Digest(digest(nodes, 0))).len() as f64;
+    let answer = write_planner_message(&PlannerMessage::HeartbeatReply {
+        number: 1000,
+        version,
+        lease_ms: 400,
+        max_lease_ms: 400,
+    })
+    .len() as f64;
+    let budgets =
+        if cold > 0 { write_planner_message(&PlannerMessage::Budgets(budgets)).len() as f64 } else { 0.0 };
+    let question = write_forwarder_message(&ForwarderMessage::Heartbeat { number: 1000 }).len() as f64;
+    let digests = write_forwarder_message(&ForwarderMessage::Digest(digest(nodes, 0))).len() as f64;
     let all = forwarders as f64;
     Row {
         core,
--- a/crates/plan/src/drains.rs
+++ b/crates/plan/src/drains.rs
@@ -19,8 +19,8 @@
 
 /// A bound that can't be kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("expected {} to {} ms, found {} ms", DrainBound::LEAST.as_millis(), DrainBound::MOST.as_millis(), .0.as_millis())]
-pub struct Unkept(pub Duration);
+#[error("expected {} to {} ms, found {} ms", DrainBound::MIN.as_millis(), DrainBound::MAX.as_millis(), .0.as_millis())]
+pub struct DrainBoundError(pub Duration);
 
 /// How long after any planner has read that a node drains, or is gone, something new may still be begun
 /// there, by whichever forwarder and whatever fails. Planners and forwarders are set to the same bound; where
@@ -37,13 +37,13 @@
 
 impl DrainBound {
     /// The shortest bound: 100 ms.
-    pub const LEAST: Duration = Duration::from_millis(100);
+    pub const MIN: Duration = Duration::from_millis(100);
     /// The longest one: 2 s, as what a forwarder remembers of its own watch is kept for that long.
-    pub const MOST: Duration = Duration::from_secs(2);
+    pub const MAX: Duration = Duration::from_secs(2);
 
-    /// A bound from [`Self::LEAST`] to [`Self::MOST`].
-    pub fn new(bound: Duration) -> Result<Self, Unkept> {
-        if (Self::LEAST..=Self::MOST).contains(&bound) { Ok(Self(bound)) } else { Err(Unkept(bound)) }
+    /// A bound from [`Self::MIN`] to [`Self::MAX`].
+    pub fn new(bound: Duration) -> Result<Self, DrainBoundError> {
+        if (Self::MIN..=Self::MAX).contains(&bound) { Ok(Self(bound)) } else { Err(DrainBoundError(bound)) }
     }
 
     /// The bound.
@@ -52,50 +52,50 @@
     }
 
     /// The longest lease: four fifths of it. Leases are that long unless they are set.
-    pub fn lease(self) -> Duration {
+    pub fn max_lease(self) -> Duration {
         self.0 * 4 / 5
     }
 
     /// The leases that a planner may give.
-    pub fn leases(self) -> RangeInclusive<Duration> {
-        LEAST_LEASE..=self.lease()
+    pub fn lease_range(self) -> RangeInclusive<Duration> {
+        LEAST_LEASE..=self.max_lease()
     }
 
     /// The longest grace of a forwarder after the news of a drain: what the lease leaves, and the default.
-    pub fn grace(self) -> Duration {
-        self.0 - self.lease()
+    pub fn max_grace(self) -> Duration {
+        self.0 - self.max_lease()
     }
 
     /// The graces that a forwarder may have.
-    pub fn graces(self) -> RangeInclusive<Duration> {
-        LEAST_BEAT..=self.grace()
+    pub fn grace_range(self) -> RangeInclusive<Duration> {
+        LEAST_BEAT..=self.max_grace()
     }
 
     /// How often a forwarder asks each planner unless that is set: a quarter of the lease.
-    pub fn beat(self) -> Duration {
-        self.lease() / 4
+    pub fn default_heartbeat(self) -> Duration {
+        self.max_lease() / 4
     }
 
     /// How often it may.
-    pub fn beats(self) -> RangeInclusive<Duration> {
-        LEAST_BEAT..=self.lease() / QUESTIONS
+    pub fn heartbeat_range(self) -> RangeInclusive<Duration> {
+        LEAST_BEAT..=self.max_lease() / QUESTIONS
     }
 
     /// What is left of a lease when as many questions as make planners count as silent have had their time.
-    pub fn left(self, beat: Duration) -> Duration {
-        self.lease().saturating_sub(beat * QUESTIONS)
+    pub fn remaining_lease(self, beat: Duration) -> Duration {
+        self.max_lease().saturating_sub(beat * QUESTIONS)
     }
 
     /// The longest waits that a forwarder may draw before its own watch begins, if requests are held back for
     /// so long while its lease is over.
-    pub fn spreads(self, beat: Duration, held: Duration) -> RangeInclusive<Duration> {
-        Duration::ZERO..=self.left(beat) + held
+    pub fn spread_range(self, beat: Duration, held: Duration) -> RangeInclusive<Duration> {
+        Duration::ZERO..=self.remaining_lease(beat) + held
     }
 }
 
 /// How often it is to be asked what a lease of that length counts from: an eighth of it, and no more often than
 /// every 5 ms. So planners ask each other, and a forwarder its own watch.
-pub fn asked_every(lease: Duration) -> Duration {
+pub fn lease_check_interval(lease: Duration) -> Duration {
     (lease / 8).max(Duration::from_millis(5))
 }
 
@@ -111,16 +111,20 @@
     fn all_that_it_allows_keeps_it() {
         for bound in [100, 101, 250, 500, 1999, 2000] {
             let bound = DrainBound::new(ms(bound)).unwrap();
-            let (lease, grace) = (*bound.leases().end(), *bound.graces().end());
+            let (lease, grace) = (*bound.lease_range().end(), *bound.grace_range().end());
             assert!(lease + grace <= bound.get(), "{bound:?}");
             assert!(
-                *bound.beats().end() * QUESTIONS <= lease && bound.beats().contains(&bound.beat()),
+                *bound.heartbeat_range().end() * QUESTIONS <= lease
+                    && bound.heartbeat_range().contains(&bound.default_heartbeat()),
                 "{bound:?}"
             );
-            assert!(bound.leases().contains(&lease) && bound.graces().contains(&grace), "{bound:?}");
-            assert!(asked_every(lease) * 4 <= lease, "{bound:?}");
+            assert!(
+                bound.lease_range().contains(&lease) && bound.grace_range().contains(&grace),
+                "{bound:?}"
+            );
+            assert!(lease_check_interval(lease) * 4 <= lease, "{bound:?}");
         }
-        assert_eq!(DrainBound::new(ms(99)), Err(Unkept(ms(99))));
+        assert_eq!(DrainBound::new(ms(99)), Err(DrainBoundError(ms(99))));
         assert_eq!(
             DrainBound::new(ms(2001)).unwrap_err().to_string(),
             "expected 100 to 2000 ms, found 2001 ms"
@@ -131,11 +135,11 @@
     fn the_default_is_what_it_was_before_it_could_be_set() {
         let bound = DrainBound::default();
         let all = (
-            bound.lease(),
-            bound.grace(),
-            bound.beat(),
-            bound.left(bound.beat()),
-            asked_every(bound.lease()),
+            bound.max_lease(),
+            bound.max_grace(),
+            bound.default_heartbeat(),
+            bound.remaining_lease(bound.default_heartbeat()),
+            lease_check_interval(bound.max_lease()),
         );
         assert_eq!(all, (ms(400), ms(100), ms(100), ms(100), ms(50)));
     }
--- a/crates/plan/src/io/mod.rs
+++ b/crates/plan/src/io/mod.rs
@@ -7,6 +7,6 @@
 mod planner;
 mod security;
 
-pub use follow::{Following, Mail, Seen, follow};
-pub use planner::{Lease, Planner};
-pub use security::{Files, Part, Security, SecurityError, Stream};
+pub use follow::{FollowEvent, FollowSettings, RelayChannel, follow};
+pub use planner::{LeaseSource, Planner};
+pub use security::{CertificateFiles, Role, Security, SecurityError, Stream};
--- a/crates/plan/src/io/planner.rs
+++ b/crates/plan/src/io/planner.rs
@@ -3,9 +3,10 @@
 use super::frame;
 use super::security::{self, Security, Stream};
 use crate::wire::WireError;
-use crate::wire::{MOST_ASKED, read_asked, write_told};
+use crate::wire::{MAX_FORWARDER_MESSAGE_BYTES, read_forwarder_message, write_planner_message};
 use crate::{
-    Asked, Digest, Letter, Letters, Loads, MOST_COUNTED, Part, Plan, Post, Publisher, Slice, Told, Version,
+    Digest, ForwarderMessage, Loads, MAX_DIGEST_NODES, Plan, PlannerMessage, Publisher, RelayCounts,
+    RelayMailboxes, RelayedMessage, SentPlan, Slice, Version,
 };
 use std::collections::HashMap;
 use std::io;
@@ -26,7 +27,7 @@
 const QUESTIONS: usize = 16;
 
 /// For how long the planner may vouch now for what it tells.
-pub type Lease = dyn Fn() -> Duration + Send + Sync;
+pub type LeaseSource = dyn Fn() -> Duration + Send + Sync;
 
 /// What all followers are told.
 struct News {
@@ -39,10 +40,10 @@
 pub struct Planner {
     publisher: Mutex<Publisher>,
     news: broadcast::Sender<Arc<News>>,
-    lease: Box<Lease>,
+    lease: Box<LeaseSource>,
     highest: Mutex<Version>,
     loads: Mutex<Loads>,
-    post: Mutex<Post>,
+    post: Mutex<RelayMailboxes>,
     /// Whom to wake where letters wait: connections that have asked for some.
     awaiting: Mutex<HashMap<u64, Arc<Notify>>>,
     connections: AtomicU64,
@@ -73,8 +74,8 @@
 impl Drop for Place<'_> {
     fn drop(&mut self) {
         self.0.followers.fetch_sub(1, Ordering::Relaxed);
-        self.0.loads().lost(self.1);
-        self.0.post().lost(self.1);
+        self.0.loads().remove_forwarder(self.1);
+        self.0.post().remove_connection(self.1);
         self.0.awaiting().remove(&self.1);
     }
 }
@@ -85,11 +86,11 @@
 impl Planner {
     /// A planner that gives the leases that it is told of whenever it is asked for one, none of which is
     /// longer than `full`, to so many followers at most; more are not let in.
-    pub fn new(lease: Box<Lease>, full: Duration, most: usize) -> Arc<Self> {
+    pub fn new(lease: Box<LeaseSource>, full: Duration, most: usize) -> Arc<Self> {
         let news = broadcast::Sender::new(WAITING);
         let (followers, refused) = (AtomicUsize::new(0), AtomicU64::new(0));
         Arc::new(Self {
-            publisher: Mutex::new(Publisher::lending(full)),
+            publisher: Mutex::new(Publisher::with_max_lease(full)),
             news,
             lease,
             highest: Mutex::default(),
@@ -118,16 +119,16 @@
     }
 
     /// Tells all followers of drains, ahead of any plan.
-    pub fn drains(&self, drains: Vec<Told>) {
+    pub fn announce_drains(&self, drains: Vec<PlannerMessage>) {
         let mut publisher = self.publisher();
-        let told = publisher.drains(drains);
+        let told = publisher.add_drains(drains);
         self.tell(told);
     }
 
-    fn tell(&self, told: impl IntoIterator<Item = Told>) {
+    fn tell(&self, told: impl IntoIterator<Item = PlannerMessage>) {
         for told in told {
-            let plan = matches!(told, Told::Full(_) | Told::Delta(_));
-            let _ = self.news.send(Arc::new(News { plan, frame: write_told(&told) })); // nobody may be there
+            let plan = matches!(told, PlannerMessage::Full(_) | PlannerMessage::Delta(_));
+            let _ = self.news.send(Arc::new(News { plan, frame: write_planner_message(&told) })); // nobody may be there
         }
     }
 
@@ -137,17 +138,17 @@
     }
 
     /// The highest version that a follower has had when it came.
-    pub fn highest(&self) -> Version {
+    pub fn highest_version(&self) -> Version {
         *self.highest.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// How many followers there are.
-    pub fn followers(&self) -> usize {
+    pub fn follower_count(&self) -> usize {
         self.followers.load(Ordering::Relaxed)
     }
 
     /// How many connections were ended for what they said.
-    pub fn refused(&self) -> u64 {
+    pub fn rejected_connections(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
     }
 
@@ -155,14 +156,14 @@
     pub async fn serve(self: Arc<Self>, listener: TcpListener, security: Security) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) if self.followers() < self.most => {
+                Ok((stream, _)) if self.follower_count() < self.most => {
                     self.followers.fetch_add(1, Ordering::Relaxed);
                     let (this, security) = (self.clone(), security.clone());
                     tokio::spawn(async move {
                         let number = this.connections.fetch_add(1, Ordering::Relaxed);
                         let _place = Place(&this, number);
                         let let_in = async {
-                            let stream = security.accept(stream, security::Part::Forwarder).await?;
+                            let stream = security.accept(stream, security::Role::Forwarder).await?;
                             this.follower(number, stream).await
                         };
                         if let Err(error) = let_in.await
@@ -184,14 +185,14 @@
 
     async fn follower(&self, number: u64, stream: Stream) -> io::Result<()> {
         let (mut reader, mut writer) = tokio::io::split(stream);
-        let asked = |bytes: &[u8]| match read_asked(bytes) {
+        let asked = |bytes: &[u8]| match read_forwarder_message(bytes) {
             Ok(asked) => Ok(Some(asked)),
             // A newer follower may ask what this release does not know.
             Err(WireError::Unknown) => Ok(None),
             Err(error) => Err(io::Error::new(io::ErrorKind::InvalidData, error.to_string())),
         };
-        let first = asked(&frame::read(&mut reader, MOST_ASKED, HELLO_WITHIN).await?)?;
-        let Some(Asked::Hello { has, name, nodes }) = first else {
+        let first = asked(&frame::read(&mut reader, MAX_FORWARDER_MESSAGE_BYTES, HELLO_WITHIN).await?)?;
+        let Some(ForwarderMessage::Hello { plan_version: has, name, slice_size: nodes }) = first else {
             return Err(io::Error::new(io::ErrorKind::InvalidData, "expected a hello first"));
         };
         if let Some(has) = has {
@@ -201,10 +202,10 @@
         let slice = nodes.map(|nodes| Slice::new(&name, usize::try_from(nodes).unwrap_or(usize::MAX)));
         let (mut news, (mut part, behind)) = {
             let publisher = self.publisher();
-            (self.news.subscribe(), publisher.welcome(slice, has, self.start.elapsed()))
+            (self.news.subscribe(), publisher.initial_messages(slice, has, self.start.elapsed()))
         };
         for told in behind {
-            frame::write(&mut writer, &write_told(&told)).await?;
+            frame::write(&mut writer, &write_planner_message(&told)).await?;
         }
         let letters = Arc::new(Notify::new());
         self.awaiting().insert(number, letters.clone());
@@ -212,7 +213,7 @@
         let (questions, mut heard) = mpsc::channel(QUESTIONS);
         let reading = async move {
             loop {
-                let question = match frame::read(&mut reader, MOST_ASKED, SILENT).await {
+                let question = match frame::read(&mut reader, MAX_FORWARDER_MESSAGE_BYTES, SILENT).await {
                     Ok(bytes) => asked(&bytes),
                     Err(error) => Err(error),
                 };
@@ -229,9 +230,9 @@
                     biased;
                     told = news.recv() => match told {
                         Ok(news) if news.plan && !part.is_whole() => {
-                            let told = self.publisher().change(&mut part, self.start.elapsed());
+                            let told = self.publisher().update_for(&mut part, self.start.elapsed());
                             match told {
-                                Some(told) => Framed::Own(write_told(&told)),
+                                Some(told) => Framed::Own(write_planner_message(&told)),
                                 None => continue,
                             }
                         }
@@ -243,29 +244,29 @@
                         Err(broadcast::error::RecvError::Closed) => return Ok(()),
                     },
                     question = heard.recv() => match question {
-                        Some(Ok(Some(Asked::Beat { number }))) => {
+                        Some(Ok(Some(ForwarderMessage::Heartbeat { number }))) => {
                             let lease = u64::try_from((self.lease)().as_millis()).unwrap_or(u64::MAX);
                             let told = {
                                 let publisher = self.publisher();
                                 // News of this very moment: the follower is to ask again.
-                                publisher.beat(number, if news.is_empty() { lease } else { 0 })
+                                publisher.heartbeat_reply(number, if news.is_empty() { lease } else { 0 })
                             };
-                            Framed::Own(write_told(&told))
+                            Framed::Own(write_planner_message(&told))
                         }
-                        Some(Ok(Some(Asked::Resend))) => {
+                        Some(Ok(Some(ForwarderMessage::Resend))) => {
                             self.all(&mut part, &mut writer).await?;
                             continue;
                         }
                         Some(Ok(None)) => continue,
-                        Some(Ok(Some(Asked::Digest(digest)))) => match self.digest(number, &part, digest) {
-                            Some(budgets) => Framed::Own(write_told(&budgets)),
+                        Some(Ok(Some(ForwarderMessage::Digest(digest)))) => match self.digest(number, &part, digest) {
+                            Some(budgets) => Framed::Own(write_planner_message(&budgets)),
                             None => continue,
                         },
-                        Some(Ok(Some(Asked::Letters { from, letters }))) => {
+                        Some(Ok(Some(ForwarderMessage::Relay { sender: from, messages: letters }))) => {
                             self.take(number, from, letters);
                             continue;
                         }
-                        Some(Ok(Some(Asked::Hello { .. }))) => {
+                        Some(Ok(Some(ForwarderMessage::Hello { .. }))) => {
                             return Err(io::Error::new(io::ErrorKind::InvalidData, "expected one hello"));
                         }
                         Some(Err(error)) => return Err(error),
@@ -273,7 +274,7 @@
                     },
                     // They come last: what vouches for a plan waits for none of them but the message under way.
                     () = letters.notified() => match self.fetch(number, &letters) {
-                        Some(told) => Framed::Own(write_told(&told)),
+                        Some(told) => Framed::Own(write_planner_message(&told)),
                         None => continue,
                     },
                 };
@@ -291,7 +292,7 @@
         }
     }
 
-    fn post(&self) -> MutexGuard<'_, Post> {
+    fn post(&self) -> MutexGuard<'_, RelayMailboxes> {
         self.post.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -300,25 +301,25 @@
     }
 
     /// What became of letters so far.
-    pub fn letters(&self) -> Letters {
-        self.post().letters
+    pub fn relay_counts(&self) -> RelayCounts {
+        self.post().counts
     }
 
     /// Takes letters in, and wakes those that they are for.
-    fn take(&self, number: u64, from: u64, letters: Vec<Letter>) {
-        let woken = self.post().take(number, from, letters, self.start.elapsed());
+    fn take(&self, number: u64, from: u64, letters: Vec<RelayedMessage>) {
+        let woken = self.post().accept(number, from, letters, self.start.elapsed());
         let awaiting = self.awaiting();
         woken.iter().filter_map(|to| awaiting.get(to)).for_each(|to| to.notify_one());
     }
 
     /// Letters that wait for a connection, and another turn for those that are too many for one message.
-    fn fetch(&self, number: u64, more: &Notify) -> Option<Told> {
-        let letters = self.post().fetch(number);
+    fn fetch(&self, number: u64, more: &Notify) -> Option<PlannerMessage> {
+        let letters = self.post().take_waiting(number);
         if letters.is_empty() {
             return None;
         }
         more.notify_one();
-        Some(Told::Letters(letters))
+        Some(PlannerMessage::Relayed(letters))
     }
 
     fn loads(&self) -> MutexGuard<'_, Loads> {
@@ -326,32 +327,32 @@
     }
 
     /// What all forwarders serve, in requests a second, by their digests.
-    pub fn rate(&self) -> f64 {
-        self.loads().rate(self.start.elapsed())
+    pub fn total_rate(&self) -> f64 {
+        self.loads().total_rate(self.start.elapsed())
     }
 
     /// Takes in a digest, and says what cold nodes may be sent for it, if there are any.
-    fn digest(&self, number: u64, part: &Part, digest: Digest) -> Option<Told> {
+    fn digest(&self, number: u64, part: &SentPlan, digest: Digest) -> Option<PlannerMessage> {
         let now = self.start.elapsed();
         let publisher = self.publisher();
         let mut loads = self.loads();
-        loads.hear(number, digest, now);
-        let cold: Vec<&crate::Node> = publisher.cold(COLD, now).take(MOST_COUNTED).collect();
+        loads.record_digest(number, digest, now);
+        let cold: Vec<&crate::Node> = publisher.cold_nodes(COLD, now).take(MAX_DIGEST_NODES).collect();
         if cold.is_empty() {
             return None;
         }
         let serving = publisher.plan().nodes.iter().filter(|n| !n.draining).map(|n| n.weight).sum::<f64>();
         let warm = serving - cold.iter().map(|n| n.weight).sum::<f64>();
-        let its = cold.iter().filter(|n| part.has(&n.id));
-        let usual: Vec<_> = its.map(|n| (n.id.clone(), loads.usual(number, n, warm, now))).collect();
-        (!usual.is_empty()).then_some(Told::Budgets(usual))
+        let its = cold.iter().filter(|n| part.contains(&n.id));
+        let usual: Vec<_> = its.map(|n| (n.id.clone(), loads.usual_rate(number, n, warm, now))).collect();
+        (!usual.is_empty()).then_some(PlannerMessage::Budgets(usual))
     }
 
     /// All that holds.
-    async fn all(&self, part: &mut Part, writer: &mut (impl AsyncWrite + Unpin)) -> io::Result<()> {
-        let told = self.publisher().again(part, self.start.elapsed());
+    async fn all(&self, part: &mut SentPlan, writer: &mut (impl AsyncWrite + Unpin)) -> io::Result<()> {
+        let told = self.publisher().full_update(part, self.start.elapsed());
         for told in told {
-            frame::write(writer, &write_told(&told)).await?;
+            frame::write(writer, &write_planner_message(&told)).await?;
         }
         Ok(())
     }
--- a/crates/plan/src/io/security.rs
+++ b/crates/plan/src/io/security.rs
@@ -23,14 +23,14 @@
 
 /// The part that one plays, as its certificate must say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Role {
     /// `planner.dewpier.internal`
     Planner,
     /// `forwarder.dewpier.internal`
     Forwarder,
 }
 
-impl Part {
+impl Role {
     /// The DNS name that the certificate must be for.
     pub fn name(self) -> &'static str {
         match self {
@@ -46,7 +46,7 @@
 
 /// Files in PEM form.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Files {
+pub struct CertificateFiles {
     /// The certificate of the authority.
     pub authority: PathBuf,
     /// Our certificate, and those between it and the authority's.
@@ -70,7 +70,7 @@
     },
     /// They don't fit together.
     #[error("{path}: cannot be used: {why}")]
-    Unfit {
+    Mismatched {
         /// The certificate.
         path: String,
         /// What is wrong.
@@ -93,7 +93,7 @@
 }
 
 struct Tls {
-    files: Files,
+    files: CertificateFiles,
     live: RwLock<Live>,
 }
 
@@ -114,7 +114,7 @@
     }
 
     /// By these files.
-    pub fn read(files: Files) -> Result<Self, SecurityError> {
+    pub fn read(files: CertificateFiles) -> Result<Self, SecurityError> {
         let live = RwLock::new(live(&files)?);
         Ok(Self(Some(Arc::new(Tls { files, live }))))
     }
@@ -134,7 +134,7 @@
     }
 
     /// Lets in one who must play that part.
-    pub async fn accept(&self, stream: TcpStream, part: Part) -> io::Result<Stream> {
+    pub async fn accept(&self, stream: TcpStream, part: Role) -> io::Result<Stream> {
         stream.set_nodelay(true)?;
         let Some(live) = self.live() else { return Ok(Box::new(stream)) };
         let stream = tokio::time::timeout(SHAKEN_WITHIN, live.acceptor.accept(stream)).await??;
@@ -150,7 +150,7 @@
     }
 
     /// Goes to one who must play that part.
-    pub async fn connect(&self, stream: TcpStream, part: Part) -> io::Result<Stream> {
+    pub async fn connect(&self, stream: TcpStream, part: Role) -> io::Result<Stream> {
         stream.set_nodelay(true)?;
         let Some(live) = self.live() else { return Ok(Box::new(stream)) };
         let connecting = live.connector.connect(part.server_name()?, stream);
@@ -158,7 +158,7 @@
     }
 }
 
-fn live(files: &Files) -> Result<Live, SecurityError> {
+fn live(files: &CertificateFiles) -> Result<Live, SecurityError> {
     let bad = |path: &PathBuf, expected: &'static str, why: String| SecurityError::File {
         path: path.display().to_string(),
         expected,
@@ -169,7 +169,8 @@
         let read = read.map_err(|error| bad(path, "certificates", error.to_string()))?;
         if read.is_empty() { Err(bad(path, "certificates", "found none".into())) } else { Ok(read) }
     };
-    let unfit = |why: String| SecurityError::Unfit { path: files.certificate.display().to_string(), why };
+    let unfit =
+        |why: String| SecurityError::Mismatched { path: files.certificate.display().to_string(), why };
     let mut roots = RootCertStore::empty();
     for certificate in certificates(&files.authority)? {
         roots.add(certificate).map_err(|error| bad(&files.authority, "an authority", error.to_string()))?;
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -27,13 +27,16 @@
 pub mod wire;
 
 pub use announcer::Announcer;
-pub use drains::{DrainBound, Unkept, asked_every};
-pub use follower::{Follower, Heard, Refused, State};
-pub use letters::{Letter, Letters, MOST_LETTER, MOST_LETTERS, Post, Turns};
+pub use drains::{DrainBound, DrainBoundError, lease_check_interval};
+pub use follower::{Follower, LeaseState, MessageEffect, MessageRejection};
+pub use letters::{
+    MAX_MESSAGES_PER_RELAY, MAX_RELAYED_MESSAGE_BYTES, PlannerRotation, RelayCounts, RelayMailboxes,
+    RelayedMessage,
+};
 pub use loads::Loads;
-pub use publisher::{Part, Publisher};
-pub use slice::{Cells, Slice};
-pub use standby::{Rules, Standby};
+pub use publisher::{Publisher, SentPlan};
+pub use slice::{CellIndex, Slice};
+pub use standby::{Standby, StandbySettings};
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -50,7 +53,7 @@
 /// News of one planner: the later of two has the higher mark. A planner that starts anew begins a
 /// higher epoch, so that its marks never come twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Mark {
+pub struct AnnouncementVersion {
     /// Of this start of the planner.
     pub epoch: u64,
     /// Of this piece of news.
@@ -84,7 +87,7 @@
     /// Its nodes, by id.
     pub nodes: Vec<Node>,
     /// Up to which mark the news of each planner is in it.
-    pub heard: Vec<(u32, Mark)>,
+    pub acknowledged: Vec<(u32, AnnouncementVersion)>,
 }
 
 /// What a plan changes of the one before.
@@ -99,7 +102,7 @@
     /// Nodes that are gone.
     pub gone: Vec<String>,
     /// As in a plan.
-    pub heard: Vec<(u32, Mark)>,
+    pub acknowledged: Vec<(u32, AnnouncementVersion)>,
 }
 
 /// What a forwarder saw of a node since its last digest.
@@ -116,23 +119,23 @@
     /// Those that ended otherwise, but for those that were cancelled or never left.
     pub failed: u32,
     /// How long those that were served took together, in milliseconds.
-    pub took_ms: u64,
+    pub served_ms: u64,
 }
 
 /// What a forwarder saw in a while.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Digest {
     /// How long that was, in milliseconds; at least 1.
-    pub span_ms: u32,
+    pub interval_ms: u32,
     /// By node: those that were sent most.
     pub nodes: Vec<Counts>,
     /// What the others served together.
-    pub rest: u32,
+    pub other_served: u32,
 }
 
 /// What planners say to followers.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum PlannerMessage {
     /// A whole plan.
     Full(Plan),
     /// A change.
@@ -142,13 +145,13 @@
         /// The planner's number,
         planner: u32,
         /// the mark of its news,
-        mark: Mark,
+        announcement_version: AnnouncementVersion,
         /// and the node.
         id: String,
     },
-    /// An answer to a [`Asked::Beat`]: nothing that this planner was told before it got the question
+    /// An answer to a [`ForwarderMessage::Heartbeat`]: nothing that this planner was told before it got the question
     /// is untold.
-    Beat {
+    HeartbeatReply {
         /// The question's number.
         number: u64,
         /// The plan that holds.
@@ -156,28 +159,28 @@
         /// For how long from the question on the follower may go by it.
         lease_ms: u64,
         /// The longest that this planner gives: what it lacks of that is how old its knowledge may be.
-        full_ms: u64,
+        max_lease_ms: u64,
     },
     /// What each of these cold nodes would usually be sent by this follower, in requests a second.
     Budgets(Vec<(String, f64)>),
     /// What other forwarders have written to this one.
-    Letters(Vec<Vec<u8>>),
+    Relayed(Vec<Vec<u8>>),
 }
 
 /// What followers say to planners.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum ForwarderMessage {
     /// The first word: who it is, and which plan it has.
     Hello {
         /// Its name.
         name: String,
         /// Its plan, if it has one.
-        has: Option<Version>,
+        plan_version: Option<Version>,
         /// How many nodes it wants of a plan: its [`Slice`]. None: the whole.
-        nodes: Option<u32>,
+        slice_size: Option<u32>,
     },
     /// May I go on?
-    Beat {
+    Heartbeat {
         /// Counts up.
         number: u64,
     },
@@ -187,19 +190,19 @@
     Digest(Digest),
     /// To be handed on to other forwarders, from one of that number. The first word of it is what makes letters to it
     /// come, so that one may be without letters.
-    Letters {
+    Relay {
         /// Who writes.
-        from: u64,
+        sender: u64,
         /// What.
-        letters: Vec<Letter>,
+        messages: Vec<RelayedMessage>,
     },
 }
 
 /// Nodes that a plan may have.
-pub const MOST_NODES: usize = 20_000;
+pub const MAX_NODES: usize = 20_000;
 /// The longest name of a node, a zone or a forwarder, in bytes.
-pub const MOST_NAME: usize = 253;
+pub const MAX_NAME_BYTES: usize = 253;
 /// Nodes that a digest names, and cold nodes that are budgeted at a time.
-pub const MOST_COUNTED: usize = 64;
+pub const MAX_DIGEST_NODES: usize = 64;
 /// Planners that there may be.
-pub const MOST_PLANNERS: usize = 16;
+pub const MAX_PLANNERS: usize = 16;
--- a/crates/plan/src/loads.rs
+++ b/crates/plan/src/loads.rs
@@ -37,7 +37,7 @@
 ///
 /// The sums that budgets come from are kept along, so that the cost of a digest grows with the nodes
 /// that it names and with the cold ones, not with the number of forwarders. Bound: the names of
-/// [`crate::MOST_COUNTED`] nodes for each forwarder that is let in.
+/// [`crate::MAX_DIGEST_NODES`] nodes for each forwarder that is let in.
 #[derive(Debug, Default)]
 pub struct Loads {
     loads: HashMap<u64, Load>,
@@ -49,11 +49,11 @@
 
 impl Loads {
     /// A forwarder sends a digest.
-    pub fn hear(&mut self, forwarder: u64, digest: Digest, now: Duration) {
-        self.lost(forwarder);
+    pub fn record_digest(&mut self, forwarder: u64, digest: Digest, now: Duration) {
+        self.remove_forwarder(forwarder);
         let served: u64 = digest.nodes.iter().map(|n| u64::from(n.served)).sum();
-        let served = u128::from(served + u64::from(digest.rest));
-        let rate = served * 1000 * UNIT as u128 / u128::from(digest.span_ms.max(1));
+        let served = u128::from(served + u64::from(digest.other_served));
+        let rate = served * 1000 * UNIT as u128 / u128::from(digest.interval_ms.max(1));
         let used = digest.nodes.into_iter().filter(|n| n.sent > 0 || n.in_flight > 0).map(|n| n.id);
         // Each once, whatever a digest says.
         let uses: Vec<String> = used.collect::<BTreeSet<_>>().into_iter().collect();
@@ -68,7 +68,7 @@
     }
 
     /// It is gone.
-    pub fn lost(&mut self, forwarder: u64) {
+    pub fn remove_forwarder(&mut self, forwarder: u64) {
         let Some(load) = self.loads.remove(&forwarder) else { return };
         self.order.remove(&(load.at, forwarder));
         self.total -= load.rate;
@@ -87,12 +87,12 @@
         while let Some(&(at, forwarder)) = self.order.first()
             && now.saturating_sub(at) > FRESH
         {
-            self.lost(forwarder);
+            self.remove_forwarder(forwarder);
         }
     }
 
     /// What all of them serve, in requests a second.
-    pub fn rate(&mut self, now: Duration) -> f64 {
+    pub fn total_rate(&mut self, now: Duration) -> f64 {
         self.age(now);
         self.total as f64 / UNIT
     }
@@ -100,9 +100,9 @@
     /// What that forwarder would usually send a cold node, in requests a second. `warm` is the weight of all
     /// nodes that are warm. The parts of all forwarders add up to the node's part of what all serve, but for
     /// a forwarder that has sent no digest lately: it gets none of it.
-    pub fn usual(&mut self, forwarder: u64, node: &Node, warm: f64, now: Duration) -> f64 {
+    pub fn usual_rate(&mut self, forwarder: u64, node: &Node, warm: f64, now: Duration) -> f64 {
         // Where no node is warm there is nothing to go by but what is served.
-        let all = self.rate(now) * node.weight / if warm > 0.0 { warm } else { node.weight };
+        let all = self.total_rate(now) * node.weight / if warm > 0.0 { warm } else { node.weight };
         let Some(own) = self.loads.get(&forwarder) else {
             return 0.0;
         };
@@ -127,7 +127,7 @@
     fn digest(nodes: &[(&str, u32)]) -> Digest {
         let counts =
             |(id, n): &(&str, u32)| Counts { id: id.to_string(), sent: *n, served: *n, ..Counts::default() };
-        Digest { span_ms: 500, nodes: nodes.iter().map(counts).collect(), rest: 0 }
+        Digest { interval_ms: 500, nodes: nodes.iter().map(counts).collect(), other_served: 0 }
     }
 
     fn node(id: &str, weight: f64) -> Node {
@@ -145,26 +145,30 @@
     #[test]
     fn the_parts_of_all_add_up_to_what_is_usual() {
         let (mut loads, now) = (Loads::default(), Duration::from_secs(10));
-        loads.hear(1, digest(&[("a", 100), ("b", 100)]), now);
-        loads.hear(2, digest(&[("a", 50), ("c", 50)]), now);
-        loads.hear(3, digest(&[("b", 100)]), now);
-        assert_eq!(loads.rate(now), 800.0);
-        let sum =
-            |loads: &mut Loads, node: &Node| -> f64 { (1..=3).map(|f| loads.usual(f, node, 4.0, now)).sum() };
+        loads.record_digest(1, digest(&[("a", 100), ("b", 100)]), now);
+        loads.record_digest(2, digest(&[("a", 50), ("c", 50)]), now);
+        loads.record_digest(3, digest(&[("b", 100)]), now);
+        assert_eq!(loads.total_rate(now), 800.0);
+        let sum = |loads: &mut Loads, node: &Node| -> f64 {
+            (1..=3).map(|f| loads.usual_rate(f, node, 4.0, now)).sum()
+        };
         // Nobody uses it yet, one does, all do: a node twice as large as one of four.
         let cold = node("new", 2.0);
-        assert_eq!((sum(&mut loads, &cold), loads.usual(1, &cold, 4.0, now)), (400.0, 200.0));
-        loads.hear(2, digest(&[("a", 50), ("new", 50)]), now);
-        assert_eq!((sum(&mut loads, &cold), loads.usual(2, &cold, 4.0, now)), (400.0, 360.0));
-        loads.hear(1, digest(&[("new", 200)]), now);
-        loads.hear(3, digest(&[("new", 100)]), now);
-        assert_eq!((sum(&mut loads, &cold), loads.usual(2, &cold, 4.0, now)), (400.0, 100.0));
+        assert_eq!((sum(&mut loads, &cold), loads.usual_rate(1, &cold, 4.0, now)), (400.0, 200.0));
+        loads.record_digest(2, digest(&[("a", 50), ("new", 50)]), now);
+        assert_eq!((sum(&mut loads, &cold), loads.usual_rate(2, &cold, 4.0, now)), (400.0, 360.0));
+        loads.record_digest(1, digest(&[("new", 200)]), now);
+        loads.record_digest(3, digest(&[("new", 100)]), now);
+        assert_eq!((sum(&mut loads, &cold), loads.usual_rate(2, &cold, 4.0, now)), (400.0, 100.0));
         // One that is gone or silent has no part, and the others have it.
-        loads.lost(1);
+        loads.remove_forwarder(1);
         let later = now + Duration::from_secs(6);
-        loads.hear(3, digest(&[("new", 100)]), later);
-        assert_eq!((loads.usual(2, &cold, 4.0, later), loads.usual(3, &cold, 4.0, later)), (0.0, 100.0));
-        assert_eq!(loads.usual(9, &cold, 4.0, later), 0.0, "a stranger");
-        assert_eq!(loads.usual(3, &cold, 0.0, later), 200.0, "no node is warm");
+        loads.record_digest(3, digest(&[("new", 100)]), later);
+        assert_eq!(
+            (loads.usual_rate(2, &cold, 4.0, later), loads.usual_rate(3, &cold, 4.0, later)),
+            (0.0, 100.0)
+        );
+        assert_eq!(loads.usual_rate(9, &cold, 4.0, later), 0.0, "a stranger");
+        assert_eq!(loads.usual_rate(3, &cold, 0.0, later), 200.0, "no node is warm");
     }
 }
--- a/crates/plan/src/slice.rs
+++ b/crates/plan/src/slice.rs
@@ -10,7 +10,7 @@
 //! drains stays in the part as draining for as long as it would be in it were it serving: so a forwarder
 //! knows of it whichever source it turns to.
 
-use crate::{MOST_NODES, Node};
+use crate::{MAX_NODES, Node};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -27,14 +27,14 @@
 
 /// The nodes of a fleet as slices are cut from them. Made once for all forwarders.
 #[derive(Debug, Default)]
-pub struct Cells {
+pub struct CellIndex {
     /// The hash of each node's name.
     hashes: Vec<u64>,
     /// The places of each cell's nodes.
     members: BTreeMap<u32, Vec<usize>>,
 }
 
-impl Cells {
+impl CellIndex {
     /// Of these nodes.
     pub fn new(nodes: &[Node]) -> Self {
         let mut cells = Self::default();
@@ -74,9 +74,9 @@
 
 impl Slice {
     /// The part of the forwarder of that name, of so many nodes that take requests. A size below 1 is
-    /// taken as 1, one over [`MOST_NODES`] as that.
+    /// taken as 1, one over [`MAX_NODES`] as that.
     pub fn new(name: &str, size: usize) -> Self {
-        Self { seed: xxh3_64(name.as_bytes()), size: size.clamp(1, MOST_NODES) }
+        Self { seed: xxh3_64(name.as_bytes()), size: size.clamp(1, MAX_NODES) }
     }
 
     /// Nodes that take requests in the part, where there are so many. At most as many draining ones are
@@ -85,13 +85,13 @@
         self.size
     }
 
-    fn ranked(&self, cells: &Cells, place: usize) -> Ranked {
+    fn ranked(&self, cells: &CellIndex, place: usize) -> Ranked {
         let hash = cells.hashes.get(place).copied().unwrap_or_default();
         Reverse((xxh3_64_with_seed(&hash.to_le_bytes(), self.seed), place))
     }
 
     /// The part of these nodes, in their order. `cells` are those of the same list.
-    pub fn of<'a>(&self, nodes: &'a [Node], cells: &Cells) -> Vec<&'a Node> {
+    pub fn select<'a>(&self, nodes: &'a [Node], cells: &CellIndex) -> Vec<&'a Node> {
         let serving = nodes.iter().filter(|n| !n.draining).count();
         if serving <= self.size && nodes.len() - serving <= self.size {
             return nodes.iter().collect();
@@ -126,8 +126,8 @@
     }
 
     /// The same of a list that nobody else needs.
-    pub fn cut(&self, nodes: Vec<Node>) -> Vec<Node> {
-        self.of(&nodes, &Cells::new(&nodes)).into_iter().cloned().collect()
+    pub fn select_owned(&self, nodes: Vec<Node>) -> Vec<Node> {
+        self.select(&nodes, &CellIndex::new(&nodes)).into_iter().cloned().collect()
     }
 }
 
@@ -156,7 +156,7 @@
     #[test]
     fn ranks_are_the_same_for_every_release() {
         // Two releases that ranked differently would cut two parts of one plan.
-        let part = Slice::new("forwarder-1", 3).cut(fleet(50, 50));
+        let part = Slice::new("forwarder-1", 3).select_owned(fleet(50, 50));
         let part: Vec<&str> = part.iter().map(|n| n.id.as_str()).collect();
         assert_eq!(part, PINNED);
     }
@@ -167,10 +167,10 @@
     fn parts_are_of_their_size_and_every_node_is_in_as_many_as_chance_has_it() {
         for per_cell in [1, 4, 300, 1000] {
             let nodes = fleet(1000, per_cell);
-            let cells = Cells::new(&nodes);
+            let cells = CellIndex::new(&nodes);
             let mut uses: HashMap<&str, usize> = HashMap::new();
             for forwarder in 0..1000 {
-                let part = Slice::new(&format!("f{forwarder}"), 64).of(&nodes, &cells);
+                let part = Slice::new(&format!("f{forwarder}"), 64).select(&nodes, &cells);
                 assert_eq!(part.len(), 64, "{per_cell} a cell");
                 assert!(part.windows(2).all(|pair| pair[0].id < pair[1].id), "in the order of the list");
                 part.into_iter().for_each(|n| *uses.entry(&n.id).or_default() += 1);
@@ -184,7 +184,7 @@
     #[test]
     fn no_cell_but_those_of_one_node_has_a_single_node_in_a_part() {
         for per_cell in [1, 2, 4, 100] {
-            let part = Slice::new("f", 64).cut(fleet(1000, per_cell));
+            let part = Slice::new("f", 64).select_owned(fleet(1000, per_cell));
             let mut cells: HashMap<u32, usize> = HashMap::new();
             part.iter().for_each(|n| *cells.entry(n.cell).or_default() += 1);
             let single = cells.values().filter(|n| **n == 1).count();
@@ -199,12 +199,12 @@
         for per_cell in [1, 4, 1000] {
             let nodes = fleet(1000, per_cell);
             let slice = Slice::new("f", 64);
-            let before = ids(&slice.cut(nodes.clone()));
+            let before = ids(&slice.select_owned(nodes.clone()));
             let mut moved = 0;
             for gone in 0..1000 {
                 let mut less = nodes.clone();
                 let gone = less.remove(gone);
-                let after = ids(&slice.cut(less));
+                let after = ids(&slice.select_owned(less));
                 let left = before.difference(&after).count();
                 assert!(left <= 3, "{per_cell} a cell: {left} of {}", gone.id);
                 assert!(
@@ -224,11 +224,11 @@
     #[test]
     fn the_next_one_stands_in_for_a_node_that_drains_which_stays_listed() {
         let (nodes, slice) = (fleet(200, 4), Slice::new("f", 16));
-        let before = ids(&slice.cut(nodes.clone()));
+        let before = ids(&slice.select_owned(nodes.clone()));
         for at in 0..200 {
             let mut drains = nodes.clone();
             drains[at].draining = true;
-            let part = slice.cut(drains);
+            let part = slice.select_owned(drains);
             assert_eq!(part.iter().filter(|n| !n.draining).count(), 16);
             let after = ids(&part);
             assert_eq!(before.difference(&after).count(), 0, "nothing that was in it leaves");
@@ -246,16 +246,16 @@
             let drained = rng.below(101);
             nodes.iter_mut().for_each(|n| n.draining = rng.below(100) < drained);
             let slice = Slice::new("f", 1 + rng.below(30));
-            let part = slice.cut(nodes.clone());
+            let part = slice.select_owned(nodes.clone());
             let count = |nodes: &[Node], draining| nodes.iter().filter(|n| n.draining == draining).count();
             assert_eq!(count(&part, false), slice.size().min(count(&nodes, false)), "seed {seed}");
             assert!(count(&part, true) <= slice.size(), "seed {seed}: however many drain");
-            assert_eq!(slice.cut(part.clone()), part, "seed {seed}");
+            assert_eq!(slice.select_owned(part.clone()), part, "seed {seed}");
             // Who has not heard of some of the drains comes to no node that is not in this part.
             if count(&part, true) < slice.size() {
                 let mut stale = nodes;
                 stale.iter_mut().for_each(|n| n.draining &= rng.below(2) == 0);
-                assert!(ids(&slice.cut(stale)).is_subset(&ids(&part)), "seed {seed}");
+                assert!(ids(&slice.select_owned(stale)).is_subset(&ids(&part)), "seed {seed}");
             }
         }
     }
--- a/crates/plan/src/standby.rs
+++ b/crates/plan/src/standby.rs
@@ -27,9 +27,9 @@
 
 /// How a forwarder behaves when planners are silent.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct StandbySettings {
     /// It has a watch of its own to turn to.
-    pub own: bool,
+    pub own_watch: bool,
     /// The longest wait before it does. With n forwarders membership is asked n times within it.
     pub spread: Duration,
     /// A list of its own watch may be gone by for so long after a look that found nothing newer began: as for
@@ -44,7 +44,7 @@
     /// Silence was found at `from`; the forwarder's own watch begins at `at`.
     Spread { from: Duration, at: Duration },
     /// That watch has begun, and has brought no list yet.
-    Asked { from: Duration },
+    AwaitingList { from: Duration },
     /// By the list of its own watch.
     Own,
 }
@@ -52,7 +52,7 @@
 /// Which list a forwarder goes by. No I/O and no clock.
 #[derive(Debug)]
 pub struct Standby {
-    rules: Rules,
+    rules: StandbySettings,
     phase: Phase,
     /// The last list of its own watch; of a forwarder that uses a part of the fleet that part.
     own: Vec<Node>,
@@ -70,7 +70,7 @@
 
 impl Standby {
     /// At first it goes by what planners say.
-    pub fn new(rules: Rules) -> Self {
+    pub fn new(rules: StandbySettings) -> Self {
         Self {
             rules,
             phase: Phase::Planned,
@@ -85,23 +85,23 @@
 
     /// Takes in how things stand at `now`; to be called after all that the follower hears or asks.
     /// `lot` is drawn anew for each call, from 0 to 1. True where the nodes to go by may have changed.
-    pub fn see(&mut self, follower: &Follower, now: Duration, lot: f64) -> bool {
+    pub fn update(&mut self, follower: &Follower, now: Duration, lot: f64) -> bool {
         let kept = self.kept.as_ref().is_some_and(|(_, until)| now >= *until);
         if kept {
             self.kept = None;
         }
         let before = self.phase;
         self.phase = match before {
-            Phase::Planned if follower.silent() && self.rules.own => {
+            Phase::Planned if follower.is_silent() && self.rules.own_watch => {
                 self.failed = false;
                 Phase::Spread { from: now, at: now + self.rules.spread.mul_f64(lot.clamp(0.0, 1.0)) }
             }
-            Phase::Spread { .. } | Phase::Asked { .. } if !follower.silent() => Phase::Planned,
+            Phase::Spread { .. } | Phase::AwaitingList { .. } if !follower.is_silent() => Phase::Planned,
             Phase::Spread { from, at } if now >= at => {
                 (self.looked, self.unlooked) = (now, 0);
-                Phase::Asked { from }
+                Phase::AwaitingList { from }
             }
-            Phase::Own if follower.steady() >= BACK_AFTER && now < follower.until() => {
+            Phase::Own if follower.answered_rounds() >= BACK_AFTER && now < follower.lease_end() => {
                 self.back(now);
                 Phase::Planned
             }
@@ -111,33 +111,37 @@
     }
 
     /// The forwarder's own watch is to be open.
-    pub fn watches(&self) -> bool {
-        matches!(self.phase, Phase::Asked { .. } | Phase::Own)
+    pub fn is_watching(&self) -> bool {
+        matches!(self.phase, Phase::AwaitingList { .. } | Phase::Own)
     }
 
     /// It goes by its own watch.
-    pub fn on_its_own(&self) -> bool {
+    pub fn uses_own_list(&self) -> bool {
         self.phase == Phase::Own
     }
 
     /// Its own watch brings a list, of the whole fleet. True where the nodes to go by have changed. Of a
     /// follower that keeps a part the same part is kept, so that nothing moves where both sources agree.
-    pub fn own(&mut self, follower: &Follower, mut list: Vec<Node>) -> bool {
-        if !self.watches() {
+    pub fn receive_own_list(&mut self, follower: &Follower, mut list: Vec<Node>) -> bool {
+        if !self.is_watching() {
             return false; // the planners were quicker
         }
         let serving: HashSet<&String> = list.iter().filter(|n| !n.draining).map(|n| &n.id).collect();
-        let known = self.own.iter().map(|n| &n.id).chain(follower.planned().iter().map(|n| &n.id));
+        let known = self.own.iter().map(|n| &n.id).chain(follower.planned_nodes().iter().map(|n| &n.id));
         self.shown.extend(known.filter(|id| !serving.contains(id)).cloned());
         // Names come and go for ever: what neither side lists any more need not be known.
-        let listed: HashSet<&String> =
-            list.iter().chain(follower.planned()).map(|n| &n.id).chain(follower.drained()).collect();
+        let listed: HashSet<&String> = list
+            .iter()
+            .chain(follower.planned_nodes())
+            .map(|n| &n.id)
+            .chain(follower.announced_drains())
+            .collect();
         self.shown.retain(|id| listed.contains(id));
         if let Some(slice) = follower.slice() {
             // What is held drained needs somebody to stand in for it, too.
             let drained = self.held(follower);
             list.iter_mut().for_each(|n| n.draining |= drained.contains(&n.id));
-            list = slice.cut(list);
+            list = slice.select_owned(list);
         }
         self.own = list;
         self.phase = Phase::Own;
@@ -145,17 +149,17 @@
     }
 
     /// Its own watch can't bring one.
-    pub fn no_list(&mut self) {
+    pub fn record_own_list_failure(&mut self) {
         self.failed = true;
     }
 
     /// Its own watch is asked to look; the question before was given its time.
-    pub fn look(&mut self) {
+    pub fn record_read_request(&mut self) {
         self.unlooked = self.unlooked.saturating_add(1);
     }
 
     /// A look of its own watch, begun then, found nothing but what [`Standby::own`] was told.
-    pub fn looked(&mut self, began: Duration) {
+    pub fn record_read(&mut self, began: Duration) {
         if began > self.looked {
             (self.looked, self.unlooked) = (began, 0);
         }
@@ -180,23 +184,23 @@
 
     /// What is known to drain by planners, and its own watch has not shown so.
     fn held(&self, follower: &Follower) -> HashSet<String> {
-        let planned = follower.planned().iter().filter(|n| n.draining).map(|n| &n.id);
-        let drained = planned.chain(follower.drained()).filter(|id| !self.shown.contains(*id));
+        let planned = follower.planned_nodes().iter().filter(|n| n.draining).map(|n| &n.id);
+        let drained = planned.chain(follower.announced_drains()).filter(|id| !self.shown.contains(*id));
         drained.cloned().collect()
     }
 
     /// Until when something new may be sent by them at all. None: for good, or for as long as nobody
     /// can say otherwise.
-    pub fn until(&self, follower: &Follower, now: Duration) -> Option<Duration> {
+    pub fn send_deadline(&self, follower: &Follower, now: Duration) -> Option<Duration> {
         let waits = |from: Duration| !self.failed && now < from + self.rules.spread + LIST_WITHIN;
         match self.phase {
             // Its watch was asked time and again and says nothing: what it said last serves on.
             Phase::Own if self.unlooked >= SILENT_AFTER => None,
             Phase::Own => Some(self.looked + self.rules.lease),
             _ if follower.version().is_none() => Some(Duration::ZERO),
-            Phase::Planned if follower.silent() && !self.rules.own => None,
-            Phase::Spread { from, .. } | Phase::Asked { from } if !waits(from) => None,
-            _ => Some(follower.until()),
+            Phase::Planned if follower.is_silent() && !self.rules.own_watch => None,
+            Phase::Spread { from, .. } | Phase::AwaitingList { from } if !waits(from) => None,
+            _ => Some(follower.lease_end()),
         }
     }
 }
--- a/crates/plan/src/wire.rs
+++ b/crates/plan/src/wire.rs
@@ -4,8 +4,9 @@
 //! what it needs or makes no sense is refused, and nothing of it is taken.
 
 use crate::{
-    Asked, Counts, Delta, Digest, Letter, MOST_COUNTED, MOST_LETTER, MOST_LETTERS, MOST_NAME, MOST_NODES,
-    MOST_PLANNERS, Mark, Node, Plan, Told, Version,
+    AnnouncementVersion, Counts, Delta, Digest, ForwarderMessage, MAX_DIGEST_NODES, MAX_MESSAGES_PER_RELAY,
+    MAX_NAME_BYTES, MAX_NODES, MAX_PLANNERS, MAX_RELAYED_MESSAGE_BYTES, Node, Plan, PlannerMessage,
+    RelayedMessage, Version,
 };
 use prost::Message;
 use std::net::SocketAddr;
@@ -13,22 +14,22 @@
 
 /// The version of the protocol. A reader takes every version; a change that older readers must not
 /// pass over gets a message of its own.
-pub const PROTOCOL: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 /// The longest message of a planner, in bytes.
-pub const MOST_TOLD: usize = 8 << 20;
+pub const MAX_PLANNER_MESSAGE_BYTES: usize = 8 << 20;
 /// The longest lease, in milliseconds, of planners that don't say theirs.
 const UNSAID_LEASE: u64 = 400;
 /// The longest message of a follower.
-pub const MOST_ASKED: usize = 32 << 10;
+pub const MAX_FORWARDER_MESSAGE_BYTES: usize = 32 << 10;
 
 /// Why a message is not taken.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
     /// It is longer than its bound.
-    #[error("expected at most {most} bytes, found {found}")]
+    #[error("expected at most {max} bytes, found {found}")]
     TooLong {
         /// The bound.
-        most: usize,
+        max: usize,
         /// Its length.
         found: usize,
     },
@@ -229,7 +230,7 @@
 }
 
 fn name(what: &'static str, text: String, least: usize) -> Result<String, WireError> {
-    match (least..=MOST_NAME).contains(&text.len()) && !text.chars().any(char::is_control) {
+    match (least..=MAX_NAME_BYTES).contains(&text.len()) && !text.chars().any(char::is_control) {
         true => Ok(text),
         false => Err(bad(what, "at most 253 bytes without control characters", text.len())),
     }
@@ -240,11 +241,14 @@
     Ok(Version { term: raw.term, generation: raw.generation })
 }
 
-fn marks(raw: Vec<RawMark>) -> Result<Vec<(u32, Mark)>, WireError> {
-    if raw.len() > MOST_PLANNERS {
+fn marks(raw: Vec<RawMark>) -> Result<Vec<(u32, AnnouncementVersion)>, WireError> {
+    if raw.len() > MAX_PLANNERS {
         return Err(bad("heard", "at most 16 planners", raw.len()));
     }
-    Ok(raw.into_iter().map(|m| (m.planner, Mark { epoch: m.epoch, sequence: m.sequence })).collect())
+    Ok(raw
+        .into_iter()
+        .map(|m| (m.planner, AnnouncementVersion { epoch: m.epoch, sequence: m.sequence }))
+        .collect())
 }
 
 fn node(raw: RawNode) -> Result<Node, WireError> {
@@ -264,104 +268,112 @@
     })
 }
 
-fn plan(raw: RawPlan) -> Result<Told, WireError> {
-    if raw.nodes.len() > MOST_NODES || raw.gone.len() > MOST_NODES {
+fn plan(raw: RawPlan) -> Result<PlannerMessage, WireError> {
+    if raw.nodes.len() > MAX_NODES || raw.gone.len() > MAX_NODES {
         return Err(bad("nodes", "at most 20000", raw.nodes.len().max(raw.gone.len())));
     }
-    let (to, heard) = (version(raw.version)?, marks(raw.heard)?);
+    let (to, acknowledged) = (version(raw.version)?, marks(raw.heard)?);
     let mut nodes = raw.nodes.into_iter().map(node).collect::<Result<Vec<_>, _>>()?;
     nodes.sort_by(|a, b| a.id.cmp(&b.id));
     if let Some(twice) = nodes.windows(2).find(|pair| pair[0].id == pair[1].id) {
         return Err(bad("id", "each node once", &twice[0].id));
     }
     let Some(from) = raw.from else {
-        return Ok(Told::Full(Plan { version: to, nodes, heard }));
+        return Ok(PlannerMessage::Full(Plan { version: to, nodes, acknowledged }));
     };
     let from = version(Some(from))?;
     if from >= to {
         return Err(bad("version", "a later one than it changes", to.generation));
     }
     let gone = raw.gone.into_iter().map(|id| name("gone", id, 1)).collect::<Result<_, _>>()?;
-    Ok(Told::Delta(Delta { from, to, set: nodes, gone, heard }))
+    Ok(PlannerMessage::Delta(Delta { from, to, set: nodes, gone, acknowledged }))
 }
 
 /// Reads what a planner says, without its length.
-pub fn read_told(bytes: &[u8]) -> Result<Told, WireError> {
-    if bytes.len() > MOST_TOLD {
-        return Err(WireError::TooLong { most: MOST_TOLD, found: bytes.len() });
+pub fn read_planner_message(bytes: &[u8]) -> Result<PlannerMessage, WireError> {
+    if bytes.len() > MAX_PLANNER_MESSAGE_BYTES {
+        return Err(WireError::TooLong { max: MAX_PLANNER_MESSAGE_BYTES, found: bytes.len() });
     }
     let raw = RawTold::decode(bytes).map_err(|error| WireError::Malformed(error.to_string()))?;
     match (raw.plan, raw.drain, raw.beat, raw.budgets, raw.letters) {
         (Some(raw), None, None, None, None) => plan(raw),
         (None, Some(raw), None, None, None) => {
             let mark = raw.mark.ok_or_else(|| bad("mark", "a mark", "none"))?;
-            let (planner, mark) = (mark.planner, Mark { epoch: mark.epoch, sequence: mark.sequence });
-            Ok(Told::Drain { planner, mark, id: name("id", raw.id, 1)? })
+            let (planner, announcement_version) =
+                (mark.planner, AnnouncementVersion { epoch: mark.epoch, sequence: mark.sequence });
+            Ok(PlannerMessage::Drain { planner, announcement_version, id: name("id", raw.id, 1)? })
         }
         (None, None, None, Some(raw), None) => budgets(raw),
         (None, None, None, None, Some(raw)) => {
-            Ok(Told::Letters(letters(raw)?.into_iter().map(|letter| letter.bytes).collect()))
+            Ok(PlannerMessage::Relayed(letters(raw)?.into_iter().map(|letter| letter.bytes).collect()))
         }
         (None, None, Some(raw), None, None) => {
-            let full_ms = if raw.full_ms == 0 { UNSAID_LEASE } else { raw.full_ms };
+            let max_lease_ms = if raw.full_ms == 0 { UNSAID_LEASE } else { raw.full_ms };
             let RawBeat { number, lease_ms, .. } = raw;
-            Ok(Told::Beat { number, version: version(raw.version)?, lease_ms, full_ms })
+            Ok(PlannerMessage::HeartbeatReply {
+                number,
+                version: version(raw.version)?,
+                lease_ms,
+                max_lease_ms,
+            })
         }
         (None, None, None, None, None) => Err(WireError::Unknown),
         _ => Err(bad("message", "one thing", "several")),
     }
 }
 
-fn letters(raw: RawLetters) -> Result<Vec<Letter>, WireError> {
-    if raw.letters.len() > MOST_LETTERS {
+fn letters(raw: RawLetters) -> Result<Vec<RelayedMessage>, WireError> {
+    if raw.letters.len() > MAX_MESSAGES_PER_RELAY {
         return Err(bad("letters", "at most 64", raw.letters.len()));
     }
-    let letter = |raw: RawLetter| match (1..=MOST_LETTER).contains(&raw.bytes.len()) {
-        true => Ok(Letter { to: raw.to, bytes: raw.bytes }),
+    let letter = |raw: RawLetter| match (1..=MAX_RELAYED_MESSAGE_BYTES).contains(&raw.bytes.len()) {
+        true => Ok(RelayedMessage { to: raw.to, bytes: raw.bytes }),
         false => Err(bad("letter", "1 to 256 bytes", raw.bytes.len())),
     };
     raw.letters.into_iter().map(letter).collect()
 }
 
-fn budgets(raw: RawBudgets) -> Result<Told, WireError> {
-    if raw.nodes.len() > MOST_COUNTED {
+fn budgets(raw: RawBudgets) -> Result<PlannerMessage, WireError> {
+    if raw.nodes.len() > MAX_DIGEST_NODES {
         return Err(bad("budgets", "at most 64 nodes", raw.nodes.len()));
     }
     let budget = |raw: RawBudget| match raw.usual.is_finite() && raw.usual >= 0.0 {
         true => Ok((name("id", raw.id, 1)?, raw.usual)),
         false => Err(bad("usual", "a finite number from 0", raw.usual)),
     };
-    Ok(Told::Budgets(raw.nodes.into_iter().map(budget).collect::<Result<_, _>>()?))
+    Ok(PlannerMessage::Budgets(raw.nodes.into_iter().map(budget).collect::<Result<_, _>>()?))
 }
 
 fn digest(raw: RawDigest) -> Result<Digest, WireError> {
-    if raw.nodes.len() > MOST_COUNTED || raw.span_ms == 0 {
+    if raw.nodes.len() > MAX_DIGEST_NODES || raw.span_ms == 0 {
         return Err(bad("digest", "at most 64 nodes and a span from 1 ms", raw.nodes.len()));
     }
     let counts = |raw: RawCounts| {
         let RawCounts { id, in_flight, sent, served, failed, took_ms } = raw;
-        Ok(Counts { id: name("id", id, 1)?, in_flight, sent, served, failed, took_ms })
+        Ok(Counts { id: name("id", id, 1)?, in_flight, sent, served, failed, served_ms: took_ms })
     };
     let nodes = raw.nodes.into_iter().map(counts).collect::<Result<_, _>>()?;
-    Ok(Digest { span_ms: raw.span_ms, nodes, rest: raw.rest })
+    Ok(Digest { interval_ms: raw.span_ms, nodes, other_served: raw.rest })
 }
 
 /// Reads what a follower says, without its length.
-pub fn read_asked(bytes: &[u8]) -> Result<Asked, WireError> {
-    if bytes.len() > MOST_ASKED {
-        return Err(WireError::TooLong { most: MOST_ASKED, found: bytes.len() });
+pub fn read_forwarder_message(bytes: &[u8]) -> Result<ForwarderMessage, WireError> {
+    if bytes.len() > MAX_FORWARDER_MESSAGE_BYTES {
+        return Err(WireError::TooLong { max: MAX_FORWARDER_MESSAGE_BYTES, found: bytes.len() });
     }
     let raw = RawAsked::decode(bytes).map_err(|error| WireError::Malformed(error.to_string()))?;
     match (raw.hello, raw.beat, raw.resend, raw.digest, raw.letters) {
         (Some(hello), None, false, None, None) => {
-            let has = hello.has.map(|has| version(Some(has))).transpose()?;
-            let nodes = (hello.nodes > 0).then_some(hello.nodes);
-            Ok(Asked::Hello { name: name("name", hello.name, 1)?, has, nodes })
+            let plan_version = hello.has.map(|has| version(Some(has))).transpose()?;
+            let slice_size = (hello.nodes > 0).then_some(hello.nodes);
+            Ok(ForwarderMessage::Hello { name: name("name", hello.name, 1)?, plan_version, slice_size })
+        }
+        (None, Some(number), false, None, None) => Ok(ForwarderMessage::Heartbeat { number }),
+        (None, None, true, None, None) => Ok(ForwarderMessage::Resend),
+        (None, None, false, Some(raw), None) => digest(raw).map(ForwarderMessage::Digest),
+        (None, None, false, None, Some(raw)) => {
+            Ok(ForwarderMessage::Relay { sender: raw.from, messages: letters(raw)? })
         }
-        (None, Some(number), false, None, None) => Ok(Asked::Beat { number }),
-        (None, None, true, None, None) => Ok(Asked::Resend),
-        (None, None, false, Some(raw), None) => digest(raw).map(Asked::Digest),
-        (None, None, false, None, Some(raw)) => Ok(Asked::Letters { from: raw.from, letters: letters(raw)? }),
         (None, None, false, None, None) => Err(WireError::Unknown),
         _ => Err(bad("message", "one thing", "several")),
     }
@@ -377,7 +389,7 @@
     RawVersion { term: version.term, generation: version.generation }
 }
 
-fn raw_mark(planner: u32, mark: Mark) -> RawMark {
+fn raw_mark(planner: u32, mark: AnnouncementVersion) -> RawMark {
     RawMark { planner, epoch: mark.epoch, sequence: mark.sequence }
 }
 
@@ -394,41 +406,41 @@
 }
 
 /// What a planner says, with its length.
-pub fn write_told(told: &Told) -> Vec<u8> {
-    let mut raw = RawTold { protocol: PROTOCOL, ..RawTold::default() };
-    let heard = |heard: &[(u32, Mark)]| heard.iter().map(|(p, m)| raw_mark(*p, *m)).collect();
+pub fn write_planner_message(told: &PlannerMessage) -> Vec<u8> {
+    let mut raw = RawTold { protocol: PROTOCOL_VERSION, ..RawTold::default() };
+    let heard = |heard: &[(u32, AnnouncementVersion)]| heard.iter().map(|(p, m)| raw_mark(*p, *m)).collect();
     match told {
-        Told::Full(plan) => {
+        PlannerMessage::Full(plan) => {
             raw.plan = Some(RawPlan {
                 version: Some(raw_version(plan.version)),
                 from: None,
                 nodes: plan.nodes.iter().map(raw_node).collect(),
                 gone: Vec::new(),
-                heard: heard(&plan.heard),
+                heard: heard(&plan.acknowledged),
             });
         }
-        Told::Delta(delta) => {
+        PlannerMessage::Delta(delta) => {
             raw.plan = Some(RawPlan {
                 version: Some(raw_version(delta.to)),
                 from: Some(raw_version(delta.from)),
                 nodes: delta.set.iter().map(raw_node).collect(),
                 gone: delta.gone.clone(),
-                heard: heard(&delta.heard),
+                heard: heard(&delta.acknowledged),
             });
         }
-        Told::Drain { planner, mark, id } => {
+        PlannerMessage::Drain { planner, announcement_version: mark, id } => {
             raw.drain = Some(RawDrain { mark: Some(raw_mark(*planner, *mark)), id: id.clone() });
         }
-        Told::Beat { number, version, lease_ms, full_ms } => {
+        PlannerMessage::HeartbeatReply { number, version, lease_ms, max_lease_ms } => {
             let version = Some(raw_version(*version));
-            let (number, lease_ms, full_ms) = (*number, *lease_ms, *full_ms);
+            let (number, lease_ms, full_ms) = (*number, *lease_ms, *max_lease_ms);
             raw.beat = Some(RawBeat { number, version, lease_ms, full_ms });
         }
-        Told::Budgets(budgets) => {
+        PlannerMessage::Budgets(budgets) => {
             let nodes = budgets.iter().map(|(id, usual)| RawBudget { id: id.clone(), usual: *usual });
             raw.budgets = Some(RawBudgets { nodes: nodes.collect() });
         }
-        Told::Letters(letters) => {
+        PlannerMessage::Relayed(letters) => {
             let letters = letters.iter().map(|bytes| RawLetter { to: 0, bytes: bytes.clone() });
             raw.letters = Some(RawLetters { from: 0, letters: letters.collect() });
         }
@@ -437,30 +449,30 @@
 }
 
 /// What a follower says, with its length.
-pub fn write_asked(asked: &Asked) -> Vec<u8> {
-    let mut raw = RawAsked { protocol: PROTOCOL, ..RawAsked::default() };
+pub fn write_forwarder_message(asked: &ForwarderMessage) -> Vec<u8> {
+    let mut raw = RawAsked { protocol: PROTOCOL_VERSION, ..RawAsked::default() };
     match asked {
-        Asked::Hello { name, has, nodes } => {
-            let (name, has) = (name.clone(), has.map(raw_version));
-            raw.hello = Some(RawHello { name, has, nodes: nodes.unwrap_or(0) });
+        ForwarderMessage::Hello { name, plan_version, slice_size } => {
+            let (name, has) = (name.clone(), plan_version.map(raw_version));
+            raw.hello = Some(RawHello { name, has, nodes: slice_size.unwrap_or(0) });
         }
-        Asked::Beat { number } => raw.beat = Some(*number),
-        Asked::Resend => raw.resend = true,
-        Asked::Digest(digest) => {
+        ForwarderMessage::Heartbeat { number } => raw.beat = Some(*number),
+        ForwarderMessage::Resend => raw.resend = true,
+        ForwarderMessage::Digest(digest) => {
             let counts = |c: &Counts| RawCounts {
                 id: c.id.clone(),
                 in_flight: c.in_flight,
                 sent: c.sent,
                 served: c.served,
                 failed: c.failed,
-                took_ms: c.took_ms,
+                took_ms: c.served_ms,
             };
             let nodes = digest.nodes.iter().map(counts).collect();
-            raw.digest = Some(RawDigest { span_ms: digest.span_ms, nodes, rest: digest.rest });
+            raw.digest = Some(RawDigest { span_ms: digest.interval_ms, nodes, rest: digest.other_served });
         }
-        Asked::Letters { from, letters } => {
-            let letter = |letter: &Letter| RawLetter { to: letter.to, bytes: letter.bytes.clone() };
-            raw.letters = Some(RawLetters { from: *from, letters: letters.iter().map(letter).collect() });
+        ForwarderMessage::Relay { sender, messages } => {
+            let letter = |letter: &RelayedMessage| RawLetter { to: letter.to, bytes: letter.bytes.clone() };
+            raw.letters = Some(RawLetters { from: *sender, letters: messages.iter().map(letter).collect() });
         }
     }
     framed(&raw)
--- a/crates/plan/tests/common/mod.rs
+++ b/crates/plan/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)] // not every test needs all of it
 
-use dewpier_plan::{Announcer, Node, Plan, Publisher, Told, Version};
+use dewpier_plan::{Announcer, Node, Plan, PlannerMessage, Publisher, Version};
 use std::time::Duration;
 
 /// Plans by what it sees itself, in one term.
@@ -19,17 +19,17 @@
     }
 
     /// What followers are to be told, in that order.
-    pub fn update(&mut self, nodes: Vec<Node>) -> Vec<Told> {
-        let before = self.announcer.mark();
+    pub fn update(&mut self, nodes: Vec<Node>) -> Vec<PlannerMessage> {
+        let before = self.announcer.version();
         let drains = self.announcer.observe(nodes);
-        let mut told = self.publisher.drains(drains);
-        if self.announcer.mark() != before {
+        let mut told = self.publisher.add_drains(drains);
+        if self.announcer.version() != before {
             let generation = self.publisher.plan().version.generation + 1;
             told.extend(self.publisher.publish(
                 Plan {
                     version: Version { term: self.term, generation },
                     nodes: self.announcer.view().to_vec(),
-                    heard: vec![(self.me, self.announcer.mark())],
+                    acknowledged: vec![(self.me, self.announcer.version())],
                 },
                 Duration::ZERO,
             ));
@@ -41,11 +41,11 @@
         self.publisher.plan()
     }
 
-    pub fn catch_up(&self, has: Option<Version>) -> Vec<Told> {
+    pub fn catch_up(&self, has: Option<Version>) -> Vec<PlannerMessage> {
         self.publisher.catch_up(has, Duration::ZERO)
     }
 
-    pub fn beat(&self, number: u64, lease_ms: u64) -> Told {
-        self.publisher.beat(number, lease_ms)
+    pub fn beat(&self, number: u64, lease_ms: u64) -> PlannerMessage {
+        self.publisher.heartbeat_reply(number, lease_ms)
     }
 }
--- a/crates/plan/tests/hostile.rs
+++ b/crates/plan/tests/hostile.rs
@@ -4,10 +4,11 @@
 #[path = "common/planner.rs"]
 mod common;
 
-use dewpier_plan::io::{Following, Planner, Security, Seen, follow};
-use dewpier_plan::wire::{read_asked, write_asked, write_told};
+use dewpier_plan::io::{FollowEvent, FollowSettings, Planner, Security, follow};
+use dewpier_plan::wire::{read_forwarder_message, write_forwarder_message, write_planner_message};
 use dewpier_plan::{
-    Asked, Counts, Delta, Digest, Follower, MOST_COUNTED, Mark, Node, Plan, Refused, State, Told, Version,
+    AnnouncementVersion, Counts, Delta, Digest, Follower, ForwarderMessage, LeaseState, MAX_DIGEST_NODES,
+    MessageRejection, Node, Plan, PlannerMessage, Version,
 };
 use dewpier_standins::{LONG, wait_for};
 use std::cell::RefCell;
@@ -32,16 +33,20 @@
 
 fn plan(generation: u64, ids: &[&str]) -> Plan {
     let nodes = ids.iter().map(|id| node(id, 1.0)).collect();
-    Plan { version: Version { term: 1, generation }, nodes, heard: Vec::new() }
+    Plan { version: Version { term: 1, generation }, nodes, acknowledged: Vec::new() }
 }
 
 fn digest(nodes: usize, served: u32) -> Digest {
     let counts = |i: usize| Counts { id: format!("n{i}"), sent: served, served, ..Counts::default() };
-    Digest { span_ms: 1000, nodes: (0..nodes).map(counts).collect(), rest: 0 }
+    Digest { interval_ms: 1000, nodes: (0..nodes).map(counts).collect(), other_served: 0 }
 }
 
 fn hello() -> Vec<u8> {
-    write_asked(&Asked::Hello { name: "f".into(), has: None, nodes: None })
+    write_forwarder_message(&ForwarderMessage::Hello {
+        name: "f".into(),
+        plan_version: None,
+        slice_size: None,
+    })
 }
 
 /// What a follower has, as another thread sees it.
@@ -51,7 +56,7 @@
     nodes: Vec<String>,
     drained: Vec<String>,
     leased: bool,
-    refused: std::collections::HashMap<Refused, u64>,
+    refused: std::collections::HashMap<MessageRejection, u64>,
 }
 
 /// A follower on a thread of its own, for as long as this is kept.
@@ -67,20 +72,20 @@
         let seen = has.clone();
         std::thread::spawn(move || {
             let start = Instant::now();
-            let following = Following {
+            let following = FollowSettings {
                 planners: vec![planner],
                 name: "good".into(),
-                beat: Duration::from_millis(20),
+                heartbeat_interval: Duration::from_millis(20),
                 start,
                 security: Security::plain(),
             };
-            let note = move |follower: &Follower, _: Seen| {
+            let note = move |follower: &Follower, _: FollowEvent| {
                 *seen.lock().unwrap() = Has {
                     version: follower.version(),
                     nodes: follower.nodes().into_iter().map(|n| n.id).collect(),
-                    drained: follower.drained().cloned().collect(),
-                    leased: follower.state(start.elapsed()) == State::Leased,
-                    refused: follower.refused().clone(),
+                    drained: follower.announced_drains().cloned().collect(),
+                    leased: follower.lease_state(start.elapsed()) == LeaseState::Leased,
+                    refused: follower.rejections().clone(),
                 };
             };
             let (_digests, heard) = watch::channel(Digest::default());
@@ -100,7 +105,7 @@
         self.has.lock().unwrap().clone()
     }
 
-    fn refused(&self, why: Refused) -> u64 {
+    fn refused(&self, why: MessageRejection) -> u64 {
         self.has().refused.get(&why).copied().unwrap_or(0)
     }
 }
@@ -133,7 +138,7 @@
     wait_for("plan", || good.has().leased);
     let before = good.has();
     let framed = |bytes: &[u8]| [&(bytes.len() as u32).to_le_bytes()[..], bytes].concat();
-    let beat = write_asked(&Asked::Beat { number: 1 });
+    let beat = write_forwarder_message(&ForwarderMessage::Heartbeat { number: 1 });
     let scripts: [(&str, Vec<u8>); 8] = [
         ("a frame of 4 GiB", u32::MAX.to_le_bytes().to_vec()),
         ("a frame of 33 KiB", (33u32 << 10).to_le_bytes().to_vec()),
@@ -141,14 +146,18 @@
         ("a request of another protocol", b"GET / HTTP/1.1\r\nHost: planner\r\n\r\n".to_vec()),
         ("a beat before the hello", beat.clone()),
         ("two hellos", [hello(), hello()].concat()),
-        ("too many nodes", [hello(), write_asked(&Asked::Digest(digest(MOST_COUNTED + 1, 1)))].concat()),
+        (
+            "too many nodes",
+            [hello(), write_forwarder_message(&ForwarderMessage::Digest(digest(MAX_DIGEST_NODES + 1, 1)))]
+                .concat(),
+        ),
         ("no message later on", [hello(), beat, framed(&[0x0f; 9])].concat()),
     ];
     for (i, (what, says)) in scripts.iter().enumerate() {
         until_ended(address, says);
-        wait_for(what, || planner.refused() == i as u64 + 1);
+        wait_for(what, || planner.rejected_connections() == i as u64 + 1);
     }
-    wait_for("end of all but one", || planner.followers() == 1);
+    wait_for("end of all but one", || planner.follower_count() == 1);
     assert_eq!(planner.version(), Version { term: 1, generation: 5 });
     assert_eq!((good.has().version, good.has().nodes), (before.version, before.nodes));
     wait_for("a lease, still", || good.has().leased);
@@ -158,19 +167,23 @@
 #[test]
 fn a_replayed_conversation_moves_nothing_and_is_forgotten_with_its_connection() {
     let (planner, address) = planner(16);
-    let said = [hello(), write_asked(&Asked::Digest(digest(4, 50))), write_asked(&Asked::Beat { number: 7 })];
+    let said = [
+        hello(),
+        write_forwarder_message(&ForwarderMessage::Digest(digest(4, 50))),
+        write_forwarder_message(&ForwarderMessage::Heartbeat { number: 7 }),
+    ];
     let said = said.concat();
     let mut first = connect(address);
     first.write_all(&said).unwrap();
-    wait_for("digest", || planner.rate() == 200.0);
+    wait_for("digest", || planner.total_rate() == 200.0);
     let mut replay = connect(address);
     replay.write_all(&said).unwrap();
-    wait_for("its own digest", || planner.rate() == 400.0);
+    wait_for("its own digest", || planner.total_rate() == 400.0);
     drop(replay);
-    wait_for("end of the replay", || planner.rate() == 200.0 && planner.followers() == 1);
+    wait_for("end of the replay", || planner.total_rate() == 200.0 && planner.follower_count() == 1);
     assert_eq!(planner.version(), Version { term: 1, generation: 5 });
     drop(first);
-    wait_for("nothing left", || planner.rate() == 0.0 && planner.followers() == 0);
+    wait_for("nothing left", || planner.total_rate() == 0.0 && planner.follower_count() == 0);
 }
 
 #[test]
@@ -179,10 +192,10 @@
     let good = Followed::start(address);
     wait_for("plan", || good.has().leased);
     let silent: Vec<TcpStream> = (0..2).map(|_| connect(address)).collect();
-    wait_for("three", || planner.followers() == 3);
+    wait_for("three", || planner.follower_count() == 3);
     assert_eq!(until_ended(address, &hello()), b"", "there is no room");
     // They never say who they are, and lose their places to one that does.
-    wait_for("room again", || planner.followers() == 1);
+    wait_for("room again", || planner.follower_count() == 1);
     let mut next = connect(address);
     next.write_all(&hello()).unwrap();
     let mut length = [0; 4];
@@ -195,20 +208,26 @@
 fn a_forwarder_refuses_and_counts_what_a_planner_may_not_say() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let mark = Mark { epoch: 3, sequence: 2 };
-    let drain = |mark| write_told(&Told::Drain { planner: 0, mark, id: "b".into() });
-    let full = |p: Plan| write_told(&Told::Full(p));
+    let mark = AnnouncementVersion { epoch: 3, sequence: 2 };
+    let drain = |mark| {
+        write_planner_message(&PlannerMessage::Drain {
+            planner: 0,
+            announcement_version: mark,
+            id: "b".into(),
+        })
+    };
+    let full = |p: Plan| write_planner_message(&PlannerMessage::Full(p));
     let delta = Delta {
         from: Version { term: 1, generation: 90 },
         to: Version { term: 1, generation: 91 },
         gone: vec!["a".into()],
         ..Delta::default()
     };
-    let vouch = Told::Beat {
+    let vouch = PlannerMessage::HeartbeatReply {
         number: 999_999,
         version: Version { term: 1, generation: 5 },
         lease_ms: 5000,
-        full_ms: 5000,
+        max_lease_ms: 5000,
     };
     let mut weightless = plan(9, &["a"]);
     weightless.nodes[0].weight = 0.0;
@@ -221,9 +240,9 @@
             full(plan(4, &["x"])),
             full(plan(5, &["x"])),
             drain(mark),
-            drain(Mark { epoch: 2, sequence: 9 }),
-            write_told(&Told::Delta(delta)),
-            write_told(&vouch),
+            drain(AnnouncementVersion { epoch: 2, sequence: 9 }),
+            write_planner_message(&PlannerMessage::Delta(delta)),
+            write_planner_message(&vouch),
         ],
         vec![vec![4, 0, 0, 0, 0xff, 0xff, 0xff, 0xff]],
         vec![((9u32 << 20).to_le_bytes()).to_vec()],
@@ -238,7 +257,7 @@
             stream.read_exact(&mut length).unwrap();
             let mut bytes = vec![0; u32::from_le_bytes(length) as usize];
             stream.read_exact(&mut bytes).unwrap();
-            asked.push(read_asked(&bytes).unwrap());
+            asked.push(read_forwarder_message(&bytes).unwrap());
             script.iter().for_each(|says| stream.write_all(says).unwrap());
             if i == 0 {
                 stream.shutdown(Shutdown::Write).unwrap();
@@ -249,11 +268,15 @@
         asked
     });
     let forwarder = Followed::start(address);
-    wait_for("three that can't be read", || forwarder.refused(Refused::Unreadable) == 3);
+    wait_for("three that can't be read", || forwarder.refused(MessageRejection::Unreadable) == 3);
     let asked = planner.join().unwrap();
     let version = Version { term: 1, generation: 5 };
-    assert_eq!(asked[0], Asked::Hello { name: "good".into(), has: None, nodes: None });
-    let again = Asked::Hello { name: "good".into(), has: Some(version), nodes: None };
+    assert_eq!(
+        asked[0],
+        ForwarderMessage::Hello { name: "good".into(), plan_version: None, slice_size: None }
+    );
+    let again =
+        ForwarderMessage::Hello { name: "good".into(), plan_version: Some(version), slice_size: None };
     assert!(asked[1..].iter().all(|a| *a == again), "{asked:?}");
     let has = forwarder.has();
     assert_eq!(
@@ -261,5 +284,8 @@
         (Some(version), ["a", "b", "c"].map(String::from).into(), vec!["b".to_string()])
     );
     assert!(!has.leased, "nobody has answered what it asked");
-    assert_eq!((forwarder.refused(Refused::Old), forwarder.refused(Refused::Unasked)), (4, 1));
+    assert_eq!(
+        (forwarder.refused(MessageRejection::Outdated), forwarder.refused(MessageRejection::Unsolicited)),
+        (4, 1)
+    );
 }
--- a/crates/plan/tests/memory.rs
+++ b/crates/plan/tests/memory.rs
@@ -3,7 +3,7 @@
 #[path = "../../inventory/tests/common/counting.rs"]
 mod counting;
 
-use dewpier_plan::{Follower, Node, Plan, Slice, Told, Version};
+use dewpier_plan::{Follower, Node, Plan, PlannerMessage, Slice, Version};
 
 fn plan(nodes: usize) -> Plan {
     let node = |i: usize| Node {
@@ -18,7 +18,7 @@
     Plan {
         version: Version { term: 1, generation: 1 },
         nodes: (0..nodes).map(node).collect(),
-        heard: Vec::new(),
+        acknowledged: Vec::new(),
     }
 }
 
@@ -29,10 +29,10 @@
 fn held(slice: Option<Slice>, nodes: usize) -> usize {
     let now = || counting::NOW.load(std::sync::atomic::Ordering::Relaxed);
     let before = now();
-    let mut follower = Follower::of(slice);
-    follower.hear(0, Told::Full(plan(nodes)));
+    let mut follower = Follower::with_slice(slice);
+    follower.receive(0, PlannerMessage::Full(plan(nodes)));
     let held = now() - before;
-    assert_eq!(follower.planned().len(), slice.map_or(nodes, |s| s.size()));
+    assert_eq!(follower.planned_nodes().len(), slice.map_or(nodes, |s| s.size()));
     held
 }
 
