--- a/crates/dewpier/tests/growth.rs
+++ b/crates/dewpier/tests/growth.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 fn listed(id: u32, address: SocketAddr) -> ListedBackend {
-    ListedBackend { entry: Entry { id: BackendId(id), ..Entry::default() }, address }
+    ListedBackend { entry: BackendEntry { id: BackendId(id), ..BackendEntry::default() }, address }
 }
 
 #[test]
--- a/crates/dewpier/tests/streams.rs
+++ b/crates/dewpier/tests/streams.rs
@@ -7,9 +7,9 @@
 use dewpier_standins::message::read_head;
 use dewpier_standins::rng::Rng;
 use gannetproxy::engine::{
-    Answer, Attempt, AttemptResult, BackendListUpdate, Engine, EngineLimits, ListedBackend, Upstream,
+    Answer, Attempt, BackendListUpdate, Engine, EngineLimits, ListedBackend, Upstream, UpstreamResult,
 };
-use gannetproxy::{BackendId, Class, Effect, Entry, Outcome, Request, Settings};
+use gannetproxy::{BackendEntry, BackendId, Class, Effect, Outcome, Request, Settings};
 use serde_json::json;
 use sockets::*;
 use std::cell::RefCell;
@@ -295,7 +295,7 @@
         _: Rc<()>,
         _: Rc<()>,
         attempt: Attempt<()>,
-    ) -> impl Future<Output = AttemptResult<()>> + 'static {
+    ) -> impl Future<Output = UpstreamResult<()>> + 'static {
         let seen = self.0.clone();
         async move {
             // Until another attempt is out too.
@@ -308,14 +308,14 @@
             seen.borrow_mut().push(only);
             tokio::time::sleep(Duration::from_millis(50)).await;
             match only {
-                true => AttemptResult { reply: Some(()), ..AttemptResult::without_reply(Outcome::Served) },
-                false => AttemptResult::without_reply(Outcome::NeverSent),
+                true => UpstreamResult { reply: Some(()), ..UpstreamResult::without_reply(Outcome::Served) },
+                false => UpstreamResult::without_reply(Outcome::NeverSent),
             }
         }
     }
 
-    fn probe(&self, _: Rc<()>, _: Attempt<()>) -> impl Future<Output = AttemptResult<()>> + 'static {
-        std::future::ready(AttemptResult::without_reply(Outcome::Served))
+    fn probe(&self, _: Rc<()>, _: Attempt<()>) -> impl Future<Output = UpstreamResult<()>> + 'static {
+        std::future::ready(UpstreamResult::without_reply(Outcome::Served))
     }
 }
 
@@ -328,15 +328,15 @@
         // Attempts that lost are not cancelled, so that both get as far.
         let settings = Settings {
             classes: vec![class],
-            cancel: false,
-            second_copies: true,
+            can_cancel: false,
+            allow_concurrent_attempts: true,
             max_attempts: 4,
             ..Settings::default()
         };
         let bounds = EngineLimits { drain_grace: LONG, max_open_requests: 10 };
         let engine = Engine::start(settings, bounds, 7, Waits(seen.clone()));
         let listed = |n| ListedBackend {
-            entry: Entry { id: BackendId(n), ..Entry::default() },
+            entry: BackendEntry { id: BackendId(n), ..BackendEntry::default() },
             address: ([127, 0, 0, 1], 1).into(),
         };
         engine.update_list(BackendListUpdate::Remembered(vec![listed(1), listed(2), listed(3)]));
--- a/crates/http/src/backend.rs
+++ b/crates/http/src/backend.rs
@@ -7,7 +7,7 @@
 use crate::peer::{BackendReply, Connection, ExchangeError, LAST_BYTE_DELAY, connect};
 use dewpier_operate::figures::Attempts;
 use dewpier_reuse::{HandshakePrice, LossCost, ReuseHistory, SharedHistory};
-use gannetproxy::engine::{Attempt, AttemptResult, Upstream};
+use gannetproxy::engine::{Attempt, Upstream, UpstreamResult};
 use gannetproxy::{Outcome, Report};
 use hyper::body::Body;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
@@ -251,12 +251,12 @@
         endpoint: Rc<Endpoint>,
         payload: Rc<Payload>,
         attempt: Attempt<BackendResponse>,
-    ) -> impl Future<Output = AttemptResult<BackendResponse>> + 'static {
+    ) -> impl Future<Output = UpstreamResult<BackendResponse>> + 'static {
         let (response_policy, attempt_counter) = (self.response_policy, self.attempt_counter.clone());
         async move {
             let upload = match payload.stream_progress() {
                 // Another attempt has already taken the streamed body, so that there is nothing to send.
-                Some(None) => return AttemptResult::without_reply(Outcome::NeverSent),
+                Some(None) => return UpstreamResult::without_reply(Outcome::NeverSent),
                 Some(upload) => upload,
                 None => None,
             };
@@ -283,7 +283,7 @@
         &self,
         endpoint: Rc<Endpoint>,
         attempt: Attempt<()>,
-    ) -> impl Future<Output = AttemptResult<()>> + 'static {
+    ) -> impl Future<Output = UpstreamResult<()>> + 'static {
         let path = self.probe_path;
         async move {
             let request = |_: Option<&UploadProgress>| {
@@ -302,13 +302,13 @@
                 accepts_streaming: false,
             };
             let probe = exchange(&endpoint, &attempt, options, false, request, |_| false);
-            let timed_out = AttemptResult::without_reply(Outcome::Timeout);
+            let timed_out = UpstreamResult::without_reply(Outcome::Timeout);
             let result = tokio::time::timeout(timeout, probe).await.unwrap_or(timed_out);
             let body = result.reply.as_ref().and_then(|s| match &s.body {
                 ResponseBody::Buffered(body) => parse_load_report(body),
                 ResponseBody::Streamed(_) => None,
             });
-            AttemptResult {
+            UpstreamResult {
                 outcome: result.outcome,
                 reply: None,
                 fallback: None,
@@ -339,7 +339,7 @@
     head_only: bool,
     request: impl Fn(Option<&UploadProgress>) -> Option<Request<RequestBody>>,
     start_stream: impl Fn(BackendResponse) -> bool,
-) -> AttemptResult<BackendResponse> {
+) -> UpstreamResult<BackendResponse> {
     let ExchangeOptions {
         response_policy,
         attempt_counter,
@@ -355,22 +355,22 @@
         let Some(ReadyConnection { mut connection, permit, idle_time }) =
             endpoint.take_or_connect(loss_cost).await
         else {
-            return AttemptResult::without_reply(Outcome::NoConnection);
+            return UpstreamResult::without_reply(Outcome::NoConnection);
         };
         // The client may have disconnected during the connect. An expired lease says nothing about this
         // backend.
         if !attempt.request_open.get() || !attempt.gate.is_lease_valid() {
-            return AttemptResult::without_reply(Outcome::NeverSent);
+            return UpstreamResult::without_reply(Outcome::NeverSent);
         }
         // The backend may have started to drain during the connect.
         if !attempt.gate.can_send(&attempt.clock) {
-            return AttemptResult::without_reply(Outcome::NoConnection);
+            return UpstreamResult::without_reply(Outcome::NoConnection);
         }
         if upload.is_some() && !attempt.exclusive_claim.claim() {
-            return AttemptResult::without_reply(Outcome::NeverSent);
+            return UpstreamResult::without_reply(Outcome::NeverSent);
         }
         let Some(request_to_send) = request(upload.as_ref().map(|(progress, _)| progress)) else {
-            return AttemptResult::without_reply(Outcome::NeverSent);
+            return UpstreamResult::without_reply(Outcome::NeverSent);
         };
         written.set(true);
         let is_new = idle_time.is_none();
@@ -382,12 +382,14 @@
             }
             // A part of the streamed body is lost with the connection.
             Err(error @ ExchangeError::Unsent) if upload.is_some() => {
-                return AttemptResult::without_reply(error.outcome());
+                return UpstreamResult::without_reply(error.outcome());
+            }
+            Err(error @ ExchangeError::ReplyTimeout) => {
+                return UpstreamResult::without_reply(error.outcome());
             }
-            Err(error @ ExchangeError::ReplyTimeout) => return AttemptResult::without_reply(error.outcome()),
             // A reused connection may have been closed meanwhile; a second failure on a new one is final.
             Err(error @ ExchangeError::Unsent) if is_new && new_connection_failed => {
-                return AttemptResult::without_reply(error.outcome());
+                return UpstreamResult::without_reply(error.outcome());
             }
             Err(ExchangeError::Unsent) => {
                 if idle_time.is_some() {
@@ -404,7 +406,7 @@
                     .filter(|_| !is_new)
                     .into_iter()
                     .for_each(|lost_on_reused| lost_on_reused.set(true));
-                return AttemptResult::without_reply(error.outcome());
+                return UpstreamResult::without_reply(error.outcome());
             }
         }
     };
@@ -426,7 +428,7 @@
         }
         BackendReply::Streamed(head, received, body) => {
             if !accepts_streaming {
-                return AttemptResult::without_reply(Outcome::Reset);
+                return UpstreamResult::without_reply(Outcome::Reset);
             }
             let remaining_bytes = body.size_hint().exact();
             let (sender, stream) = ResponseSender::channel(received, remaining_bytes);
@@ -437,7 +439,7 @@
     let is_plain = response_policy == ResponsePolicy::Plain;
     let outcome = match head.status {
         StatusCode::OK => Outcome::Served,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejected() => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejected() => Outcome::Rejected,
         status if is_plain && !status.is_server_error() => Outcome::Served,
         _ => Outcome::Error,
     };
@@ -455,39 +457,39 @@
     }
     if let Some((mut connection, permit, mut body, sender)) = streaming {
         let Some(response) = response.filter(|_| outcome == Outcome::Served) else {
-            return AttemptResult { outcome, reply: None, fallback: None, report };
+            return UpstreamResult { outcome, reply: None, fallback: None, report };
         };
         if !start_stream(response) {
-            return AttemptResult::without_reply(Outcome::Cancelled);
+            return UpstreamResult::without_reply(Outcome::Cancelled);
         }
         loop {
             // Reads on once the client can take more; a disconnected client ends the attempt.
             let chunk = tokio::select! {
                 chunk = connection.read_chunk(&mut body) => chunk,
-                () = sender.client_disconnected() => return AttemptResult::without_reply(Outcome::Cancelled),
+                () = sender.client_disconnected() => return UpstreamResult::without_reply(Outcome::Cancelled),
             };
             match chunk {
                 Ok(Some(data)) if data.is_empty() => {}
                 Ok(Some(data)) => {
                     if !sender.send_chunk(data).await {
-                        return AttemptResult::without_reply(Outcome::Cancelled);
+                        return UpstreamResult::without_reply(Outcome::Cancelled);
                     }
                 }
                 Ok(None) => break,
-                Err(_) => return AttemptResult::without_reply(Outcome::Reset),
+                Err(_) => return UpstreamResult::without_reply(Outcome::Reset),
             }
         }
         sender.finish().await;
         keep_connection(connection, permit);
-        return AttemptResult { outcome, reply: None, fallback: None, report };
+        return UpstreamResult { outcome, reply: None, fallback: None, report };
     }
     let (reply, fallback) = if outcome == Outcome::Served { (response, None) } else { (None, response) };
-    AttemptResult { outcome, reply, fallback, report }
+    UpstreamResult { outcome, reply, fallback, report }
 }
 
 /// Parses a load report, ignoring unknown fields.
 fn parse_load_report(json: &[u8]) -> Option<Report> {
     let fields: serde_json::Map<String, serde_json::Value> = serde_json::from_slice(json).ok()?;
     let service = fields.get("avg_ms").or(fields.get("latency_ms")).and_then(|v| v.as_f64());
-    Some(Report { service: service.filter(|ms| *ms >= 0.0).map(|ms| ms / 1000.0) })
+    Some(Report { service_time: service.filter(|ms| *ms >= 0.0).map(|ms| ms / 1000.0) })
 }
--- a/crates/http/src/discovery/mod.rs
+++ b/crates/http/src/discovery/mod.rs
@@ -96,7 +96,7 @@
         engine: Rc<Engine<HttpUpstream>>,
     ) -> Rc<Self> {
         let timing = if settings.must_watch { CallTiming::SHARED_SERVICE } else { CallTiming::LOCAL_AGENT };
-        let max_wait = Duration::try_from_secs_f64(settings.ask_within).unwrap_or(timing.wait);
+        let max_wait = Duration::try_from_secs_f64(settings.list_request_deadline).unwrap_or(timing.wait);
         let discovery = Rc::new(Self {
             ids: RefCell::new(BackendIds::new(wire.zones.clone())),
             watch_state: RefCell::new(WatchState {
--- a/crates/http/src/listing.rs
+++ b/crates/http/src/listing.rs
@@ -1,7 +1,7 @@
 //! Parses backend lists of the discovery service and assigns numeric IDs to backends and zones.
 
 use gannetproxy::engine::{Clock, ListedBackend};
-use gannetproxy::{BackendId, Entry, Status};
+use gannetproxy::{BackendEntry, BackendId, Status};
 use serde::Deserialize;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -92,7 +92,7 @@
     /// Converts entries to the types of the decision module.
     pub fn convert_list(&mut self, entries: Vec<RawEntry>, clock: &Clock) -> Vec<ListedBackend> {
         let convert = |entry: RawEntry| ListedBackend {
-            entry: Entry {
+            entry: BackendEntry {
                 id: self.id_for(&entry.instance_id),
                 cell: entry.cell,
                 zone: zone_index(&mut self.zones, &entry.zone),
@@ -103,7 +103,7 @@
                     Lifecycle::Deleted => Status::Gone,
                 },
                 started: (entry.started_at_ms > 0.0).then(|| clock.from_unix(entry.started_at_ms / 1000.0)),
-                usual: None,
+                usual_rate: None,
             },
             address: entry.host_port,
         };
--- a/crates/http/tests/kept_connections.rs
+++ b/crates/http/tests/kept_connections.rs
@@ -8,7 +8,7 @@
 use dewpier_http::payload::{Payload, PayloadBody};
 use dewpier_standins::LONG;
 use dewpier_standins::message::{answer, read, reset};
-use gannetproxy::engine::{Attempt, AttemptResult, Clock, SendGate, Upstream};
+use gannetproxy::engine::{Attempt, Clock, SendGate, Upstream, UpstreamResult};
 use gannetproxy::{BackendId, Outcome};
 use std::cell::Cell;
 use std::io::{BufReader, Write};
@@ -107,7 +107,7 @@
         loss_cost: dewpier_reuse::LossCost::Retryable,
         lost_on_reused: Default::default(),
     };
-    let AttemptResult { outcome, reply, .. } = http.attempt(endpoint.clone(), payload.into(), context).await;
+    let UpstreamResult { outcome, reply, .. } = http.attempt(endpoint.clone(), payload.into(), context).await;
     let body = reply.map(|response| match response.body {
         ResponseBody::Buffered(body) => body,
         ResponseBody::Streamed(_) => unreachable!("the body is short"),
--- a/crates/mysql/src/io/upstream.rs
+++ b/crates/mysql/src/io/upstream.rs
@@ -9,7 +9,7 @@
 use crate::reply::{Answers, Ended, Reply};
 use crate::session::{Hold, PING};
 use bytes::Bytes;
-use gannetproxy::engine::{Attempt, AttemptResult, Budget, Upstream};
+use gannetproxy::engine::{Attempt, Budget, Upstream, UpstreamResult};
 use gannetproxy::{BackendId, Outcome};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -185,7 +185,7 @@
         endpoint: Rc<Endpoint>,
         payload: Rc<Payload>,
         attempt: Attempt<Served>,
-    ) -> impl Future<Output = AttemptResult<Served>> + 'static {
+    ) -> impl Future<Output = UpstreamResult<Served>> + 'static {
         let (ways, role) = (self.ways(), self.role);
         async move { exchange(&endpoint, &payload, &attempt, &ways, role).await }
     }
@@ -194,7 +194,7 @@
         &self,
         endpoint: Rc<Endpoint>,
         attempt: Attempt<()>,
-    ) -> impl Future<Output = AttemptResult<()>> + 'static {
+    ) -> impl Future<Output = UpstreamResult<()>> + 'static {
         let ways = self.ways();
         async move {
             let within = 4 * ways.connect_timeout;
@@ -211,13 +211,13 @@
                     Err(_) => Outcome::Reset,
                 }
             };
-            AttemptResult::without_reply(timeout(within, probed).await.unwrap_or(Outcome::Timeout))
+            UpstreamResult::without_reply(timeout(within, probed).await.unwrap_or(Outcome::Timeout))
         }
     }
 }
 
-fn done(outcome: Outcome, served: Option<Served>) -> AttemptResult<Served> {
-    AttemptResult { outcome, reply: served, fallback: None, report: None }
+fn done(outcome: Outcome, served: Option<Served>) -> UpstreamResult<Served> {
+    UpstreamResult { outcome, reply: served, fallback: None, report: None }
 }
 
 /// Puts a connection where it belongs after an exchange: with its session, or where others find it.
@@ -235,7 +235,7 @@
     attempt: &Attempt<Served>,
     ways: &Ways,
     role: Role,
-) -> AttemptResult<Served> {
+) -> UpstreamResult<Served> {
     let (era, whose) = (endpoint.era.get(), (role, attempt.backend));
     let mut conn = loop {
         let kept = match payload.held {
@@ -337,7 +337,7 @@
     let answer = Some(Served { frames: frames.freeze(), next, rest: Rest::Over(ended, hold), _room: room });
     match never_ran {
         // Another server may do it; else the client hears what this one said.
-        true => AttemptResult { fallback: answer, ..done(Outcome::Full, None) },
+        true => UpstreamResult { fallback: answer, ..done(Outcome::Rejected, None) },
         false => done(Outcome::Served, answer),
     }
 }
--- a/src/engine/affine.rs
+++ b/src/engine/affine.rs
@@ -61,7 +61,7 @@
     outcome: Outcome,
     fallback: Option<U::Reply>,
 ) {
-    let unsent = matches!(outcome, Outcome::NoConnection | Outcome::NeverSent | Outcome::Full);
+    let unsent = matches!(outcome, Outcome::NoConnection | Outcome::NeverSent | Outcome::Rejected);
     send_answer(
         state,
         id,
--- a/src/engine/list.rs
+++ b/src/engine/list.rs
@@ -1,6 +1,6 @@
 //! Backend list updates and the requests for them, independent of where the list comes from.
 
-use crate::Entry;
+use crate::BackendEntry;
 use std::net::SocketAddr;
 
 /// An update of the backend list.
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct ListedBackend {
     /// The entry as the decision module takes it.
-    pub entry: Entry,
+    pub entry: BackendEntry,
     /// The address that the backend listens on.
     pub address: SocketAddr,
 }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -14,11 +14,11 @@
 pub use budget::{Budget, Permit};
 pub use clock::Clock;
 pub use list::{BackendListUpdate, ListRequest, ListedBackend};
-pub use upstream::{Attempt, AttemptResult, ExclusiveClaim, Lease, ReplySink, SendGate, Upstream};
+pub use upstream::{Attempt, ExclusiveClaim, Lease, ReplySink, SendGate, Upstream, UpstreamResult};
 
 use crate::{
-    Action, BackendId, Balancer, Ended, Entry, Event, ListUpdate, Outcome, Report, Request, RequestId,
-    Settings, Status, Time,
+    Action, AttemptResult, BackendEntry, BackendId, Balancer, Event, ListUpdate, Outcome, Report, Request,
+    RequestId, Settings, Status, Time,
 };
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -280,7 +280,7 @@
     pub fn apply_backend_hints(&self, hints: &[(BackendId, f64)]) {
         let mut state = self.state.borrow_mut();
         let to_event = |(backend, slowness): &(BackendId, f64)| {
-            QueuedEvent::Event(Event::Believed { backend: *backend, slowness: *slowness })
+            QueuedEvent::Event(Event::BackendHint { backend: *backend, slowness: *slowness })
         };
         state.event_queue.extend(hints.iter().map(to_event));
         self.decide(state);
@@ -307,7 +307,7 @@
     pub fn count_backends(&self) -> (usize, usize) {
         let state = self.state.borrow();
         let listed = state.endpoints.values().filter(|known| known.gate.is_listed()).count();
-        (listed, state.balancer.avoided().min(listed))
+        (listed, state.balancer.avoided_backends().min(listed))
     }
 
     /// Returns whether a backend list with a backend in service has been received.
@@ -386,13 +386,13 @@
             let backend = state.running_attempts.get(&(id, attempt)).map(|running| running.backend);
             abort_attempt(&mut state, id, attempt);
             if let Some(backend) = backend {
-                let ended = Ended {
+                let ended = AttemptResult {
                     id,
                     backend,
                     attempt,
                     outcome: Outcome::Cancelled,
-                    took: 0.0,
-                    over: true,
+                    duration: 0.0,
+                    is_final: true,
                     report: None,
                 };
                 state.event_queue.push_back(QueuedEvent::Event(Event::Outcome(ended)));
@@ -400,7 +400,7 @@
             return self.decide(state);
         }
         if !remove_queued(&mut state, id) {
-            state.event_queue.push_back(QueuedEvent::Event(Event::ClientLeft(id)));
+            state.event_queue.push_back(QueuedEvent::Event(Event::ClientDisconnected(id)));
             self.cancel_unsent_attempts(&mut state, id, open.attempts);
             self.decide(state);
         }
@@ -410,7 +410,7 @@
     fn cancel_unsent_attempts(&self, state: &mut State<U>, id: RequestId, attempts: usize) {
         for attempt in 0..attempts {
             if state.running_attempts.get(&(id, attempt)).is_some_and(|running| !running.written.get()) {
-                self.end_attempt(state, id, attempt, AttemptResult::without_reply(Outcome::NeverSent));
+                self.end_attempt(state, id, attempt, UpstreamResult::without_reply(Outcome::NeverSent));
             }
         }
     }
@@ -495,7 +495,7 @@
     }
 
     /// Handles an attempt that ended by itself.
-    fn handle_attempt_result(&self, id: RequestId, attempt: usize, result: AttemptResult<U::Reply>) {
+    fn handle_attempt_result(&self, id: RequestId, attempt: usize, result: UpstreamResult<U::Reply>) {
         let mut state = self.state.borrow_mut();
         self.end_attempt(&mut state, id, attempt, result);
         self.decide(state);
@@ -508,7 +508,7 @@
         state: &mut State<U>,
         id: RequestId,
         attempt: usize,
-        result: AttemptResult<U::Reply>,
+        result: UpstreamResult<U::Reply>,
     ) {
         let Some(running) = state.running_attempts.remove(&(id, attempt)) else {
             return; // has ended before
@@ -541,13 +541,13 @@
         } else if let (Some(fallback), Some(open)) = (result.fallback, state.open_requests.get_mut(&id)) {
             open.fallback = Some(fallback);
         }
-        state.event_queue.push_back(QueuedEvent::Event(Event::Outcome(Ended {
+        state.event_queue.push_back(QueuedEvent::Event(Event::Outcome(AttemptResult {
             id,
             backend: running.backend,
             attempt,
             outcome: result.outcome,
-            took: self.clock.now() - running.sent_at,
-            over: !state.open_requests.contains_key(&id),
+            duration: self.clock.now() - running.sent_at,
+            is_final: !state.open_requests.contains_key(&id),
             report: result.report,
         })));
         self.cancel_unsent_attempts(state, id, attempts_made);
@@ -565,7 +565,7 @@
         while let Some(queued_event) = state.event_queue.pop_front() {
             let now = self.clock.now();
             let entries =
-                |list: Vec<ListedBackend>| list.into_iter().map(|l| l.entry).collect::<Vec<Entry>>();
+                |list: Vec<ListedBackend>| list.into_iter().map(|l| l.entry).collect::<Vec<BackendEntry>>();
             match queued_event {
                 QueuedEvent::Event(event) => state.balancer.handle(now, event, &mut actions),
                 QueuedEvent::List(update) => {
@@ -583,7 +583,7 @@
                             list = entries(l);
                             ListUpdate::Remembered(&list)
                         }
-                        BackendListUpdate::Failed => ListUpdate::Refused,
+                        BackendListUpdate::Failed => ListUpdate::Failed,
                     };
                     state.balancer.handle(now, Event::List(update), &mut actions);
                 }
@@ -598,15 +598,15 @@
         match action {
             Action::Send { id, backend, timeout } => self.send(state, id, backend, timeout, now),
             Action::Cancel { id, attempt } => {
-                self.end_attempt(state, id, attempt, AttemptResult::without_reply(Outcome::Cancelled));
+                self.end_attempt(state, id, attempt, UpstreamResult::without_reply(Outcome::Cancelled));
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.answer_request(state, id, |fallback| Answer::Rejected(retry_after, fallback));
             }
             Action::Fail { id } => self.answer_request(state, id, Answer::Failed),
             Action::Timer { at, token } => self.set_timer(state, at, TimerKind::Token(token)),
             Action::Probe(backend) => self.probe(state, backend),
-            Action::Release(backend) => {
+            Action::CloseIdleConnections(backend) => {
                 let known = state.endpoints.get(&backend);
                 known.into_iter().for_each(|known| self.upstream.release_connections(&known.endpoint));
             }
@@ -626,13 +626,13 @@
         let open = state.open_requests.get_mut(&id).filter(|open| open.attempts < max_attempts);
         let (Some(open), Some((gate, endpoint)), Some(engine)) = (open, known, self.this.upgrade()) else {
             let attempt = state.open_requests.get(&id).map_or(0, |open| open.attempts);
-            return state.event_queue.push_back(QueuedEvent::Event(Event::Outcome(Ended {
+            return state.event_queue.push_back(QueuedEvent::Event(Event::Outcome(AttemptResult {
                 id,
                 backend,
                 attempt,
                 outcome: Outcome::NeverSent,
-                took: 0.0,
-                over: !state.open_requests.contains_key(&id),
+                duration: 0.0,
+                is_final: !state.open_requests.contains_key(&id),
                 report: None,
             })));
         };
@@ -766,7 +766,7 @@
                 TimerKind::Attempt(id, attempt) => {
                     let written = state.running_attempts.get(&(id, attempt)).is_some_and(|r| r.written.get());
                     let outcome = if written { Outcome::Timeout } else { Outcome::NoConnection };
-                    self.end_attempt(&mut state, id, attempt, AttemptResult::without_reply(outcome));
+                    self.end_attempt(&mut state, id, attempt, UpstreamResult::without_reply(outcome));
                 }
                 // The request is still queued at its deadline.
                 TimerKind::Request(id) if remove_queued(&mut state, id) => {
@@ -787,7 +787,7 @@
                             false => Answer::Failed(fallback),
                         };
                         self.answer_request(&mut state, id, answer);
-                        state.event_queue.push_back(QueuedEvent::Event(Event::ClientLeft(id)));
+                        state.event_queue.push_back(QueuedEvent::Event(Event::ClientDisconnected(id)));
                     }
                 }
             }
--- a/src/engine/streamed.rs
+++ b/src/engine/streamed.rs
@@ -42,7 +42,7 @@
         running.streaming = true;
         running.exclusive = true;
         if !open.affine {
-            state.event_queue.push_back(QueuedEvent::Event(Event::Started { id, attempt }));
+            state.event_queue.push_back(QueuedEvent::Event(Event::StreamStarted { id, attempt }));
             self.decide(state);
         }
         true
@@ -60,7 +60,7 @@
         }
         let _ = open.answer.send(Answer::Served(reply)); // fails if the client has disconnected
         if !open.affine && open.exclusive.is_none() {
-            state.event_queue.push_back(QueuedEvent::Event(Event::Started { id, attempt }));
+            state.event_queue.push_back(QueuedEvent::Event(Event::StreamStarted { id, attempt }));
             self.cancel_unsent_attempts(&mut state, id, open.attempts);
             self.decide(state);
         }
--- a/src/engine/upstream.rs
+++ b/src/engine/upstream.rs
@@ -170,7 +170,7 @@
 
 /// The result of an attempt or a probe.
 #[derive(Debug)]
-pub struct AttemptResult<R> {
+pub struct UpstreamResult<R> {
     /// How it ended.
     pub outcome: Outcome,
     /// The reply, if the request was served.
@@ -182,7 +182,7 @@
     pub report: Option<Report>,
 }
 
-impl<R> AttemptResult<R> {
+impl<R> UpstreamResult<R> {
     /// Creates a result without reply and load report.
     pub fn without_reply(outcome: Outcome) -> Self {
         Self { outcome, reply: None, fallback: None, report: None }
@@ -227,12 +227,12 @@
         endpoint: Rc<Self::Endpoint>,
         payload: Rc<Self::Payload>,
         attempt: Attempt<Self::Reply>,
-    ) -> impl Future<Output = AttemptResult<Self::Reply>> + 'static;
+    ) -> impl Future<Output = UpstreamResult<Self::Reply>> + 'static;
 
     /// Checks whether a backend answers, within a time limit of its own.
     fn probe(
         &self,
         endpoint: Rc<Self::Endpoint>,
         attempt: Attempt<()>,
-    ) -> impl Future<Output = AttemptResult<()>> + 'static;
+    ) -> impl Future<Output = UpstreamResult<()>> + 'static;
 }
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -2,9 +2,11 @@
 //! that come up late, second answers. Drawn from seeds; a failure names its seed.
 
 use gannetproxy::engine::{
-    Answer, Attempt, AttemptResult, BackendListUpdate, Engine, EngineLimits, ListedBackend, Upstream,
+    Answer, Attempt, BackendListUpdate, Engine, EngineLimits, ListedBackend, Upstream, UpstreamResult,
+};
+use gannetproxy::{
+    BackendEntry, BackendId, Class, DedupGroup, Effect, Outcome, Request, RequestId, Settings,
 };
-use gannetproxy::{BackendId, Class, Effect, Entry, Group, Outcome, Request, RequestId, Settings};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -47,7 +49,7 @@
 }
 
 fn may_have_run(outcome: Option<Outcome>) -> bool {
-    !matches!(outcome, Some(Outcome::Full | Outcome::NoConnection | Outcome::NeverSent))
+    !matches!(outcome, Some(Outcome::Rejected | Outcome::NoConnection | Outcome::NeverSent))
 }
 
 impl Account {
@@ -106,7 +108,7 @@
         _: Rc<()>,
         payload: Rc<Rc<Account>>,
         attempt: Attempt<()>,
-    ) -> impl Future<Output = AttemptResult<()>> + 'static {
+    ) -> impl Future<Output = UpstreamResult<()>> + 'static {
         let connects = self.draw(|rng| match rng.random_range(0..3) {
             0 => rng.random_range(CONNECTS[0]..CONNECTS[1]),
             _ => 0.0,
@@ -124,7 +126,7 @@
             let (outcome, served) = match end {
                 0 | 1 => (Outcome::Served, Some(())),
                 2 => (Outcome::Error, None),
-                3 => (Outcome::Full, None),
+                3 => (Outcome::Rejected, None),
                 4 => (Outcome::Reset, None),
                 // Broken before its last byte.
                 5 => {
@@ -135,26 +137,26 @@
                 _ => std::future::pending().await,
             };
             payload.sent.borrow_mut()[place].2 = Some(outcome);
-            AttemptResult { outcome, reply: served, fallback: None, report: None }
+            UpstreamResult { outcome, reply: served, fallback: None, report: None }
         }
     }
 
-    fn probe(&self, _: Rc<()>, _: Attempt<()>) -> impl Future<Output = AttemptResult<()>> + 'static {
-        std::future::ready(AttemptResult::without_reply(Outcome::Served))
+    fn probe(&self, _: Rc<()>, _: Attempt<()>) -> impl Future<Output = UpstreamResult<()>> + 'static {
+        std::future::ready(UpstreamResult::without_reply(Outcome::Served))
     }
 }
 
 fn settings(cancel: bool) -> Settings {
     let class = |effect| Class { aim: BUDGET, deadline: BUDGET, effect, late_worth: 1.0, ..Class::default() };
-    let keyed = Effect::Keyed { group: Group::Cell, window: WINDOW };
+    let keyed = Effect::Keyed { group: DedupGroup::Cell, window: WINDOW };
     Settings {
         classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
-        cancel,
-        second_copies: true,
+        can_cancel: cancel,
+        allow_concurrent_attempts: true,
         max_attempts: 4,
         quantum: 0.002,
         tier: 1,
-        instances: 1,
+        instance_count: 1,
         ..Settings::default()
     }
 }
@@ -167,7 +169,7 @@
     // Where attempts may not be withdrawn, those that were not sent yet must end all the same.
     let engine = Engine::start(settings(seed.is_multiple_of(2)), bounds, seed, Script { rng: rng.clone() });
     let listed = |id: u32| ListedBackend {
-        entry: Entry { id: BackendId(id), cell: cell(id), ..Entry::default() },
+        entry: BackendEntry { id: BackendId(id), cell: cell(id), ..BackendEntry::default() },
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
     };
     engine.update_list(BackendListUpdate::Full((0..BACKENDS).map(listed).collect()));
