--- a/crates/http/src/listing.rs
+++ b/crates/http/src/listing.rs
@@ -102,7 +102,8 @@
                     Lifecycle::Draining => Status::Draining,
                     Lifecycle::Deleted => Status::Gone,
                 },
-                started: (entry.started_at_ms > 0.0).then(|| clock.from_unix(entry.started_at_ms / 1000.0)),
+                started: (entry.started_at_ms > 0.0)
+                    .then(|| clock.convert_unix_time(entry.started_at_ms / 1000.0)),
                 usual_rate: None,
             },
             address: entry.host_port,
--- a/crates/http/tests/discovery_herd.rs
+++ b/crates/http/tests/discovery_herd.rs
@@ -21,15 +21,15 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Event {
+enum CallEvent {
     /// A proxy makes its next call.
-    CallStarted(usize),
+    Started(usize),
     /// The service has completed a call of a proxy.
-    CallServed(usize, u32),
+    Served(usize, u32),
     /// A call was rejected, after too long in the queue or while the service is down.
-    CallRejected(usize, u32),
+    Rejected(usize, u32),
     /// A call of a proxy timed out.
-    CallTimedOut(usize, u32),
+    TimedOut(usize, u32),
 }
 
 /// Returns when each proxy gets the list, counted from when it was available to the proxy.
@@ -39,7 +39,7 @@
         .collect();
     let mut events = BinaryHeap::new();
     let started: Vec<Duration> = (0..scenario.proxies).map(|i| scenario.start_interval * i as u32).collect();
-    started.iter().enumerate().for_each(|(i, at)| events.push(Reverse((*at, Event::CallStarted(i)))));
+    started.iter().enumerate().for_each(|(i, at)| events.push(Reverse((*at, CallEvent::Started(i)))));
     let mut next: Vec<Call> = schedules.iter_mut().map(Schedule::next_fetch).collect();
     // The number of the current call of each proxy, and whether the proxy waits for it.
     let mut calls = vec![(0, false); scenario.proxies];
@@ -48,38 +48,38 @@
     let mut received_after = vec![None; scenario.proxies];
     while let Some(Reverse((now, event))) = events.pop() {
         match event {
-            Event::CallStarted(i) => {
+            CallEvent::Started(i) => {
                 calls[i] = (calls[i].0 + 1, true);
                 if now < scenario.down_until {
-                    events.push(Reverse((now, Event::CallRejected(i, calls[i].0))));
+                    events.push(Reverse((now, CallEvent::Rejected(i, calls[i].0))));
                     continue;
                 }
                 queue.push_back((i, calls[i].0));
-                events.push(Reverse((now + scenario.queue_timeout, Event::CallRejected(i, calls[i].0))));
-                events.push(Reverse((now + next[i].timeout, Event::CallTimedOut(i, calls[i].0))));
+                events.push(Reverse((now + scenario.queue_timeout, CallEvent::Rejected(i, calls[i].0))));
+                events.push(Reverse((now + next[i].timeout, CallEvent::TimedOut(i, calls[i].0))));
             }
-            Event::CallServed(i, number) => {
+            CallEvent::Served(i, number) => {
                 busy = false;
                 if calls[i] == (number, true) && received_after[i].is_none() {
                     calls[i].1 = false;
                     received_after[i] = Some(now.saturating_sub(started[i].max(scenario.down_until)));
                 }
             }
-            Event::CallRejected(i, number) | Event::CallTimedOut(i, number) => {
-                if matches!(event, Event::CallRejected(..)) {
+            CallEvent::Rejected(i, number) | CallEvent::TimedOut(i, number) => {
+                if matches!(event, CallEvent::Rejected(..)) {
                     queue.retain(|call| *call != (i, number));
                 }
                 if calls[i] == (number, true) && received_after[i].is_none() {
                     calls[i].1 = false;
                     schedules[i].record_failure();
                     next[i] = schedules[i].next_fetch();
-                    events.push(Reverse((now + next[i].delay, Event::CallStarted(i))));
+                    events.push(Reverse((now + next[i].delay, CallEvent::Started(i))));
                 }
             }
         }
         if !busy && let Some((i, number)) = queue.pop_front() {
             busy = true;
-            events.push(Reverse((now + scenario.service_time, Event::CallServed(i, number))));
+            events.push(Reverse((now + scenario.service_time, CallEvent::Served(i, number))));
         }
     }
     received_after.into_iter().map(|at| at.expect("every proxy gets the list")).collect()
--- a/crates/http/tests/kept_connections.rs
+++ b/crates/http/tests/kept_connections.rs
@@ -23,7 +23,7 @@
     /// Sends these bytes.
     SendBytes(&'static str),
     /// Closes its write side.
-    StreamedResponse,
+    CloseWrite,
     /// Resets the connection.
     Reset,
 }
@@ -52,7 +52,7 @@
                 ConnectionFault::SendBytes(text) => {
                     (&first).write_all(text.as_bytes()).map(|()| Some(stream))
                 }
-                ConnectionFault::StreamedResponse => first.shutdown(Shutdown::Write).map(|()| Some(stream)),
+                ConnectionFault::CloseWrite => first.shutdown(Shutdown::Write).map(|()| Some(stream)),
                 ConnectionFault::Reset => {
                     drop(stream);
                     reset(first);
@@ -123,7 +123,7 @@
         ConnectionFault::SendBytes("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"),
         ConnectionFault::SendBytes("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nstray"),
         ConnectionFault::SendBytes("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
-        ConnectionFault::StreamedResponse,
+        ConnectionFault::CloseWrite,
         ConnectionFault::Reset,
     ] {
         let backend = Backend::start(fault);
--- a/src/engine/clock.rs
+++ b/src/engine/clock.rs
@@ -23,7 +23,7 @@
     }
 
     /// Converts a Unix time in seconds. The result for one input stays the same while the process runs.
-    pub fn from_unix(&self, unix_time: Time) -> Time {
+    pub fn convert_unix_time(&self, unix_time: Time) -> Time {
         unix_time - self.unix_start
     }
 
