--- a/crates/http/src/backend.rs
+++ b/crates/http/src/backend.rs
@@ -26,7 +26,7 @@
 /// Time after a response before its connection is reused. Stray bytes that a backend sends behind a response
 /// arrive within this time and invalidate the connection, instead of being taken for the next response.
 const SETTLE_TIME: Duration = Duration::from_millis(25);
-/// A reused connection that closes without a response within this time after the last byte, plus two connect
+/// A connection that closes without a response within this time after the last byte, plus two connect
 /// times, counts as stale before the request.
 const SILENT_CLOSE_WINDOW: Duration = Duration::from_millis(5);
 
@@ -39,7 +39,7 @@
 /// When idle connections are reused, based on the history of all backends and the price of a handshake.
 #[derive(Clone)]
 pub struct ReusePolicy {
-    shared: Rc<RefCell<SharedHistory>>,
+    shared_history: Rc<RefCell<SharedHistory>>,
     start: Instant,
     price: HandshakePrice,
 }
@@ -48,7 +48,7 @@
     /// Creates the policy for a handshake price given as a fraction of the worth of an average request, on
     /// top of what any handshake costs.
     pub fn new(price: f64) -> Self {
-        Self { shared: Rc::default(), start: Instant::now(), price: HandshakePrice::new(price) }
+        Self { shared_history: Rc::default(), start: Instant::now(), price: HandshakePrice::new(price) }
     }
 
     fn now(&self) -> f64 {
@@ -67,7 +67,7 @@
 /// A backend and its idle connections.
 pub struct Endpoint {
     address: Cell<SocketAddr>,
-    idle: RefCell<Vec<IdleConnection>>,
+    idle_connections: RefCell<Vec<IdleConnection>>,
     /// Increased to stop connections that are in use from being kept.
     generation: Cell<u64>,
     budget: Rc<Budget>,
@@ -83,7 +83,7 @@
     /// Closes the idle connections, and those in use once they become idle.
     fn release(&self) {
         self.generation.set(self.generation.get() + 1);
-        self.idle.borrow_mut().clear();
+        self.idle_connections.borrow_mut().clear();
     }
 
     /// Closes connections that were idle for too long or that the backend has closed.
@@ -102,21 +102,21 @@
                 idle_since,
             })
         };
-        let usable = self.idle.take().into_iter().filter_map(keep_usable).collect();
-        self.idle.replace(usable);
+        let usable = self.idle_connections.take().into_iter().filter_map(keep_usable).collect();
+        self.idle_connections.replace(usable);
     }
 
     /// Returns whether a connection with this idle time is a better choice than a new one.
     fn is_worth_reusing(&self, idle_time: Duration, loss_cost: LossCost) -> bool {
-        let ReusePolicy { shared, price, .. } = &self.reuse_policy;
-        let (history, shared) = (self.history.borrow(), shared.borrow());
+        let ReusePolicy { shared_history, price, .. } = &self.reuse_policy;
+        let (history, shared) = (self.history.borrow(), shared_history.borrow());
         history.is_worth_reusing(&shared, self.reuse_policy.now(), idle_time.as_secs_f64(), loss_cost, *price)
     }
 
     /// Records whether a connection was stale when it was used.
     fn record_use(&self, idle_time: Option<Duration>, was_stale: bool) {
         let idle_seconds = idle_time.map(|idle_time| idle_time.as_secs_f64());
-        let mut shared = self.reuse_policy.shared.borrow_mut();
+        let mut shared = self.reuse_policy.shared_history.borrow_mut();
         self.history.borrow_mut().record_use(&mut shared, self.reuse_policy.now(), idle_seconds, was_stale);
     }
 
@@ -124,7 +124,7 @@
     /// Without a loss cost, always returns a new one.
     async fn take_or_connect(&self, loss_cost: Option<LossCost>) -> Option<ReadyConnection> {
         while let Some(loss_cost) = loss_cost {
-            let mut idle = self.idle.borrow_mut();
+            let mut idle = self.idle_connections.borrow_mut();
             let settled_position = idle.iter().rposition(|idle| idle.idle_since.elapsed() >= SETTLE_TIME);
             let Some(position) = settled_position else {
                 break;
@@ -148,7 +148,7 @@
         let permit = match self.budget.try_acquire(1) {
             Some(permit) => permit,
             None => {
-                let mut idle = self.idle.borrow_mut();
+                let mut idle = self.idle_connections.borrow_mut();
                 (!idle.is_empty()).then(|| idle.remove(0).permit)?
             }
         };
@@ -206,7 +206,7 @@
     fn create_endpoint(&self, address: SocketAddr) -> Endpoint {
         Endpoint {
             address: Cell::new(address),
-            idle: RefCell::default(),
+            idle_connections: RefCell::default(),
             generation: Cell::new(0),
             budget: self.connections.clone(),
             connect_timeout: self.connect_timeout,
@@ -236,11 +236,11 @@
     }
 
     fn oldest_idle_since(&self, endpoint: &Endpoint) -> Option<Instant> {
-        endpoint.idle.borrow().first().map(|idle| idle.idle_since)
+        endpoint.idle_connections.borrow().first().map(|idle| idle.idle_since)
     }
 
     fn close_oldest_idle(&self, endpoint: &Endpoint) {
-        let mut idle = endpoint.idle.borrow_mut();
+        let mut idle = endpoint.idle_connections.borrow_mut();
         if !idle.is_empty() {
             drop(idle.remove(0));
         }
@@ -414,7 +414,7 @@
         if let Some(connection) = connection.into_reusable()
             && endpoint.generation.get() == generation
         {
-            endpoint.idle.borrow_mut().push(IdleConnection {
+            endpoint.idle_connections.borrow_mut().push(IdleConnection {
                 connection,
                 permit,
                 idle_since: Instant::now(),
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -210,7 +210,7 @@
     fn drop(&mut self) {
         // A response that was cut off counts as failed when the accepted request is dropped.
         self.client.set_streaming(false);
-        self.client.request_answered();
+        self.client.mark_request_answered();
     }
 }
 
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -48,6 +48,7 @@
     reading_body: Cell<bool>,
     /// A request or response body is being streamed.
     streaming: Cell<bool>,
+    /// When bytes were last received or sent, or streaming started or stopped.
     last_activity: Cell<Instant>,
     /// The stream stalled, and the connection is closed although a request is open.
     cut_off: Cell<bool>,
@@ -76,7 +77,7 @@
     }
 
     /// Records that a request has arrived, either whole or with a body that is streamed.
-    pub fn request_received(&self) {
+    pub fn mark_request_received(&self) {
         self.reading_body.set(false);
         self.request_open.set(true);
         self.has_sent_request.set(true);
@@ -84,7 +85,7 @@
     }
 
     /// Records that the current request has been answered.
-    pub fn request_answered(&self) {
+    pub fn mark_request_answered(&self) {
         let now = Instant::now();
         self.request_open.set(false);
         self.reading_body.set(false);
--- a/crates/http/src/discovery/mod.rs
+++ b/crates/http/src/discovery/mod.rs
@@ -41,11 +41,11 @@
     Connect(std::io::Error),
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    #[error("status {0}")]
+    #[error("unexpected status {0}")]
     Status(u16),
-    #[error("body: {0}")]
+    #[error("cannot read the body: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    #[error("list: {0}")]
+    #[error("invalid list: {0}")]
     Json(#[from] serde_json::Error),
 }
 
--- a/crates/http/src/headscan.rs
+++ b/crates/http/src/headscan.rs
@@ -3,6 +3,7 @@
 //! The HTTP library drops Content-Length from the parsed headers if Transfer-Encoding precedes it, but a
 //! request with both headers is ambiguous and must be rejected. No I/O.
 
+/// The name and separator of the header, in lower case.
 const CONTENT_LENGTH_PREFIX: &[u8; 15] = b"content-length:";
 
 /// Scans one request head byte by byte.
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -33,6 +33,7 @@
 
 /// Number of consecutive checks without work after which a shutdown stops waiting for connections.
 const MAX_IDLE_CHECKS: usize = 10;
+/// Interval at which a stopping process checks for clients and work that are left.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time that a connection without a request has to end once it is being closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
@@ -92,7 +93,8 @@
 fn backend_reply(response: BackendResponse) -> Reply {
     let body = match response.body {
         ResponseBody::Buffered(body) => body,
-        ResponseBody::Streamed(_) => return plain_reply(StatusCode::BAD_GATEWAY, "failed\n"), // error responses are never streamed
+        // Not reached, as error responses are never streamed.
+        ResponseBody::Streamed(_) => return plain_reply(StatusCode::BAD_GATEWAY, "failed\n"),
     };
     let mut reply = Response::new(ClientBody::Buffered(Full::new(body)));
     *reply.status_mut() = response.status;
@@ -165,7 +167,8 @@
                     tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
                 }
             };
-            let _ = tokio::time::timeout(serve_time, clients_gone).await; // ends early once all clients are gone
+            // Ends early once all clients are gone.
+            let _ = tokio::time::timeout(serve_time, clients_gone).await;
         };
         tokio::select! {
             () = accepting => {}
@@ -187,10 +190,10 @@
         let mut idle_checks = 0;
         while !self.clients.is_empty() && idle_checks < MAX_IDLE_CHECKS && self.has_time_left() {
             self.clients.wait_for_close(IDLE_CHECK_INTERVAL).await;
-            let time_left =
+            let may_wait =
                 self.lifecycle.borrow().left(self.now()).is_none_or(|time_left| !time_left.is_zero());
             let is_receiving = self.figures.pending() > 0 || self.clients.is_any_reading();
-            let has_work = self.engine.has_open_requests() || (is_receiving && time_left);
+            let has_work = self.engine.has_open_requests() || (is_receiving && may_wait);
             idle_checks = if has_work { 0 } else { idle_checks + 1 };
         }
     }
@@ -322,7 +325,7 @@
                 let has_unknown_framing = is_transfer_coded && client.has_content_length().is_none();
                 let mut reply = server.reply(request, client, is_full).await;
                 if let ClientBody::Buffered(_) = reply.body() {
-                    client.request_answered();
+                    client.mark_request_answered();
                 }
                 // After an invalid request, the rest of the input can't be trusted.
                 let is_client_error = reply.extensions().get::<ClientErrorMarker>().is_some();
@@ -407,7 +410,7 @@
             Ok(parsed) => parsed,
             Err(error) => return invalid_request_reply(&error),
         };
-        client.request_received();
+        client.mark_request_received();
         if let PayloadBody::Streamed(..) = parsed.payload.body {
             client.set_streaming(true);
         }
--- a/crates/http/src/socket.rs
+++ b/crates/http/src/socket.rs
@@ -34,7 +34,7 @@
     /// More was received than is kept, so that no request can follow `read_ahead`.
     read_ahead_full: bool,
     linger: Option<Pin<Box<Sleep>>>,
-    discarded: usize,
+    discarded_bytes: usize,
 }
 
 /// A client socket as the HTTP library reads and writes it.
@@ -52,7 +52,7 @@
             read_ahead: BytesMut::new(),
             read_ahead_full: false,
             linger: None,
-            discarded: 0,
+            discarded_bytes: 0,
         };
         let state = Rc::new(RefCell::new(state));
         (Self(state.clone()), DisconnectWatch(state))
@@ -118,11 +118,11 @@
         }
         // Closing a socket with unread input resets it, and the response may be lost.
         let mut bytes = [0; READ_CHUNK_BYTES];
-        while self.discarded < MAX_DISCARDED_BYTES {
+        while self.discarded_bytes < MAX_DISCARDED_BYTES {
             let mut buffer = ReadBuf::new(&mut bytes);
             match Pin::new(&mut self.stream).poll_read(cx, &mut buffer) {
                 Poll::Ready(Ok(())) if !buffer.filled().is_empty() => {
-                    self.discarded += buffer.filled().len();
+                    self.discarded_bytes += buffer.filled().len();
                 }
                 Poll::Ready(_) => return Poll::Ready(Ok(())),
                 // An evicted connection drains only the input that has already arrived.
--- a/crates/reuse/src/odds.rs
+++ b/crates/reuse/src/odds.rs
@@ -6,6 +6,7 @@
 
 /// Upper bounds of the idle time buckets, in seconds. One more bucket holds all longer times.
 pub const IDLE_TIME_BOUNDS_SECONDS: [Time; 9] = [0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
+/// Number of idle time buckets.
 const BUCKETS: usize = IDLE_TIME_BOUNDS_SECONDS.len() + 1;
 
 /// Stale probability assumed for connections without observations.
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -42,7 +42,7 @@
 /// Interval at which idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// Number of such checks after which gone backends are removed.
-const FORGET_SWEEPS: u32 = 10;
+const SWEEPS_PER_CLEANUP: u32 = 10;
 
 /// The final answer to a request.
 pub enum Answer<R> {
@@ -456,7 +456,7 @@
             BackendListUpdate::Full(list) | BackendListUpdate::Remembered(list) => {
                 let listed_ids: HashSet<BackendId> = list.iter().map(|l| l.entry.id).collect();
                 let gone = state.endpoints.iter().filter(|(id, _)| !listed_ids.contains(id));
-                gone.for_each(|(_, known)| self.remove_backend(known, send_deadline));
+                gone.for_each(|(_, known)| self.mark_backend_gone(known, send_deadline));
                 list
             }
             BackendListUpdate::Changes(list) => list,
@@ -468,7 +468,7 @@
                     .endpoints
                     .get(&entry.id)
                     .into_iter()
-                    .for_each(|known| self.remove_backend(known, send_deadline));
+                    .for_each(|known| self.mark_backend_gone(known, send_deadline));
                 continue;
             }
             let drain_deadline = (entry.status != Status::InService).then_some(send_deadline);
@@ -489,7 +489,7 @@
     }
 
     /// Handles a backend that is gone from the list.
-    fn remove_backend(&self, known: &KnownBackend<U>, send_deadline: Time) {
+    fn mark_backend_gone(&self, known: &KnownBackend<U>, send_deadline: Time) {
         self.upstream.release_connections(&known.endpoint);
         known.gate.mark_gone(send_deadline);
     }
@@ -804,11 +804,11 @@
             let mut state = self.state.borrow_mut();
             // Removes gone backends, so that the map stays small while backends are replaced. The map holds
             // the last handle once no attempt or probe is running.
-            let can_be_forgotten = |known: &KnownBackend<U>| {
-                Rc::strong_count(&known.endpoint) == 1 && known.gate.can_be_forgotten(&self.clock)
+            let can_be_removed = |known: &KnownBackend<U>| {
+                Rc::strong_count(&known.endpoint) == 1 && known.gate.can_be_removed(&self.clock)
             };
-            if sweeps.is_multiple_of(FORGET_SWEEPS) {
-                state.endpoints.retain(|_, known| !can_be_forgotten(known));
+            if sweeps.is_multiple_of(SWEEPS_PER_CLEANUP) {
+                state.endpoints.retain(|_, known| !can_be_removed(known));
             }
             state.endpoints.values().for_each(|known| self.upstream.close_expired(&known.endpoint));
         }
--- a/src/engine/upstream.rs
+++ b/src/engine/upstream.rs
@@ -86,7 +86,7 @@
     }
 
     /// Returns whether the backend is gone and its send deadline has passed.
-    pub fn can_be_forgotten(&self, clock: &Clock) -> bool {
+    pub fn can_be_removed(&self, clock: &Clock) -> bool {
         self.gone.get() && self.is_past_deadline(clock)
     }
 }
