--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,9 +1,9 @@
-//! Every decision of the balancer. The types it speaks in are in `interface.rs`.
+//! Makes every decision of the balancer; its input and output types are in `interface.rs`.
 //!
-//! The mechanism is that of Hong, Huang and Yan, "Controlling Retransmission Rate For Mitigating SIP
-//! Overload": a call unanswered or failed when one of its doubling timers fires is sent once more with
-//! probability p, which falls as unanswered calls rise from one to three T1-worths of the average send rate.
-//! By Little's law that number over that rate is the mean wait, so p compares the mean wait with T1.
+//! Repeats follow Hong, Huang and Yan, "Controlling Retransmission Rate For Mitigating SIP Overload": when
+//! one of a call's doubling timers fires and the call is unanswered or failed, it is sent again with
+//! probability p. p falls from 1 as the number of unanswered calls rises from the lower threshold, the
+//! average send rate times T1, to the upper one. By Little's law, p thus compares the mean wait with T1.
 
 use crate::interface::*;
 use rand::rngs::SmallRng;
@@ -11,186 +11,179 @@
 use slotmap::{DefaultKey as Slot, Key, KeyData, SlotMap};
 use std::collections::{HashMap, VecDeque};
 
-/// Least chance of a repeat, as in the paper: what it needs to get past lost messages.
-const P_MIN: f64 = 0.1;
-/// Ratio of the thresholds between which p falls: under the paper's 3, as copies cost whole work.
-const ALPHA: f64 = 1.5;
-/// Least lower threshold, in calls. Guards against quiet balancers, where rate x T1 is under
-/// one and a waiting call would cut its own chance.
-const FLOOR: f64 = 1.0;
-/// Memory of the send rate, in T1s of the longest class: the paper's weight, slots of T1 / 25.
-const RATE_MEMORY: f64 = 20.0;
-/// Calls beyond the usual number that chance explains, in roots of it, and where they last.
-const CHANCE: [f64; 2] = [3.5, 0.5];
-/// At a busy balancer the root is small beside this part of the usual number, which stands instead.
-const USUAL_SPREAD: f64 = 0.2;
-/// It narrows by this for each root of mean excess
-const NARROWING: f64 = 4.0;
-/// beyond this one, averaged over
-const CALM_EXCESS: f64 = 0.4;
-/// this part of the memory of the send rate.
-const EXCESS_MEMORY: f64 = 0.15;
-/// A member this many times slower than the best one says nothing of the fleet's load.
-const FAR_SLOWER: f64 = 2.5;
-/// So many calls in flight at each backend are no overload, however far beyond the usual.
-const FEW: f64 = 2.0;
-/// Calls that are answered at the rate of so many normal answer times past explain themselves.
-const ANSWER_MEMORY: f64 = 8.0;
-/// A call with less than this part of the normal answer time left would be given up half done.
-const HOPELESS: f64 = 0.6;
-/// T1 lies this many mean deviations above the mean answer time, as TCP's timer does.
+/// Minimum probability of a repeat (the paper's P_min), which covers lost messages.
+const MIN_REPEAT_PROBABILITY: f64 = 0.1;
+/// Ratio of the upper to the lower threshold of unanswered calls (3 in the paper, whose copies cost less).
+const THRESHOLD_RATIO: f64 = 1.5;
+/// Minimum of the lower threshold in calls, so that a single call doesn't reduce its own repeat probability.
+const MIN_LOWER_THRESHOLD: f64 = 1.0;
+/// Time constant of the average send rate, in maximum T1s of the class with the longest aim.
+const SEND_RATE_MEMORY_T1S: f64 = 20.0;
+/// Excess of unanswered calls, in standard deviations, that counts as chance while the mean excess is low.
+const MAX_EXCESS_TOLERANCE: f64 = 3.5;
+/// Excess of unanswered calls, in standard deviations, that counts as chance while the mean excess is high.
+const MIN_EXCESS_TOLERANCE: f64 = 0.5;
+/// Minimum standard deviation of the number of unanswered calls, as a fraction of the expected number.
+const MIN_DEVIATION_FRACTION: f64 = 0.2;
+/// Decrease of the excess tolerance per standard deviation of mean excess above [`CALM_MEAN_EXCESS`].
+const TOLERANCE_DECREASE: f64 = 4.0;
+/// Mean excess, in standard deviations, up to which [`MAX_EXCESS_TOLERANCE`] applies.
+const CALM_MEAN_EXCESS: f64 = 0.4;
+/// Time constant of the mean excess, as a fraction of the time constant of the send rate.
+const EXCESS_MEMORY_FRACTION: f64 = 0.15;
+/// A member this many times slower than the best one is an outlier, whose calls don't indicate an overload.
+const OUTLIER_SLOWNESS_RATIO: f64 = 2.5;
+/// Calls in flight per backend up to which there is no pressure: one slow backend can cause that many.
+const MIN_OVERLOAD_CALLS_PER_BACKEND: f64 = 2.0;
+/// Time constant of the answer rate, in mean answer times; short enough to follow a loss of capacity.
+const ANSWER_RATE_MEMORY_ANSWER_TIMES: f64 = 8.0;
+/// A call is not started with less time left than this fraction of the normal answer time.
+const MIN_TIME_LEFT_FRACTION: f64 = 0.6;
+/// T1 exceeds the mean answer time by this many mean deviations, as TCP's retransmission timeout does.
 const T1_DEVIATIONS: f64 = 4.0;
-/// T1 is at most this part of the time left, so that a repeat can still be answered in it.
-const T1_REACH: f64 = 0.4;
-/// A call whose backend has answered another that was sent so many normal answer times later is lost and
-/// not merely long: it may be repeated, and tells of no load. Where a backend has too much to do it answers
-/// in about the order in which it was asked, so that none is overtaken by as much. Guards against calls
-/// that a backend has dropped while it goes on with others: they would wait for all of their time, and the
-/// unsafe ones among them, which nothing can help, would cut the chance of all others. Where no backend
-/// answers none is lost, so that a storm is met as before.
-const LOST: f64 = 8.0;
-/// T1 is spread by this part, lest failed calls of many balancers return on shared beats.
-const T1_SPREAD: f64 = 0.1;
-/// Weight of a sample in the normal answer time of a class, once there are many.
-const NORMAL_WEIGHT: f64 = 0.02;
-/// No answer time beyond this part of the aim is normal: one that starts in a jam would learn it.
-const NORMAL_REACH: f64 = 0.25;
-/// Part of that weight under pressure: a T1 that followed the waits of a jam would hide it.
-const PRESSED_WEIGHT: f64 = 0.05;
-/// Weight of a sample in what is known of a backend.
-const HEALTH_WEIGHT: f64 = 0.2;
-/// How much slower than normal a failed attempt makes its backend look.
-const FAILED_SLOWNESS: f64 = 8.0;
-/// A failure within this part of the normal answer time is no sign of load,
-const FAST_FAILURE: f64 = 0.5;
-/// and weighs this much.
-const FAST_FAILURE_WEIGHT: f64 = 0.5;
-/// A tenant's unused share is kept for so many seconds: quotas are given by the second.
-const SHARE_BURST: Time = 1.0;
-/// What is known of a backend is forgotten over this part of the memory of the send rate.
-const HEALTH_MEMORY: f64 = 0.5;
-/// or, where it has only been slow and nothing has failed, over so many normal answer times if that
-/// is shorter. Guards against a backend whose first calls met a busy moment and that is passed over
-/// for as long as a failed one, while the others have next to nothing to do.
-const SLOW_MEMORY: f64 = 100.0;
-/// Under pressure a request waits at the entry, up to this part of its patience, before it is
-/// turned away: where few calls are in flight the excess comes and goes within a few answers.
-const ENTRY_WAIT: f64 = 0.25;
-/// Least number of members of a subset. Guards against draws of slow machines alone: of two members both are
-/// among the slower half for every fourth balancer, which then drives them over while others idle.
-const SUBSET: usize = 5;
-/// The same at the entry, where more of them even out what each happens to get.
-const ENTRY_SUBSET: usize = 3;
-/// Members for each call in flight on average: more tell backends apart, fewer reuse connections
-/// and stay under backends' caps on them. The first where connections are free, else the second.
+/// Maximum of T1 as a fraction of the time left, so that a repeat can still be answered in time.
+const MAX_T1_FRACTION: f64 = 0.4;
+/// An attempt is lost once its backend has answered another one sent this many normal answer times later.
+/// Overloaded backends answer in about the order of arrival, so their attempts are not taken for lost.
+const LOST_ANSWER_TIMES: f64 = 8.0;
+/// Jitter of T1 as a fraction in both directions, which keeps balancers from repeating in step.
+const T1_JITTER_FRACTION: f64 = 0.1;
+/// EWMA weight of a sample in an answer-time estimate with many samples.
+const ANSWER_TIME_EWMA_WEIGHT: f64 = 0.02;
+/// Maximum sample of an answer time as a fraction of the aim; longer waits are those of an overload.
+const MAX_SAMPLE_AIM_FRACTION: f64 = 0.25;
+/// Factor on the EWMA weight of answer times under pressure, so that T1 doesn't follow an overload's waits.
+const PRESSURE_WEIGHT_FACTOR: f64 = 0.05;
+/// EWMA weight of a sample in the slowness of a backend.
+const SLOWNESS_EWMA_WEIGHT: f64 = 0.2;
+/// Slowness sample of a failed attempt, and the maximum of all samples.
+const FAILURE_SLOWNESS: f64 = 8.0;
+/// A failure within this fraction of the normal answer time is a fast failure.
+const FAST_FAILURE_FRACTION: f64 = 0.5;
+/// EWMA weight of a fast failure in the slowness of a backend.
+const FAST_FAILURE_EWMA_WEIGHT: f64 = 0.5;
+/// Time over which an unused share of a quota accumulates, in seconds.
+const QUOTA_BURST: Time = 1.0;
+/// Time constant with which slowness fades after a failure, as a fraction of that of the send rate.
+const SLOWNESS_MEMORY_FRACTION: f64 = 0.5;
+/// Time constant with which slowness fades without a recent failure, in mean answer times, if shorter.
+const SLOW_MEMORY_ANSWER_TIMES: f64 = 100.0;
+/// Maximum wait for admission under pressure, as a fraction of the call's patience.
+const ADMISSION_WAIT_FRACTION: f64 = 0.25;
+/// Minimum subset size in inner tiers. Smaller random subsets often hold only slow backends.
+const MIN_SUBSET_SIZE: usize = 5;
+/// Minimum subset size in the first tier.
+const MIN_FIRST_TIER_SUBSET_SIZE: usize = 3;
+/// Subset members per average call in flight, where connections are free and where they have a cost.
 const MEMBERS_PER_CALL: [f64; 2] = [1.0, 0.25];
-/// Members in other zones, where crossing zones is priced.
-const AWAY_SUBSET: usize = 2;
-/// How much more load they count as having, for all of the worth that a crossing may cost.
-const AWAY_LOAD: f64 = 40.0;
-/// Weight of a new report in the service time of a backend.
-const SERVICE_WEIGHT: f64 = 0.3;
-/// Where only probes bring reports, one member is probed for each so many sends.
-const SENDS_A_PROBE: usize = 3;
-/// Part of what would tip a cold backend over that all balancers together plan to send it.
-const COLD_MARGIN: f64 = 0.6;
-/// So much of a turn there may be had in advance where nothing else can be sent to: e to the power of this
-/// times the part above, in all.
-const BORROWED: f64 = 0.2;
-/// The token of the timer that asks for the list; tokens of calls are above it.
+/// Minimum number of subset members in other zones, where crossing zones has a cost.
+const REMOTE_MEMBERS: usize = 2;
+/// Increase of the load of a backend in another zone per unit of cross-zone cost.
+const REMOTE_LOAD: f64 = 40.0;
+/// EWMA weight of a report in the service time of a backend.
+const SERVICE_TIME_EWMA_WEIGHT: f64 = 0.3;
+/// Sends per probe, where only probes bring load reports.
+const SENDS_PER_PROBE: usize = 3;
+/// Fraction of the rate that overloads a cold backend that all balancers together plan to send to it.
+const COLD_RATE_FRACTION: f64 = 0.6;
+/// Requests by which the budget of a cold backend may be overdrawn if no other backend can be used.
+const MAX_COLD_OVERDRAFT: f64 = 0.2;
+/// Timer token for the request of the backend list; tokens of calls are greater.
 const LIST_TOKEN: u64 = 0;
-/// Kinds of timers of calls: a firing, the end of its time, its turn in a lane.
-const FIRING: u64 = 0;
-const LAST: u64 = 1;
-const TURN: u64 = 2;
-
-/// Room for requests that grows with time, up to a bound.
+/// Kind of a call's timer that may trigger a repeat.
+const REPEAT_TIMER: u64 = 0;
+/// Kind of a call's timer that marks the end of its time.
+const DEADLINE_TIMER: u64 = 1;
+/// Kind of a queued call's timer that ends its wait for admission or for its key to settle.
+const QUEUE_TIMER: u64 = 2;
+
+/// A token bucket, filled at the rate that is given at each refill.
 #[derive(Clone, Copy, Debug)]
-struct Bucket {
-    room: f64,
-    at: Time,
+struct TokenBucket {
+    tokens: f64,
+    filled_at: Time,
 }
 
-impl Bucket {
-    fn fill(&mut self, now: Time, rate: f64, most: f64) -> f64 {
-        self.room = (self.room + rate * (now - self.at).max(0.0)).min(most);
-        self.at = now;
-        self.room
+impl TokenBucket {
+    fn refill(&mut self, now: Time, rate: f64, capacity: f64) -> f64 {
+        self.tokens = (self.tokens + rate * (now - self.filled_at).max(0.0)).min(capacity);
+        self.filled_at = now;
+        self.tokens
     }
 }
 
-/// A count that forgets, over the time that it covers: at first the plain mean rate.
+/// A rate with exponential decay; until its time constant has passed, it is the plain mean.
 #[derive(Clone, Copy, Debug, Default)]
-struct Rate {
+struct DecayingRate {
     count: f64,
-    span: Time,
-    at: Time,
+    duration: Time,
+    updated_at: Time,
 }
 
-impl Rate {
+impl DecayingRate {
     fn new(now: Time) -> Self {
-        Self { count: 0.0, span: 0.0, at: now }
+        Self { count: 0.0, duration: 0.0, updated_at: now }
     }
 
-    fn age(&mut self, now: Time, memory: Time) {
-        let keep = (-(now - self.at).max(0.0) / memory).exp();
-        self.count *= keep;
-        self.span = self.span * keep + memory * (1.0 - keep);
-        self.at = now;
+    fn decay(&mut self, now: Time, memory: Time) {
+        let retained = (-(now - self.updated_at).max(0.0) / memory).exp();
+        self.count *= retained;
+        self.duration = self.duration * retained + memory * (1.0 - retained);
+        self.updated_at = now;
     }
 
-    fn add(&mut self, now: Time, memory: Time) {
-        self.age(now, memory);
+    fn increment(&mut self, now: Time, memory: Time) {
+        self.decay(now, memory);
         self.count += 1.0;
     }
 
     fn per_second(&self) -> f64 {
-        if self.span > 0.0 { self.count / self.span } else { 0.0 }
+        if self.duration > 0.0 { self.count / self.duration } else { 0.0 }
     }
 }
 
-/// Mean and mean deviation of the answer times of a class.
+/// Mean and mean deviation of answer times.
 #[derive(Clone, Copy, Debug, Default)]
-struct Normal {
-    samples: f64,
+struct AnswerTimes {
+    sample_count: f64,
     mean: Time,
     deviation: Time,
 }
 
-impl Normal {
-    fn add(&mut self, took: Time, calm: bool) {
-        self.samples += 1.0;
-        let pressed = !calm && self.samples > 1.0 / NORMAL_WEIGHT;
-        let weight = NORMAL_WEIGHT.max(1.0 / self.samples) * if pressed { PRESSED_WEIGHT } else { 1.0 };
-        self.deviation += weight * ((took - self.mean).abs() - self.deviation);
-        self.mean += weight * (took - self.mean);
+impl AnswerTimes {
+    fn add_sample(&mut self, sample: Time, calm: bool) {
+        self.sample_count += 1.0;
+        let under_pressure = !calm && self.sample_count > 1.0 / ANSWER_TIME_EWMA_WEIGHT;
+        let weight = ANSWER_TIME_EWMA_WEIGHT.max(1.0 / self.sample_count)
+            * if under_pressure { PRESSURE_WEIGHT_FACTOR } else { 1.0 };
+        self.deviation += weight * ((sample - self.mean).abs() - self.deviation);
+        self.mean += weight * (sample - self.mean);
     }
 }
 
 #[derive(Debug)]
 struct Backend {
     entry: BackendEntry,
+    /// Attempts without an outcome, those of ended calls included.
     in_flight: usize,
-    /// Those of them that are lost.
-    lost: usize,
-    /// Attempts of calls without a final answer that name it.
-    named: usize,
-    /// Recent answer time over the normal one of the class; 1 is normal.
+    lost_attempts: usize,
+    /// Attempts of open calls that refer to this backend.
+    references: usize,
+    /// Recent answer time divided by the normal one of the class.
     slowness: f64,
-    slowness_at: Time,
-    /// When an attempt there last failed.
-    failed_at: Time,
-    answered_at: Time,
-    /// When the latest of those was sent that it has answered.
-    answered_sent: Time,
-    /// When it last showed that it works, or was given a call while it had none.
-    alive_at: Time,
-    /// While it is cold: what has fallen to it since the last call there, less what the next one takes.
-    cold: Bucket,
-    /// How long a request takes it, by its reports.
-    service: Option<Time>,
-    /// What others hold of it, and since when.
-    believed: (f64, Time),
+    slowness_updated_at: Time,
+    last_failed_at: Time,
+    last_answered_at: Time,
+    /// Latest send time among the attempts that it has answered.
+    last_answered_send: Time,
+    /// When it last showed that it works, or got an attempt while it had none.
+    last_alive_at: Time,
+    /// Budget while the backend is cold, in requests: it may get a request unless this is below zero.
+    cold_budget: TokenBucket,
+    /// Service time of a request, by its load reports.
+    service_time: Option<Time>,
+    /// Slowness by the last [`Event::BackendHint`], and when that arrived.
+    hint: (f64, Time),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -198,10 +191,10 @@
     backend: usize,
     cell: u32,
     zone: u32,
-    sent: Time,
+    sent_at: Time,
     outcome: Option<Outcome>,
-    /// It is out, and lost.
-    lost: bool,
+    /// It has no outcome, and its backend has answered much later attempts.
+    is_lost: bool,
 }
 
 impl Attempt {
@@ -211,54 +204,54 @@
     }
 }
 
+/// A request without a final answer.
 #[derive(Debug)]
 struct Call {
     id: RequestId,
     class: usize,
     tenant: Option<usize>,
-    arrived: Time,
-    /// When its final answer is due at the latest.
-    until: Time,
+    /// When it arrived or, if it was queued, when it was started.
+    started_at: Time,
+    /// Latest time for its final answer.
+    deadline: Time,
     t1: Time,
-    /// Number of timers that have fired.
-    fired: i32,
-    /// A further timer is set.
-    timer_set: bool,
+    timers_fired: i32,
+    has_repeat_timer: bool,
     attempts: Vec<Attempt>,
-    /// The key that orders it, where its class asks for order.
-    lane: Option<u64>,
-    /// It waits for its turn in the lane or at the entry; no attempt of it has been sent.
-    held: bool,
-    /// It came beyond its tenant's share.
-    over: bool,
-    /// Its place among those that come, 1 being the best: it waits while pressure is above that.
+    /// The key whose requests run in order, where its class asks for that.
+    order_key: Option<u64>,
+    /// It waits in the queue of its key or for admission, and has no attempt.
+    is_queued: bool,
+    /// It arrived when its tenant's share was used up.
+    over_share: bool,
+    /// Fraction of the arrivals that are worth less for their work; it waits while pressure is higher.
     rank: f64,
-    /// It was turned away for want of room, and waits to be sent again.
-    turned_away: bool,
-    /// All that is out of it is lost.
-    lost: bool,
-    /// The one of the two members drawn that was not taken; a repeat goes to it.
-    other: Option<usize>,
+    /// Its last attempt was rejected or not connected, and it waits to be sent again.
+    is_rejected: bool,
+    /// All attempts without an outcome are lost.
+    is_lost: bool,
+    /// The second choice of the last draw, which the next attempt is sent to if it is usable.
+    alternative: Option<usize>,
 }
 
 impl Call {
-    fn waits(&self) -> bool {
+    fn has_open_attempt(&self) -> bool {
         self.attempts.iter().any(|a| a.outcome.is_none())
     }
 }
 
-/// The requests of one key, where order is asked for. They run singly: the front one may be
-/// sent once no attempt of an ended one is out and the key has rested.
+/// The queue of an ordered key. Its first call may be started once no attempt of an ended call is in flight
+/// and the key has settled.
 #[derive(Debug)]
-struct Lane {
-    /// Requests without a final answer, in the order in which they came.
-    queue: VecDeque<Slot>,
-    /// Attempts still out of requests that have ended.
-    out: usize,
-    rests_until: Time,
+struct KeyQueue {
+    /// Calls in the order of arrival; the first one may be running.
+    calls: VecDeque<Slot>,
+    /// Attempts of ended calls without an outcome.
+    open_attempts: usize,
+    settles_at: Time,
 }
 
-/// Where a call may be sent (again).
+/// The backends that a call may be sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Scope {
     Anywhere,
@@ -267,7 +260,7 @@
 }
 
 impl Scope {
-    fn holds(self, entry: &BackendEntry) -> bool {
+    fn contains(self, entry: &BackendEntry) -> bool {
         match self {
             Scope::Anywhere => true,
             Scope::Zone(zone) => entry.zone == zone,
@@ -276,473 +269,469 @@
     }
 }
 
-/// The decisions of one balancer.
+/// The decision state machine of one balancer.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
     rng: SmallRng,
     now: Time,
     calls: SlotMap<Slot, Call>,
-    by_id: HashMap<RequestId, Slot>,
-    /// Calls that wait at the entry, the best last.
-    queue: Vec<Slot>,
-    /// Calls that wait for their turn there or in a lane, and those that were turned away.
-    held: usize,
-    turned_away: usize,
-    /// Calls of which all that is out is lost.
-    lost: usize,
-    /// Mean excess of unanswered calls over a while, in roots of the usual number.
-    excess: f64,
-    excess_at: Time,
-    lanes: HashMap<u64, Lane>,
-    /// When so many lanes are kept, the idle ones are dropped.
-    most_lanes: usize,
-    /// Attempts that are still out of ended requests with a key that orders, and the key.
-    orphans: HashMap<(RequestId, usize), u64>,
+    call_slots: HashMap<RequestId, Slot>,
+    /// Calls that wait for admission, by ascending rank.
+    admission_queue: Vec<Slot>,
+    /// Number of calls that wait for admission or in the queue of a key.
+    queued_calls: usize,
+    /// Number of calls whose last attempt was rejected or not connected.
+    rejected_calls: usize,
+    /// Number of calls whose attempts without an outcome are all lost.
+    lost_calls: usize,
+    /// Mean excess of unanswered calls, in standard deviations.
+    mean_excess: f64,
+    excess_updated_at: Time,
+    key_queues: HashMap<u64, KeyQueue>,
+    /// Number of key queues at which idle ones are removed.
+    key_queue_limit: usize,
+    /// Attempts without an outcome of ended calls with an ordered key, and the key.
+    orphaned_attempts: HashMap<(RequestId, usize), u64>,
     backends: Vec<Backend>,
-    by_backend: HashMap<BackendId, usize>,
-    /// Places of forgotten backends, for new ones.
-    vacant: Vec<usize>,
-    /// Backends in service, by index.
-    listed: Vec<usize>,
-    /// The same by zone and by cell, for repeats of keyed requests.
-    groups: HashMap<Scope, Vec<usize>>,
+    backend_indices: HashMap<BackendId, usize>,
+    /// Indices of removed backends, for new ones.
+    vacant_indices: Vec<usize>,
+    /// Indices of the backends in service, ascending.
+    in_service: Vec<usize>,
+    /// Backends in service by zone and by cell, for repeats of keyed requests.
+    in_service_by_scope: HashMap<Scope, Vec<usize>>,
     subset: Vec<usize>,
-    sent: Rate,
-    /// Calls that warm members answered, by the seconds that each of them was one.
-    warm: Rate,
-    warm_time: Time,
-    warm_at: Time,
-    /// Calls answered of late.
-    lately: Rate,
-    normal: Vec<Normal>,
-    /// The same over all classes.
-    wait: Normal,
+    /// Rate of first sends.
+    send_rate: DecayingRate,
+    /// Answers of warm subset members per second and member: its time is counted in member-seconds.
+    warm_answer_rate: DecayingRate,
+    warm_member_seconds: Time,
+    warm_updated_at: Time,
+    answer_rate: DecayingRate,
+    class_answer_times: Vec<AnswerTimes>,
+    /// Answer times over all classes.
+    answer_times: AnswerTimes,
     /// Arrivals by class, within and over the share of their tenants.
-    arrivals: Vec<[Rate; 2]>,
-    /// This balancer's part of each tenant's quota, and what is left of it.
-    shares: Vec<(f64, Bucket)>,
-    memory: Time,
-    /// Members that the calls in flight have called for so far.
-    grown: usize,
-    /// Mean of the service times that backends report.
-    service: Time,
-    /// Attempts sent so far.
-    sends: usize,
-    watch_asked: bool,
-    watch_wait: Time,
+    arrival_rates: Vec<[DecayingRate; 2]>,
+    /// This balancer's part of each tenant's quota, in requests per second, and what is left of it.
+    quota_shares: Vec<(f64, TokenBucket)>,
+    /// Time constant of the send rate.
+    rate_memory: Time,
+    /// Largest subset size that the calls in flight have required so far.
+    busy_subset_size: usize,
+    mean_service_time: Time,
+    send_count: usize,
+    has_list_timer: bool,
+    list_backoff: Time,
 }
 
 impl Balancer {
-    /// A balancer that starts at `now`. Same seed, settings and events, same actions.
+    /// Creates a balancer that starts at `now`. The same seed, settings and events give the same actions.
     pub fn new(now: Time, seed: u64, settings: Settings) -> Self {
-        // Never zero, whatever the settings hold: rates are counts over this.
-        let least = settings.quantum.max(f64::EPSILON);
-        let share = |rate: f64| (rate, Bucket { room: (rate * SHARE_BURST).max(1.0), at: now });
-        let longest = settings.classes.iter().map(|c| c.aim).fold(least, f64::max);
+        // Greater than zero, whatever the settings hold: rates are divided by it.
+        let min_aim = settings.quantum.max(f64::EPSILON);
+        let share = |rate: f64| (rate, TokenBucket { tokens: (rate * QUOTA_BURST).max(1.0), filled_at: now });
+        let longest_aim = settings.classes.iter().map(|c| c.aim).fold(min_aim, f64::max);
         Self {
             rng: SmallRng::seed_from_u64(seed),
             now,
             calls: SlotMap::new(),
-            by_id: HashMap::new(),
-            queue: Vec::new(),
-            held: 0,
-            turned_away: 0,
-            lost: 0,
-            excess: 0.0,
-            excess_at: now,
-            lanes: HashMap::new(),
-            most_lanes: 16,
-            orphans: HashMap::new(),
+            call_slots: HashMap::new(),
+            admission_queue: Vec::new(),
+            queued_calls: 0,
+            rejected_calls: 0,
+            lost_calls: 0,
+            mean_excess: 0.0,
+            excess_updated_at: now,
+            key_queues: HashMap::new(),
+            key_queue_limit: 16,
+            orphaned_attempts: HashMap::new(),
             backends: Vec::new(),
-            by_backend: HashMap::new(),
-            vacant: Vec::new(),
-            listed: Vec::new(),
-            groups: HashMap::new(),
+            backend_indices: HashMap::new(),
+            vacant_indices: Vec::new(),
+            in_service: Vec::new(),
+            in_service_by_scope: HashMap::new(),
             subset: Vec::new(),
-            sent: Rate::new(now),
-            warm: Rate::new(0.0),
-            warm_time: 0.0,
-            warm_at: now,
-            lately: Rate::new(now),
-            wait: Normal::default(),
-            normal: vec![Normal::default(); settings.classes.len()],
-            arrivals: vec![[Rate::new(now); 2]; settings.classes.len()],
-            shares: settings
+            send_rate: DecayingRate::new(now),
+            warm_answer_rate: DecayingRate::new(0.0),
+            warm_member_seconds: 0.0,
+            warm_updated_at: now,
+            answer_rate: DecayingRate::new(now),
+            answer_times: AnswerTimes::default(),
+            class_answer_times: vec![AnswerTimes::default(); settings.classes.len()],
+            arrival_rates: vec![[DecayingRate::new(now); 2]; settings.classes.len()],
+            quota_shares: settings
                 .quotas
                 .iter()
-                .map(|q| q / settings.instance_count.max(1) as f64)
+                .map(|quota| quota / settings.instance_count.max(1) as f64)
                 .map(share)
                 .collect(),
-            memory: RATE_MEMORY * T1_REACH * longest,
-            grown: 0,
-            service: 0.0,
-            sends: 0,
-            watch_asked: false,
-            watch_wait: settings.list_request_deadline / 10.0,
+            rate_memory: SEND_RATE_MEMORY_T1S * MAX_T1_FRACTION * longest_aim,
+            busy_subset_size: 0,
+            mean_service_time: 0.0,
+            send_count: 0,
+            has_list_timer: false,
+            list_backoff: settings.list_request_deadline / 10.0,
             settings,
         }
     }
 
-    /// Requests without a final answer.
+    /// Number of requests without a final answer.
     pub fn open_requests(&self) -> usize {
-        self.by_id.len()
+        self.call_slots.len()
     }
 
-    /// Backends that are kept in mind.
+    /// Number of backends that the balancer keeps state for.
     pub fn known_backends(&self) -> usize {
-        self.by_backend.len()
+        self.backend_indices.len()
     }
 
-    /// Listed backends that it avoids now: those that drain, and members far slower than the best.
+    /// Number of backends avoided now: those that drain, and subset members far slower than the best.
     pub fn avoided_backends(&self) -> usize {
-        let drains = self.backends.iter().filter(|b| b.entry.status == Status::Draining).count();
-        drains + self.subset.len() - self.sound().count()
+        let draining = self.backends.iter().filter(|b| b.entry.status == Status::Draining).count();
+        draining + self.subset.len() - self.healthy_members().count()
     }
 
-    /// Decides what to do about `event`, which happens at `now`.
+    /// Handles an event that happens at `now`, and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Time, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if self.settings.must_watch && !self.watch_asked {
-            // Balancers often start together: they ask for the list one after another.
-            self.watch_asked = true;
-            let wait = self.rng.random::<f64>() * 0.5 * self.settings.list_request_deadline;
-            actions.push(Action::Timer { at: self.now + wait, token: LIST_TOKEN });
+        if self.settings.must_watch && !self.has_list_timer {
+            // The random delay spreads the list requests of balancers that start together.
+            self.has_list_timer = true;
+            let delay = self.rng.random::<f64>() * 0.5 * self.settings.list_request_deadline;
+            actions.push(Action::Timer { at: self.now + delay, token: LIST_TOKEN });
         }
         match event {
-            Event::Request(request) => self.arrive(request, actions),
-            Event::StreamStarted { id, attempt } => self.end(id, Some(attempt), actions),
-            Event::Outcome(ended) => self.ended(ended, actions),
-            Event::ClientDisconnected(id) => self.end(id, None, actions),
+            Event::Request(request) => self.handle_request(request, actions),
+            Event::StreamStarted { id, attempt } => self.close_request(id, Some(attempt), actions),
+            Event::Outcome(result) => self.handle_attempt_result(result, actions),
+            Event::ClientDisconnected(id) => self.close_request(id, None, actions),
             Event::Timer(LIST_TOKEN) => actions.push(Action::Watch(true)),
-            Event::Timer(token) => self.timer(token, actions),
-            Event::Probed { backend, report, .. } => self.take_report(backend, report),
-            Event::List(update) => self.list(update, actions),
+            Event::Timer(token) => self.handle_timer(token, actions),
+            Event::Probed { backend, report, .. } => self.record_load_report(backend, report),
+            Event::List(update) => self.update_list(update, actions),
             Event::BackendHint { backend, slowness } => {
-                let known = self.by_backend.get(&backend).copied();
-                known.into_iter().for_each(|b| self.backends[b].believed = (slowness, now));
+                let known = self.backend_indices.get(&backend).copied();
+                known.into_iter().for_each(|b| self.backends[b].hint = (slowness, now));
             }
         }
-        self.let_in(actions);
+        self.admit_queued_calls(actions);
     }
 
-    // ---- A request arrives ----
+    // ---- Arrival and admission ----
 
-    fn arrive(&mut self, request: Request, actions: &mut Vec<Action>) {
+    fn handle_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         let class = &self.settings.classes[request.class];
-        // The answer must be out before the client gives up, and timers come once a quantum.
-        // Where a late answer is worth nothing, waiting for one only keeps backends busy.
+        // Two quanta cover the rounding of timers. A worthless late answer is not waited for.
         let mut patience = request.budget - 2.0 * self.settings.quantum;
         if class.late_worth <= 0.0 {
             patience = patience.min(class.aim);
         }
-        let lane = request.key.filter(|_| class.in_order);
-        let over = self.count_arrival(request.class, request.tenant);
+        let order_key = request.key.filter(|_| class.in_order);
+        let over_share = self.record_arrival(request.class, request.tenant);
         let t1 = self.t1(request.class, patience);
-        let ahead = lane.and_then(|key| self.lanes.get(&key)).map_or(0, |lane| lane.queue.len());
-        let needed = HOPELESS * self.normal[request.class].mean * (ahead + 1) as f64;
-        let rank = self.rank(request.class, over);
-        let waits = !self.admits(rank);
-        if patience <= needed || waits && lane.is_some() {
+        let ahead = order_key.and_then(|key| self.key_queues.get(&key)).map_or(0, |queue| queue.calls.len());
+        let needed =
+            MIN_TIME_LEFT_FRACTION * self.class_answer_times[request.class].mean * (ahead + 1) as f64;
+        let rank = self.draw_rank(request.class, over_share);
+        let must_wait = !self.can_admit(rank);
+        if patience <= needed || must_wait && order_key.is_some() {
             return actions.push(Action::Reject { id: request.id, retry_after: self.retry_after(t1) });
         }
-        let until = self.now + patience;
+        let deadline = self.now + patience;
         let call = Call {
             id: request.id,
             class: request.class,
             tenant: request.tenant,
-            arrived: self.now,
-            until,
+            started_at: self.now,
+            deadline,
             t1,
-            fired: 0,
-            timer_set: false,
+            timers_fired: 0,
+            has_repeat_timer: false,
             attempts: Vec::new(),
-            lane,
-            held: waits || lane.is_some(),
-            over,
+            order_key,
+            is_queued: must_wait || order_key.is_some(),
+            over_share,
             rank,
-            turned_away: false,
-            lost: false,
-            other: None,
+            is_rejected: false,
+            is_lost: false,
+            alternative: None,
         };
         let slot = self.calls.insert(call);
-        self.by_id.insert(request.id, slot);
-        actions.push(Action::Timer { at: until, token: token(slot, LAST) });
-        self.held += usize::from(self.calls[slot].held);
-        if waits {
-            self.wait_at_entry(slot);
-            let at = self.now + ENTRY_WAIT * patience;
-            return actions.push(Action::Timer { at, token: token(slot, TURN) });
+        self.call_slots.insert(request.id, slot);
+        actions.push(Action::Timer { at: deadline, token: timer_token(slot, DEADLINE_TIMER) });
+        self.queued_calls += usize::from(self.calls[slot].is_queued);
+        if must_wait {
+            self.enqueue_for_admission(slot);
+            let at = self.now + ADMISSION_WAIT_FRACTION * patience;
+            return actions.push(Action::Timer { at, token: timer_token(slot, QUEUE_TIMER) });
         }
-        let Some(key) = lane else {
-            return self.begin(slot, actions);
+        let Some(key) = order_key else {
+            return self.start_call(slot, actions);
         };
-        if self.lanes.len() >= self.most_lanes {
+        if self.key_queues.len() >= self.key_queue_limit {
             let now = self.now;
-            self.lanes.retain(|_, l| !l.queue.is_empty() || l.out > 0 || l.rests_until > now);
-            self.most_lanes = 16.max(2 * self.lanes.len());
+            self.key_queues.retain(|_, q| !q.calls.is_empty() || q.open_attempts > 0 || q.settles_at > now);
+            self.key_queue_limit = 16.max(2 * self.key_queues.len());
         }
-        let empty = || Lane { queue: VecDeque::new(), out: 0, rests_until: f64::NEG_INFINITY };
-        self.lanes.entry(key).or_insert_with(empty).queue.push_back(slot);
-        self.advance(key, actions);
+        let empty = || KeyQueue { calls: VecDeque::new(), open_attempts: 0, settles_at: f64::NEG_INFINITY };
+        self.key_queues.entry(key).or_insert_with(empty).calls.push_back(slot);
+        self.advance_key_queue(key, actions);
     }
 
-    fn begin(&mut self, slot: Slot, actions: &mut Vec<Action>) {
-        self.set_timer(slot, actions);
-        self.sent.add(self.now, self.memory);
-        if let Some((_, left)) = self.calls[slot].tenant.and_then(|t| self.shares.get_mut(t)) {
-            left.room = (left.room - 1.0).max(0.0);
+    fn start_call(&mut self, slot: Slot, actions: &mut Vec<Action>) {
+        self.set_repeat_timer(slot, actions);
+        self.send_rate.increment(self.now, self.rate_memory);
+        if let Some((_, share)) = self.calls[slot].tenant.and_then(|t| self.quota_shares.get_mut(t)) {
+            share.tokens = (share.tokens - 1.0).max(0.0);
         }
-        let grown = self.grown;
-        if self.subset_size() > grown && self.grown > grown {
-            self.relist();
+        let previous_size = self.busy_subset_size;
+        if self.subset_size() > previous_size && self.busy_subset_size > previous_size {
+            self.rebuild_subset();
         }
-        if !self.send(slot, actions) && !self.calls[slot].timer_set {
+        if !self.send(slot, actions) && !self.calls[slot].has_repeat_timer {
             self.finish_unserved(slot, actions);
         }
     }
 
-    /// Puts a call in line at the entry. Those of one class within their shares, or those that are not,
-    /// are worth the same, and the lots they drew go by age: the oldest gets the best. Guards against a
-    /// call that drew badly and is passed by younger ones until its time at the entry is over.
-    fn wait_at_entry(&mut self, slot: Slot) {
-        let (class, over, rank) = (self.calls[slot].class, self.calls[slot].over, self.calls[slot].rank);
-        let place = self.queue.partition_point(|s| self.calls[*s].rank < rank);
+    /// Inserts a call into the admission queue. Calls of the same worth exchange their randomly drawn ranks
+    /// so that the oldest has the highest one and no younger call overtakes it.
+    fn enqueue_for_admission(&mut self, slot: Slot) {
+        let (class, over_share, rank) =
+            (self.calls[slot].class, self.calls[slot].over_share, self.calls[slot].rank);
+        let position = self.admission_queue.partition_point(|s| self.calls[*s].rank < rank);
         let mut next = slot;
-        for i in 0..place {
-            let (there, its) = (self.queue[i], self.calls[self.queue[i]].rank);
-            if (self.calls[there].class, self.calls[there].over) == (class, over) {
-                self.calls[next].rank = its;
-                next = std::mem::replace(&mut self.queue[i], next);
+        for i in 0..position {
+            let (queued, queued_rank) = (self.admission_queue[i], self.calls[self.admission_queue[i]].rank);
+            if (self.calls[queued].class, self.calls[queued].over_share) == (class, over_share) {
+                self.calls[next].rank = queued_rank;
+                next = std::mem::replace(&mut self.admission_queue[i], next);
             }
         }
         self.calls[next].rank = rank;
-        self.queue.insert(place, next);
+        self.admission_queue.insert(position, next);
     }
 
-    /// Lets the next request of a key run, if it may. Guards the order of keys: a request waits
-    /// while an earlier one is unfinished or has an attempt without its outcome, whoever ended
-    /// it, and while the key rests after an attempt that may still be running.
-    fn advance(&mut self, key: u64, actions: &mut Vec<Action>) {
-        let Some((lane, &slot)) = self.lanes.get(&key).and_then(|l| Some((l, l.queue.front()?))) else {
+    /// Starts the first call of a key's queue if the order of the key permits it: no earlier request is
+    /// unfinished or has an open attempt, and the key has settled after an attempt that may still run.
+    fn advance_key_queue(&mut self, key: u64, actions: &mut Vec<Action>) {
+        let Some((queue, &slot)) = self.key_queues.get(&key).and_then(|q| Some((q, q.calls.front()?))) else {
             return;
         };
-        if lane.out > 0 || !self.calls[slot].held {
+        if queue.open_attempts > 0 || !self.calls[slot].is_queued {
             return;
         }
-        if self.now < lane.rests_until {
-            let at = lane.rests_until;
-            return actions.push(Action::Timer { at, token: token(slot, TURN) });
+        if self.now < queue.settles_at {
+            let at = queue.settles_at;
+            return actions.push(Action::Timer { at, token: timer_token(slot, QUEUE_TIMER) });
         }
-        self.take_turn(slot, actions);
+        self.start_queued_call(slot, actions);
     }
 
-    /// Begins a call that was held.
-    fn take_turn(&mut self, slot: Slot, actions: &mut Vec<Action>) {
-        self.held -= 1;
-        let (now, class, until) = (self.now, self.calls[slot].class, self.calls[slot].until);
-        let t1 = self.t1(class, until - now);
+    fn start_queued_call(&mut self, slot: Slot, actions: &mut Vec<Action>) {
+        self.queued_calls -= 1;
+        let (now, class, deadline) = (self.now, self.calls[slot].class, self.calls[slot].deadline);
+        let t1 = self.t1(class, deadline - now);
         let call = &mut self.calls[slot];
-        (call.held, call.arrived, call.t1) = (false, now, t1);
-        if until - now <= HOPELESS * self.normal[class].mean {
+        (call.is_queued, call.started_at, call.t1) = (false, now, t1);
+        if deadline - now <= MIN_TIME_LEFT_FRACTION * self.class_answer_times[class].mean {
             return self.finish_unserved(slot, actions);
         }
-        self.begin(slot, actions);
+        self.start_call(slot, actions);
     }
 
-    /// Counts a request, and tells whether it lies beyond its tenant's share: whether those
-    /// admitted use up this balancer's part of the quota. Refused ones don't count, for clients
-    /// try them again, and in a jam these retries would put every tenant over its share.
-    fn count_arrival(&mut self, class: usize, tenant: Option<usize>) -> bool {
+    /// Counts an arrival, and returns whether its tenant's share is used up. Only started calls use up the
+    /// share: clients retry rejected requests, and in an overload their retries would exhaust every share.
+    fn record_arrival(&mut self, class: usize, tenant: Option<usize>) -> bool {
         let now = self.now;
-        let share = tenant.and_then(|t| self.shares.get_mut(t));
-        let over =
-            share.is_some_and(|(rate, room)| room.fill(now, *rate, (*rate * SHARE_BURST).max(1.0)) < 1.0);
-        self.arrivals[class][usize::from(over)].add(self.now, self.memory);
-        over
+        let share = tenant.and_then(|t| self.quota_shares.get_mut(t));
+        let over_share = share
+            .is_some_and(|(rate, tokens)| tokens.refill(now, *rate, (*rate * QUOTA_BURST).max(1.0)) < 1.0);
+        self.arrival_rates[class][usize::from(over_share)].increment(self.now, self.rate_memory);
+        over_share
     }
 
-    /// Sheds at the entry, where no work has been done yet: with the pressure that lowers p, the
-    /// requests of least worth for their work wait, and are refused if it lasts.
-    fn admits(&mut self, rank: f64) -> bool {
+    /// Whether a call may start under the current pressure. Only the first tier holds calls back, as no work
+    /// has been done for them there.
+    fn can_admit(&mut self, rank: f64) -> bool {
         self.settings.tier > 0 || rank >= self.pressure()
     }
 
-    /// The part of the requests that come that are worth less for their work than this one; those
-    /// worth the same draw lots.
-    fn rank(&mut self, class: usize, over: bool) -> f64 {
-        let value = |class: usize, over: bool| {
-            let share = if over { self.settings.over_share_worth } else { 1.0 };
-            let work = self.normal[class].mean.max(self.settings.quantum);
-            share * self.settings.classes[class].worth / work
+    /// Returns the fraction of arrivals that are worth less for their work than this one. Arrivals of the
+    /// same worth are ordered at random.
+    fn draw_rank(&mut self, class: usize, over_share: bool) -> f64 {
+        let value = |class: usize, over_share: bool| {
+            let share_worth = if over_share { self.settings.over_share_worth } else { 1.0 };
+            let work = self.class_answer_times[class].mean.max(self.settings.quantum);
+            share_worth * self.settings.classes[class].worth / work
         };
-        let mine = value(class, over);
-        let (mut below, mut same, mut all) = (0.0, 0.0, 0.0);
-        for (c, pair) in self.arrivals.iter().enumerate() {
-            for (o, rate) in pair.iter().enumerate() {
+        let own_value = value(class, over_share);
+        let (mut lower, mut equal, mut total) = (0.0, 0.0, 0.0);
+        for (c, rates) in self.arrival_rates.iter().enumerate() {
+            for (o, rate) in rates.iter().enumerate() {
                 let mut rate = *rate;
-                rate.age(self.now, self.memory);
+                rate.decay(self.now, self.rate_memory);
                 let rate = rate.per_second();
-                all += rate;
-                below += if value(c, o == 1) < mine { rate } else { 0.0 };
-                same += if value(c, o == 1) == mine { rate } else { 0.0 };
+                total += rate;
+                lower += if value(c, o == 1) < own_value { rate } else { 0.0 };
+                equal += if value(c, o == 1) == own_value { rate } else { 0.0 };
             }
         }
-        (below + same * self.rng.random::<f64>()) / all.max(f64::MIN_POSITIVE)
+        (lower + equal * self.rng.random::<f64>()) / total.max(f64::MIN_POSITIVE)
     }
 
-    /// Begins calls that wait at the entry, the best first, as far as the pressure lets them in.
-    /// Guards against refusals by chance: with four calls in flight one more or less is the
-    /// difference between calm and overload, and clients that are refused mostly come back at
-    /// once, to be refused again. It does harm where the pressure lasts: what is refused in the
-    /// end has then waited for nothing, which is why the wait is a small part of the patience.
-    fn let_in(&mut self, actions: &mut Vec<Action>) {
-        while let Some(&best) = self.queue.last()
-            && self.admits(self.calls[best].rank)
+    /// Starts queued calls in descending rank as far as the pressure permits. The short wait avoids rejecting
+    /// calls for a momentary excess, whose clients would retry at once.
+    fn admit_queued_calls(&mut self, actions: &mut Vec<Action>) {
+        while let Some(&best) = self.admission_queue.last()
+            && self.can_admit(self.calls[best].rank)
         {
-            self.queue.pop();
-            self.take_turn(best, actions);
+            self.admission_queue.pop();
+            self.start_queued_call(best, actions);
         }
     }
 
-    /// When a client that is refused should come again, where clients listen.
+    /// Delay after which a rejected client should retry, where clients heed one.
     fn retry_after(&self, t1: Time) -> Option<Time> {
-        Some(t1.min(self.settings.max_retry_after)).filter(|wait| *wait > 0.0)
+        Some(t1.min(self.settings.max_retry_after)).filter(|delay| *delay > 0.0)
     }
 
-    /// How far the unanswered calls exceed those that the rate of answers and the normal answer
-    /// time explain: 0 within chance, 1 far outside it. An excess seen once may be
-    /// chance, one that lasts is not: what passes as chance narrows with its mean over a while.
+    /// Returns how far the unanswered calls exceed the number that the answer rate and answer times explain:
+    /// 0 within a tolerance, 1 from twice that. An excess that lasts is not chance and lowers the tolerance.
     fn pressure(&mut self) -> f64 {
-        self.sent.age(self.now, self.memory);
-        self.lately.age(self.now, self.lately_memory());
-        let usual = self.lately.per_second() * self.wait.mean;
-        let beyond = (self.crowd() - usual) / usual.max(1.0).sqrt().max(USUAL_SPREAD * usual);
-        let keep = (-(self.now - self.excess_at) / (EXCESS_MEMORY * self.memory)).exp();
-        self.excess = beyond + (self.excess - beyond) * keep;
-        self.excess_at = self.now;
-        let chance = (CHANCE[0] - NARROWING * (self.excess - CALM_EXCESS)).clamp(CHANCE[1], CHANCE[0]);
-        if self.each() <= FEW {
+        self.send_rate.decay(self.now, self.rate_memory);
+        self.answer_rate.decay(self.now, self.answer_rate_memory());
+        let expected = self.answer_rate.per_second() * self.answer_times.mean;
+        let excess = (self.load_indicating_calls() - expected)
+            / expected.max(1.0).sqrt().max(MIN_DEVIATION_FRACTION * expected);
+        let decay =
+            (-(self.now - self.excess_updated_at) / (EXCESS_MEMORY_FRACTION * self.rate_memory)).exp();
+        self.mean_excess = excess + (self.mean_excess - excess) * decay;
+        self.excess_updated_at = self.now;
+        let tolerance = (MAX_EXCESS_TOLERANCE - TOLERANCE_DECREASE * (self.mean_excess - CALM_MEAN_EXCESS))
+            .clamp(MIN_EXCESS_TOLERANCE, MAX_EXCESS_TOLERANCE);
+        if self.calls_per_backend() <= MIN_OVERLOAD_CALLS_PER_BACKEND {
             return 0.0;
         }
-        (beyond / chance - 1.0).clamp(0.0, 1.0)
+        (excess / tolerance - 1.0).clamp(0.0, 1.0)
     }
 
-    fn lately_memory(&self) -> Time {
-        ANSWER_MEMORY * self.wait.mean.max(self.settings.quantum)
+    fn answer_rate_memory(&self) -> Time {
+        ANSWER_RATE_MEMORY_ANSWER_TIMES * self.answer_times.mean.max(self.settings.quantum)
     }
 
-    /// Calls in flight at each sound backend, if all balancers have as many as this one.
-    fn each(&self) -> f64 {
-        let sound = self.sound().map(|b| self.ramp(b)).sum::<f64>();
+    /// Estimated calls in flight per healthy backend, if all balancers have as many as this one.
+    fn calls_per_backend(&self) -> f64 {
+        let capacity = self.healthy_members().map(|b| self.capacity_fraction(b)).sum::<f64>();
         let sharing =
-            (self.settings.instance_count * self.subset.len()) as f64 / self.listed.len().max(1) as f64;
-        self.crowd() * sharing.max(1.0) / sound.max(1.0)
+            (self.settings.instance_count * self.subset.len()) as f64 / self.in_service.len().max(1) as f64;
+        self.load_indicating_calls() * sharing.max(1.0) / capacity.max(1.0)
     }
 
-    /// Calls in flight, but for those at members far slower than the best, which tell of bad
-    /// backends and not of a fleet that has too much to do; those turned away for want of room
-    /// count while they wait, copies of a call do not.
-    fn crowd(&self) -> f64 {
-        let out = self
-            .sound()
-            .map(|b| self.backends[b].in_flight.saturating_sub(self.backends[b].lost))
+    /// Calls in flight at healthy members, and those that wait after a rejection. Each call counts once, and
+    /// lost attempts don't count.
+    fn load_indicating_calls(&self) -> f64 {
+        let attempts = self
+            .healthy_members()
+            .map(|b| self.backends[b].in_flight.saturating_sub(self.backends[b].lost_attempts))
             .sum::<usize>()
-            + self.turned_away;
-        out.min(self.unanswered()) as f64
+            + self.rejected_calls;
+        attempts.min(self.unanswered_calls()) as f64
     }
 
-    /// Calls that wait for an answer, but for those that are lost.
-    fn unanswered(&self) -> usize {
-        self.by_id.len() - self.held - self.lost
+    /// Started calls without an answer, except lost ones.
+    fn unanswered_calls(&self) -> usize {
+        self.call_slots.len() - self.queued_calls - self.lost_calls
     }
 
-    /// The members that are not far slower than the best. A cold one is no measure: it gets so little that
-    /// nothing is known of it, and would make all that do the work look bad and an overload look like calm.
-    fn sound(&self) -> impl Iterator<Item = usize> {
-        let slow = |b: &usize| self.seen(&self.backends[*b]);
-        let warm = self.subset.iter().filter(|b| self.ramp(**b) >= 1.0);
-        let best = warm.map(slow).fold(f64::INFINITY, f64::min);
-        self.subset.iter().copied().filter(move |b| slow(b) <= FAR_SLOWER * best)
+    /// Subset members that are not far slower than the best warm one. A cold member is not used as the
+    /// reference: it gets too few calls to look slow, and busy members would look bad beside it.
+    fn healthy_members(&self) -> impl Iterator<Item = usize> {
+        let slowness = |b: &usize| self.observed_slowness(&self.backends[*b]);
+        let warm = self.subset.iter().filter(|b| self.capacity_fraction(**b) >= 1.0);
+        let best = warm.map(slowness).fold(f64::INFINITY, f64::min);
+        self.subset.iter().copied().filter(move |b| slowness(b) <= OUTLIER_SLOWNESS_RATIO * best)
     }
 
-    /// T1 lies above the normal answer time and leaves room for a repeat in the time left.
+    /// T1 of a call: above the normal answer time, but early enough for a repeat in the time left.
     fn t1(&mut self, class: usize, patience: Time) -> Time {
-        let (normal, most) = (&self.normal[class], T1_REACH * patience);
-        let seen = normal.mean + T1_DEVIATIONS * normal.deviation;
-        (if normal.samples > 0.0 { seen.min(most) } else { most }).max(self.settings.quantum)
+        let (normal, max) = (&self.class_answer_times[class], MAX_T1_FRACTION * patience);
+        let estimate = normal.mean + T1_DEVIATIONS * normal.deviation;
+        (if normal.sample_count > 0.0 { estimate.min(max) } else { max }).max(self.settings.quantum)
     }
 
-    // ---- It waits, and is repeated ----
+    // ---- Timers and repeats ----
 
-    /// The paper's p, from the calls unanswered here and the average rate of original sends.
-    fn repeat_chance(&mut self, t1: Time) -> f64 {
-        self.sent.age(self.now, self.memory);
-        let unanswered = self.unanswered() as f64;
-        let min = (self.sent.per_second() * t1).max(FLOOR);
-        let max = ALPHA * min;
-        let over = ((unanswered - min) / (max - min)).clamp(0.0, 1.0);
-        1.0 - (1.0 - P_MIN) * over
+    /// The paper's p, from the unanswered calls of this balancer and its average rate of first sends.
+    fn repeat_probability(&mut self, t1: Time) -> f64 {
+        self.send_rate.decay(self.now, self.rate_memory);
+        let unanswered = self.unanswered_calls() as f64;
+        let min = (self.send_rate.per_second() * t1).max(MIN_LOWER_THRESHOLD);
+        let max = THRESHOLD_RATIO * min;
+        let position = ((unanswered - min) / (max - min)).clamp(0.0, 1.0);
+        1.0 - (1.0 - MIN_REPEAT_PROBABILITY) * position
     }
 
-    /// Sets the timer for the next firing: T1, then 2 T1, 4 T1 ... after the one before.
-    fn set_timer(&mut self, slot: Slot, actions: &mut Vec<Action>) {
-        let token = token(slot, FIRING);
-        let most = self.settings.max_attempts;
-        let spread = 1.0 + T1_SPREAD * (2.0 * self.rng.random::<f64>() - 1.0);
+    /// Sets the next repeat timer: T1 after the start, then at intervals of 2 T1, 4 T1 and so on.
+    fn set_repeat_timer(&mut self, slot: Slot, actions: &mut Vec<Action>) {
+        let token = timer_token(slot, REPEAT_TIMER);
+        let max_attempts = self.settings.max_attempts;
+        let jitter = 1.0 + T1_JITTER_FRACTION * (2.0 * self.rng.random::<f64>() - 1.0);
         let call = &mut self.calls[slot];
-        let at = call.arrived + call.t1 * spread * (2f64.powi(call.fired + 1) - 1.0);
-        call.timer_set = at < call.until && call.attempts.len() < most;
-        if call.timer_set {
+        let at = call.started_at + call.t1 * jitter * (2f64.powi(call.timers_fired + 1) - 1.0);
+        call.has_repeat_timer = at < call.deadline && call.attempts.len() < max_attempts;
+        if call.has_repeat_timer {
             actions.push(Action::Timer { at, token });
         }
     }
 
-    fn timer(&mut self, token: u64, actions: &mut Vec<Action>) {
+    fn handle_timer(&mut self, token: u64, actions: &mut Vec<Action>) {
         let (kind, slot) = ((token - 1) & 3, Slot::from(KeyData::from_ffi((token - 1) >> 2)));
         if !self.calls.contains_key(slot) {
-            return; // of a call that has ended
+            return; // the call has ended
         }
-        if let (TURN, Some(key)) = (kind, self.calls[slot].lane) {
-            return self.advance(key, actions);
+        if let (QUEUE_TIMER, Some(key)) = (kind, self.calls[slot].order_key) {
+            return self.advance_key_queue(key, actions);
         }
-        if kind == TURN {
-            // The pressure has lasted: refused at once, and before any work was done.
-            if self.calls[slot].held {
+        if kind == QUEUE_TIMER {
+            // The pressure has lasted for the whole wait for admission.
+            if self.calls[slot].is_queued {
                 let (id, t1) = (self.calls[slot].id, self.calls[slot].t1);
                 actions.push(Action::Reject { id, retry_after: self.retry_after(t1) });
                 self.finish(slot, None, actions);
             }
             return;
         }
-        if kind == LAST {
-            // Its time is up. Its attempt's time-out finds the call gone: a hung backend is noticed here.
-            self.learn_waiting(slot, true);
+        if kind == DEADLINE_TIMER {
+            // The timeout of an attempt arrives after the call has ended, so its slowness is recorded here.
+            self.check_open_attempts(slot, true);
             return self.finish_unserved(slot, actions);
         }
-        self.calls[slot].fired += 1;
-        self.set_timer(slot, actions);
-        // A backend that has answered since is alive, and the call merely long: a copy would double it.
-        let alive = self.learn_waiting(slot, false);
-        let chance = (self.repeat_chance(self.calls[slot].t1) * (1.0 - self.pressure())).max(P_MIN);
-        if !alive && self.may_send(slot).is_some() && self.rng.random::<f64>() < chance {
+        self.calls[slot].timers_fired += 1;
+        self.set_repeat_timer(slot, actions);
+        // A backend that has answered since is alive, and a copy would only double a long request's work.
+        let is_alive = self.check_open_attempts(slot, false);
+        let probability = (self.repeat_probability(self.calls[slot].t1) * (1.0 - self.pressure()))
+            .max(MIN_REPEAT_PROBABILITY);
+        if !is_alive && self.allowed_scope(slot).is_some() && self.rng.random::<f64>() < probability {
             self.send(slot, actions);
         }
         let call = &self.calls[slot];
-        if !call.timer_set && !call.waits() {
+        if !call.has_repeat_timer && !call.has_open_attempt() {
             self.finish_unserved(slot, actions);
         }
     }
 
-    // ---- Where it may go, and where it goes ----
+    // ---- Selection of a backend ----
 
-    /// May this call be sent (again), and where? Asked before every send.
-    fn may_send(&self, slot: Slot) -> Option<Scope> {
+    /// The backends that a call may be sent to now, for the first time or again, if it may be sent at all.
+    fn allowed_scope(&self, slot: Slot) -> Option<Scope> {
         let call = &self.calls[slot];
-        if call.attempts.len() >= self.settings.max_attempts || self.now >= call.until {
+        if call.attempts.len() >= self.settings.max_attempts || self.now >= call.deadline {
             return None;
         }
-        if !self.settings.allow_concurrent_attempts && call.waits() {
+        if !self.settings.allow_concurrent_attempts && call.has_open_attempt() {
             return None;
         }
         let Some(first) = call.attempts.iter().find(|a| a.may_have_run()) else {
@@ -751,529 +740,541 @@
         match self.settings.classes[call.class].effect {
             Effect::Safe => Some(Scope::Anywhere),
             Effect::Unsafe => None,
-            Effect::Keyed { window, .. } if self.now >= first.sent + window => None,
+            Effect::Keyed { window, .. } if self.now >= first.sent_at + window => None,
             Effect::Keyed { group: DedupGroup::All, .. } => Some(Scope::Anywhere),
             Effect::Keyed { group: DedupGroup::Zone, .. } => Some(Scope::Zone(first.zone)),
             Effect::Keyed { group: DedupGroup::Cell, .. } => Some(Scope::Cell(first.cell)),
         }
     }
 
-    /// Sends a call, the first time or again, if it may be and a backend can be found.
+    /// Sends a call for the first time or again, and returns whether it may be sent and a backend is usable.
     fn send(&mut self, slot: Slot, actions: &mut Vec<Action>) -> bool {
-        let Some(backend) = self.may_send(slot).and_then(|scope| self.place(slot, scope)) else {
+        let Some(backend) = self.allowed_scope(slot).and_then(|s| self.choose_backend(slot, s)) else {
             return false;
         };
-        let (now, until) = (self.now, self.calls[slot].until);
+        let (now, deadline) = (self.now, self.calls[slot].deadline);
         let b = &mut self.backends[backend];
         if b.in_flight == 0 {
-            b.alive_at = now;
+            b.last_alive_at = now;
         }
         b.in_flight += 1;
-        b.named += 1;
-        let next = -self.wait_for_turn();
+        b.references += 1;
+        let tokens = -self.draw_turn_interval();
         let b = &mut self.backends[backend];
-        b.cold.room = next;
+        b.cold_budget.tokens = tokens;
         let (cell, zone, id) = (b.entry.cell, b.entry.zone, b.entry.id);
         let call = &mut self.calls[slot];
-        call.attempts.push(Attempt { backend, cell, zone, sent: now, outcome: None, lost: false });
-        self.lost -= usize::from(std::mem::take(&mut call.lost));
-        self.turned_away -= usize::from(std::mem::take(&mut call.turned_away));
-        actions.push(Action::Send { id: call.id, backend: id, timeout: until - now });
-        self.sends += 1;
-        let (turn, members) = (self.sends / SENDS_A_PROBE, self.subset.len());
-        if self.settings.probe_for_reports && self.sends.is_multiple_of(SENDS_A_PROBE) && members > 0 {
-            actions.push(Action::Probe(self.backends[self.subset[turn % members]].entry.id));
+        call.attempts.push(Attempt { backend, cell, zone, sent_at: now, outcome: None, is_lost: false });
+        self.lost_calls -= usize::from(std::mem::take(&mut call.is_lost));
+        self.rejected_calls -= usize::from(std::mem::take(&mut call.is_rejected));
+        actions.push(Action::Send { id: call.id, backend: id, timeout: deadline - now });
+        self.send_count += 1;
+        let (probe_number, members) = (self.send_count / SENDS_PER_PROBE, self.subset.len());
+        if self.settings.probe_for_reports && self.send_count.is_multiple_of(SENDS_PER_PROBE) && members > 0 {
+            actions.push(Action::Probe(self.backends[self.subset[probe_number % members]].entry.id));
         }
         true
     }
 
-    /// Of two random members of the subset the one with fewer calls in flight; for a repeat
-    /// the other one, or two new ones. Where no member can be used, any backend of the scope.
-    fn place(&mut self, slot: Slot, scope: Scope) -> Option<usize> {
+    /// Chooses the less loaded of two random subset members; for a repeat the other one of them if it is
+    /// usable, else a new choice. Where no member is usable, other backends of the scope are drawn.
+    fn choose_backend(&mut self, slot: Slot, scope: Scope) -> Option<usize> {
         let tried: Vec<usize> = self.calls[slot].attempts.iter().map(|a| a.backend).collect();
-        let other = self.calls[slot].other.take();
-        if let Some(other) = other.filter(|o| scope.holds(&self.backends[*o].entry))
-            && !tried.contains(&other)
-            && self.usable(other)
+        let alternative = self.calls[slot].alternative.take();
+        if let Some(alternative) = alternative.filter(|b| scope.contains(&self.backends[*b].entry))
+            && !tried.contains(&alternative)
+            && self.is_usable(alternative)
         {
-            return Some(other);
+            return Some(alternative);
         }
-        let mut pool = self.subset.clone();
-        pool.retain(|b| scope.holds(&self.backends[*b].entry) && !tried.contains(b) && self.usable(*b));
-        if pool.is_empty() {
-            let wide = match scope {
-                Scope::Anywhere => &self.listed,
-                _ => self.groups.get(&scope)?,
+        let mut usable = self.subset.clone();
+        usable
+            .retain(|b| scope.contains(&self.backends[*b].entry) && !tried.contains(b) && self.is_usable(*b));
+        if usable.is_empty() {
+            let in_scope = match scope {
+                Scope::Anywhere => &self.in_service,
+                _ => self.in_service_by_scope.get(&scope)?,
             };
-            for _ in 0..2 * SUBSET {
-                let drawn = *wide.get(self.rng.random_range(0..wide.len().max(1)))?;
-                if !tried.contains(&drawn) && !pool.contains(&drawn) {
-                    pool.push(drawn);
+            for _ in 0..2 * MIN_SUBSET_SIZE {
+                let drawn = *in_scope.get(self.rng.random_range(0..in_scope.len().max(1)))?;
+                if !tried.contains(&drawn) && !usable.contains(&drawn) {
+                    usable.push(drawn);
                 }
             }
-            pool.retain(|b| self.usable(*b));
+            usable.retain(|b| self.is_usable(*b));
         }
-        if pool.is_empty() {
-            // A lost connection says little of its backend: where two are all there is, both may lose one.
-            let lost = self.calls[slot].attempts.iter().filter(|a| a.outcome == Some(Outcome::Reset));
-            let lost: Vec<usize> = lost.map(|a| a.backend).collect();
-            pool = self.subset.iter().copied().filter(|b| scope.holds(&self.backends[*b].entry)).collect();
-            let again = |b: &usize| lost.contains(b);
-            pool.retain(|b| again(b) && self.usable(*b) || !tried.contains(b) && self.may_borrow(*b));
+        if usable.is_empty() {
+            // A reset connection says little about its backend, which may be tried again.
+            let resets = self.calls[slot].attempts.iter().filter(|a| a.outcome == Some(Outcome::Reset));
+            let resets: Vec<usize> = resets.map(|a| a.backend).collect();
+            usable =
+                self.subset.iter().copied().filter(|b| scope.contains(&self.backends[*b].entry)).collect();
+            let reset = |b: &usize| resets.contains(b);
+            usable.retain(|b| reset(b) && self.is_usable(*b) || !tried.contains(b) && self.can_overdraw(*b));
         }
-        // Those of more than mean load are left out: slow machines would be crowded where both drawn are.
-        let mean = pool.iter().map(|b| self.load(*b)).sum::<f64>() / pool.len() as f64;
-        pool.retain(|b| self.load(*b) <= mean * (1.0 + f64::EPSILON * 16.0));
-        let one = pool.swap_remove(self.draw(pool.len())?);
-        let Some(two) = self.draw(pool.len()).map(|i| pool[i]) else {
+        // Backends above the mean load are excluded: a pair of slow ones would otherwise be overloaded.
+        let mean = usable.iter().map(|b| self.load(*b)).sum::<f64>() / usable.len() as f64;
+        usable.retain(|b| self.load(*b) <= mean * (1.0 + f64::EPSILON * 16.0));
+        let one = usable.swap_remove(self.random_index(usable.len())?);
+        let Some(two) = self.random_index(usable.len()).map(|i| usable[i]) else {
             return Some(one);
         };
         let (first, second) = if self.load(two) < self.load(one) { (two, one) } else { (one, two) };
-        self.calls[slot].other = Some(second);
+        self.calls[slot].alternative = Some(second);
         Some(first)
     }
 
-    fn draw(&mut self, len: usize) -> Option<usize> {
+    fn random_index(&mut self, len: usize) -> Option<usize> {
         (len > 0).then(|| self.rng.random_range(0..len))
     }
 
-    /// Own calls in flight, this one included, and those of others that it has reported, per weight. What
-    /// fails fast or hangs looks idle to such a count, so slowness and failures seen there count as load.
+    /// Load of a backend per weight: its calls in flight, including the next one, times its relative service
+    /// time and its slowness. Without slowness, a backend that fails fast or hangs would look idle.
     fn load(&self, backend: usize) -> f64 {
         let b = &self.backends[backend];
-        let away = if self.away(backend) { 1.0 + AWAY_LOAD * self.settings.cross_zone_cost } else { 1.0 };
-        let slow = match (b.service, self.service) {
+        let zone_load =
+            if self.is_remote(backend) { 1.0 + REMOTE_LOAD * self.settings.cross_zone_cost } else { 1.0 };
+        let service_load = match (b.service_time, self.mean_service_time) {
             (Some(own), mean) if mean > 0.0 => own / mean,
             _ => 1.0,
         };
-        away * (b.in_flight + 1) as f64 * slow * self.slowness(b) / b.entry.weight.max(f64::MIN_POSITIVE)
+        zone_load * (b.in_flight + 1) as f64 * service_load * self.slowness(b)
+            / b.entry.weight.max(f64::MIN_POSITIVE)
     }
 
-    /// In service, and, while it is cold, within this balancer's part of what it can take.
-    fn usable(&mut self, backend: usize) -> bool {
+    /// Whether a backend is in service and, if it is cold, has budget left for a request of this balancer.
+    fn is_usable(&mut self, backend: usize) -> bool {
         if self.backends[backend].entry.status != Status::InService {
             return false;
         }
-        let ramp = self.ramp(backend);
-        if ramp >= 1.0 {
+        let capacity = self.capacity_fraction(backend);
+        if capacity >= 1.0 {
             return true;
         }
         if !self.subset.contains(&backend) {
-            return false; // its budget is the members'
+            return false; // its budget is divided among the balancers that have it in their subset
         }
-        // A turn that was not used stands as long as the rule counts: what was saved for longer would come
-        // at once from many balancers.
-        let rate = self.cold_rate(backend);
-        let most = rate * self.settings.overload_duration;
-        let room = self.backends[backend].cold.fill(self.now, rate, f64::INFINITY);
-        if room > most {
-            let none = self.rng.random::<f64>() < (-most).exp();
-            self.backends[backend].cold.room = if none { -self.wait_for_turn() } else { 0.0 };
+        // An unused turn expires after the overload duration: turns that many balancers had saved for longer
+        // would be used at once.
+        let rate = self.cold_send_rate(backend);
+        let max_tokens = rate * self.settings.overload_duration;
+        let tokens = self.backends[backend].cold_budget.refill(self.now, rate, f64::INFINITY);
+        if tokens > max_tokens {
+            let expired = self.rng.random::<f64>() < (-max_tokens).exp();
+            self.backends[backend].cold_budget.tokens =
+                if expired { -self.draw_turn_interval() } else { 0.0 };
         }
-        self.backends[backend].cold.room >= 0.0
+        self.backends[backend].cold_budget.tokens >= 0.0
     }
 
-    /// Where all that it could be sent to is cold and had its part, one whose next turn is near may be sent
-    /// to before it. Guards against a fleet of newcomers alone, which turned requests away while idle.
-    fn may_borrow(&self, backend: usize) -> bool {
+    /// Whether a request may be sent to a cold backend shortly before its next turn. Otherwise a fleet of
+    /// cold backends alone would reject requests while it is idle.
+    fn can_overdraw(&self, backend: usize) -> bool {
         let b = &self.backends[backend];
-        let lent = b.entry.usual_rate.is_none_or(|usual| usual > 0.0);
-        b.entry.status == Status::InService && lent && b.cold.room >= -BORROWED
+        let has_budget = b.entry.usual_rate.is_none_or(|rate| rate > 0.0);
+        b.entry.status == Status::InService && has_budget && b.cold_budget.tokens >= -MAX_COLD_OVERDRAFT
     }
 
-    /// What has to fall to a cold backend before its next turn, in requests: one on average, drawn so that
-    /// the turns of many balancers come at random times.
-    fn wait_for_turn(&mut self) -> f64 {
+    /// Draws the budget between two turns of a cold backend, in requests: exponentially distributed with a
+    /// mean of one, so that the turns of many balancers are spread at random.
+    fn draw_turn_interval(&mut self) -> f64 {
         -(1.0 - self.rng.random::<f64>()).ln()
     }
 
-    /// What this balancer may send to a cold member, in requests a second. All members that do likewise
-    /// together send it what warm ones are seen to do, times the least capacity that it can have now, times a
-    /// margin. Guards against a rate that follows what is served: where all members are cold that fell with
-    /// what it allowed, until nothing was sent. Who has seen no warm ones goes by what is asked of it.
-    fn cold_rate(&mut self, backend: usize) -> f64 {
-        self.age_warm();
+    /// Rate in requests per second at which this balancer may send to a cold member: a fraction of the rate
+    /// that overloads it, estimated from the answers of warm members or, without any, from own requests.
+    fn cold_send_rate(&mut self, backend: usize) -> f64 {
+        self.update_warm_time();
         let members = self.subset.len().max(1) as f64;
-        let tip = self.settings.overload_duration;
-        let asked = self.sent.count / (self.sent.span + tip) / members;
-        let rate = (self.warm.count + asked * tip) / (self.warm.span + tip).max(f64::EPSILON);
+        let overload_duration = self.settings.overload_duration;
+        let requested = self.send_rate.count / (self.send_rate.duration + overload_duration) / members;
+        let rate = (self.warm_answer_rate.count + requested * overload_duration)
+            / (self.warm_answer_rate.duration + overload_duration).max(f64::EPSILON);
         let rate = self.backends[backend].entry.usual_rate.map_or(rate, |usual| usual.min(rate));
-        rate * self.ramp(backend) * COLD_MARGIN * self.settings.overload_multiple
+        rate * self.capacity_fraction(backend) * COLD_RATE_FRACTION * self.settings.overload_multiple
     }
 
-    /// Counts on how long how many members have been warm.
-    fn age_warm(&mut self) {
-        let warm = self.subset.iter().filter(|b| self.ramp(**b) >= 1.0).count() as f64;
-        self.warm_time += warm * (self.now - self.warm_at);
-        self.warm_at = self.now;
-        self.warm.age(self.warm_time, self.memory * self.subset.len().max(1) as f64);
+    /// Adds the time since the last update to the seconds that members have been warm.
+    fn update_warm_time(&mut self) {
+        let warm = self.subset.iter().filter(|b| self.capacity_fraction(**b) >= 1.0).count() as f64;
+        self.warm_member_seconds += warm * (self.now - self.warm_updated_at);
+        self.warm_updated_at = self.now;
+        self.warm_answer_rate
+            .decay(self.warm_member_seconds, self.rate_memory * self.subset.len().max(1) as f64);
     }
 
-    /// Part of its capacity that a backend has at the least.
-    fn ramp(&self, backend: usize) -> f64 {
-        let (from, cold) = (self.settings.cold_capacity_fraction, self.settings.cold_duration);
-        let started = self.backends[backend].entry.started.filter(|s| self.now < s + cold);
-        started.map_or(1.0, |s| from + (1.0 - from) * ((self.now - s) / cold).clamp(0.0, 1.0))
+    /// Minimum fraction of its full capacity that a backend has now; 1 once it is warm.
+    fn capacity_fraction(&self, backend: usize) -> f64 {
+        let (initial, duration) = (self.settings.cold_capacity_fraction, self.settings.cold_duration);
+        let started = self.backends[backend].entry.started.filter(|s| self.now < s + duration);
+        started.map_or(1.0, |s| initial + (1.0 - initial) * ((self.now - s) / duration).clamp(0.0, 1.0))
     }
 
-    // ---- It ends ----
+    // ---- End of attempts and calls ----
 
-    /// It ends from outside: its stream has begun, or its caller has left.
-    fn end(&mut self, id: RequestId, keep: Option<usize>, actions: &mut Vec<Action>) {
-        self.by_id.get(&id).copied().into_iter().for_each(|slot| self.finish(slot, keep, actions));
+    /// Closes a request whose stream has started or whose client has disconnected.
+    fn close_request(&mut self, id: RequestId, winner: Option<usize>, actions: &mut Vec<Action>) {
+        self.call_slots.get(&id).copied().into_iter().for_each(|slot| self.finish(slot, winner, actions));
     }
 
-    fn ended(&mut self, ended: AttemptResult, actions: &mut Vec<Action>) {
+    fn handle_attempt_result(&mut self, result: AttemptResult, actions: &mut Vec<Action>) {
         use Outcome::*;
-        let slot = self.by_id.get(&ended.id).copied();
-        if let Some(&backend) = self.by_backend.get(&ended.backend) {
+        let slot = self.call_slots.get(&result.id).copied();
+        if let Some(&backend) = self.backend_indices.get(&result.backend) {
             let b = &mut self.backends[backend];
             b.in_flight = b.in_flight.saturating_sub(1);
-            if matches!(ended.outcome, Served | Error | Rejected | Reset) {
-                b.alive_at = self.now;
+            if matches!(result.outcome, Served | Error | Rejected | Reset) {
+                b.last_alive_at = self.now;
             }
-            self.take_report(ended.backend, ended.report);
-            self.release_if_draining(backend, actions);
+            self.record_load_report(result.backend, result.report);
+            self.close_idle_if_draining(backend, actions);
             if let Some(slot) = slot {
                 let class = self.calls[slot].class;
-                match ended.outcome {
+                match result.outcome {
                     Served => {
                         let b = &mut self.backends[backend];
-                        b.answered_at = self.now;
-                        b.answered_sent = b.answered_sent.max(self.now - ended.duration);
-                        if self.ramp(backend) >= 1.0 {
-                            self.age_warm();
-                            self.warm.count += 1.0;
+                        b.last_answered_at = self.now;
+                        b.last_answered_send = b.last_answered_send.max(self.now - result.duration);
+                        if self.capacity_fraction(backend) >= 1.0 {
+                            self.update_warm_time();
+                            self.warm_answer_rate.count += 1.0;
                         }
-                        self.lately.add(self.now, self.lately_memory());
-                        self.learn(backend, class, ended.duration, false);
-                        let calm = self.pressure() <= 0.0;
-                        let took = ended.duration.min(NORMAL_REACH * self.settings.classes[class].aim);
-                        self.normal[class].add(took, calm);
-                        self.wait.add(took, calm);
+                        self.answer_rate.increment(self.now, self.answer_rate_memory());
+                        self.record_slowness(backend, class, result.duration, false);
+                        let is_calm = self.pressure() <= 0.0;
+                        let sample =
+                            result.duration.min(MAX_SAMPLE_AIM_FRACTION * self.settings.classes[class].aim);
+                        self.class_answer_times[class].add_sample(sample, is_calm);
+                        self.answer_times.add_sample(sample, is_calm);
                     }
                     Cancelled | NeverSent => {}
-                    _ => self.learn(backend, class, ended.duration, true),
+                    _ => self.record_slowness(backend, class, result.duration, true),
                 }
             }
         }
-        // An attempt of an ended request may have held up its key.
-        let orphan = self.orphans.remove(&(ended.id, ended.attempt));
-        let key = slot.map_or(orphan, |slot| self.calls[slot].lane);
-        if let Some(lane) = key.and_then(|key| self.lanes.get_mut(&key)) {
-            lane.out -= usize::from(orphan.is_some());
-            if matches!(ended.outcome, Timeout | Reset | Cancelled) {
-                // A quantum more, as clocks are rounded.
-                lane.rests_until = self.now + self.settings.key_settle_time + self.settings.quantum;
+        // An open attempt of an ended request may have blocked its key.
+        let orphan = self.orphaned_attempts.remove(&(result.id, result.attempt));
+        let key = slot.map_or(orphan, |slot| self.calls[slot].order_key);
+        if let Some(queue) = key.and_then(|key| self.key_queues.get_mut(&key)) {
+            queue.open_attempts -= usize::from(orphan.is_some());
+            if matches!(result.outcome, Timeout | Reset | Cancelled) {
+                // The quantum covers the rounding of clocks.
+                queue.settles_at = self.now + self.settings.key_settle_time + self.settings.quantum;
             }
         }
         let Some(slot) = slot else {
-            return orphan.into_iter().for_each(|key| self.advance(key, actions));
+            return orphan.into_iter().for_each(|key| self.advance_key_queue(key, actions));
         };
-        if let Some(attempt) = self.calls[slot].attempts.get_mut(ended.attempt) {
-            attempt.outcome = Some(ended.outcome);
-            self.backends[attempt.backend].lost -= usize::from(std::mem::take(&mut attempt.lost));
+        if let Some(attempt) = self.calls[slot].attempts.get_mut(result.attempt) {
+            attempt.outcome = Some(result.outcome);
+            self.backends[attempt.backend].lost_attempts -= usize::from(std::mem::take(&mut attempt.is_lost));
         }
-        if !self.calls[slot].waits() {
-            self.lost -= usize::from(std::mem::take(&mut self.calls[slot].lost));
+        if !self.calls[slot].has_open_attempt() {
+            self.lost_calls -= usize::from(std::mem::take(&mut self.calls[slot].is_lost));
         }
-        if ended.is_final {
-            return self.finish(slot, Some(ended.attempt), actions);
+        if result.is_final {
+            return self.finish(slot, Some(result.attempt), actions);
         }
-        if self.calls[slot].waits() {
-            return; // a copy may still answer
+        if self.calls[slot].has_open_attempt() {
+            return; // another attempt may still be answered
         }
-        if matches!(ended.outcome, Rejected | NoConnection) {
-            self.turned_away += 1;
-            self.calls[slot].turned_away = true;
+        if matches!(result.outcome, Rejected | NoConnection) {
+            self.rejected_calls += 1;
+            self.calls[slot].is_rejected = true;
         }
-        // A failed call waits for its next timer, if it has one and may be sent then.
-        if !self.calls[slot].timer_set || self.may_send(slot).is_none() {
+        // Without a further timer or an allowed backend, the failed call can't be repeated.
+        if !self.calls[slot].has_repeat_timer || self.allowed_scope(slot).is_none() {
             self.finish_unserved(slot, actions);
         }
     }
 
-    /// Gives the final answer to a call that was not served: a refusal if trying it again is
-    /// harmless, else a failure.
+    /// Answers a call that was not served: with a rejection if a retry is harmless, else with a failure.
     fn finish_unserved(&mut self, slot: Slot, actions: &mut Vec<Action>) {
         let call = &self.calls[slot];
-        let harmless = match self.settings.classes[call.class].effect {
+        let is_harmless = match self.settings.classes[call.class].effect {
             Effect::Safe | Effect::Keyed { group: DedupGroup::All, .. } => true,
             _ => !call.attempts.iter().any(Attempt::may_have_run),
         };
         let (id, t1) = (call.id, call.t1);
-        actions.push(match harmless {
+        actions.push(match is_harmless {
             true => Action::Reject { id, retry_after: self.retry_after(t1) },
             false => Action::Fail { id },
         });
         self.finish(slot, None, actions);
     }
 
-    /// Drops a call, and cancels its attempts but for the one that answered.
-    fn finish(&mut self, slot: Slot, keep: Option<usize>, actions: &mut Vec<Action>) {
+    /// Removes a call and cancels its open attempts, except the one whose answer is used.
+    fn finish(&mut self, slot: Slot, winner: Option<usize>, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.remove(slot) else {
             return;
         };
-        self.by_id.remove(&call.id);
+        self.call_slots.remove(&call.id);
         for (i, attempt) in call.attempts.iter().enumerate() {
-            self.backends[attempt.backend].named -= 1;
-            self.backends[attempt.backend].lost -= usize::from(attempt.lost);
-            if self.settings.can_cancel && attempt.outcome.is_none() && keep != Some(i) {
+            self.backends[attempt.backend].references -= 1;
+            self.backends[attempt.backend].lost_attempts -= usize::from(attempt.is_lost);
+            if self.settings.can_cancel && attempt.outcome.is_none() && winner != Some(i) {
                 actions.push(Action::Cancel { id: call.id, attempt: i });
             }
         }
-        if call.held {
-            self.held -= 1;
-            self.queue.retain(|s| *s != slot);
+        if call.is_queued {
+            self.queued_calls -= 1;
+            self.admission_queue.retain(|s| *s != slot);
         }
-        self.turned_away -= usize::from(call.turned_away);
-        self.lost -= usize::from(call.lost);
-        let Some((key, lane)) = call.lane.and_then(|key| Some((key, self.lanes.get_mut(&key)?))) else {
+        self.rejected_calls -= usize::from(call.is_rejected);
+        self.lost_calls -= usize::from(call.is_lost);
+        let Some((key, queue)) = call.order_key.and_then(|k| Some((k, self.key_queues.get_mut(&k)?))) else {
             return;
         };
-        lane.queue.retain(|s| *s != slot);
+        queue.calls.retain(|s| *s != slot);
         for i in (0..call.attempts.len()).filter(|i| call.attempts[*i].outcome.is_none()) {
-            lane.out += 1;
-            self.orphans.insert((call.id, i), key);
+            queue.open_attempts += 1;
+            self.orphaned_attempts.insert((call.id, i), key);
         }
-        self.advance(key, actions);
+        self.advance_key_queue(key, actions);
     }
 
-    // ---- What is learnt of backends ----
+    // ---- Observations of backends ----
 
-    /// Takes in how long an attempt took or has been waiting, beside what is normal.
-    fn learn(&mut self, backend: usize, class: usize, took: Time, failed: bool) {
-        let normal = self.normal[class].mean;
+    /// Updates the slowness of a backend with the time that an attempt took or has been open.
+    fn record_slowness(&mut self, backend: usize, class: usize, duration: Time, failed: bool) {
+        let normal = self.class_answer_times[class].mean;
         if normal <= 0.0 && !failed {
             return;
         }
-        let sample = if failed { FAILED_SLOWNESS } else { took / normal };
-        // One that fails at once is idle in between, and would be chosen again and again.
-        let fast = failed && took < FAST_FAILURE * normal;
-        let weight = if fast { FAST_FAILURE_WEIGHT } else { HEALTH_WEIGHT };
-        let known = self.seen(&self.backends[backend]);
+        let sample = if failed { FAILURE_SLOWNESS } else { duration / normal };
+        // A backend that fails at once is idle in between, and would be part again and again.
+        let is_fast_failure = failed && duration < FAST_FAILURE_FRACTION * normal;
+        let weight = if is_fast_failure { FAST_FAILURE_EWMA_WEIGHT } else { SLOWNESS_EWMA_WEIGHT };
+        let known = self.observed_slowness(&self.backends[backend]);
         let b = &mut self.backends[backend];
-        b.slowness = known + weight * (sample.min(FAILED_SLOWNESS) - known);
-        b.slowness_at = self.now;
+        b.slowness = known + weight * (sample.min(FAILURE_SLOWNESS) - known);
+        b.slowness_updated_at = self.now;
         if failed {
-            b.failed_at = self.now;
+            b.last_failed_at = self.now;
         }
     }
 
-    /// Learns from the attempts of a call that are still out, where their backends have answered
-    /// nothing since; tells whether one has.
-    fn learn_waiting(&mut self, slot: Slot, failed: bool) -> bool {
-        let mut alive = false;
+    /// Marks lost attempts of a call, and records the slowness of its open attempts at backends that have
+    /// answered nothing since the send. Returns whether a backend of another open attempt has answered.
+    fn check_open_attempts(&mut self, slot: Slot, failed: bool) -> bool {
+        let mut is_alive = false;
         for i in 0..self.calls[slot].attempts.len() {
-            let Attempt { backend, sent, outcome, lost, .. } = self.calls[slot].attempts[i];
+            let Attempt { backend, sent_at, outcome, is_lost, .. } = self.calls[slot].attempts[i];
             let class = self.calls[slot].class;
             if outcome.is_some() {
                 continue;
             }
-            let answers = self.backends[backend].answered_at > sent;
-            if self.backends[backend].answered_sent - sent > LOST * self.normal[class].mean {
-                self.calls[slot].attempts[i].lost = true;
-                self.backends[backend].lost += usize::from(!lost);
-            } else if answers {
-                alive = true;
+            let has_answered = self.backends[backend].last_answered_at > sent_at;
+            if self.backends[backend].last_answered_send - sent_at
+                > LOST_ANSWER_TIMES * self.class_answer_times[class].mean
+            {
+                self.calls[slot].attempts[i].is_lost = true;
+                self.backends[backend].lost_attempts += usize::from(!is_lost);
+            } else if has_answered {
+                is_alive = true;
                 continue;
             }
-            self.learn(backend, class, self.now - sent, failed);
+            self.record_slowness(backend, class, self.now - sent_at, failed);
         }
         let call = &mut self.calls[slot];
-        let mut out = call.attempts.iter().filter(|a| a.outcome.is_none()).peekable();
-        if !call.lost && out.peek().is_some() && out.all(|a| a.lost) {
-            call.lost = true;
-            self.lost += 1;
+        let mut open = call.attempts.iter().filter(|a| a.outcome.is_none()).peekable();
+        if !call.is_lost && open.peek().is_some() && open.all(|a| a.is_lost) {
+            call.is_lost = true;
+            self.lost_calls += 1;
         }
-        alive
+        is_alive
     }
 
-    /// What is known of it, or how long it has been silent with calls in flight, if that is worse.
-    /// Guards against backends that stand still, whatever the cause: one costly call on the only
-    /// core, a pause, a lost machine. Their calls end too late to tell, and until then new ones
-    /// would pile up behind them. One that is busy goes on answering, however many wait. It could
-    /// do harm where answers are rare and long: silence is then normal, at all members alike.
+    /// Maximum of the observed slowness, the hint, and the silence of a backend with attempts in flight. The
+    /// silence reveals a stalled backend before its attempts time out; a busy one goes on answering.
     fn slowness(&self, backend: &Backend) -> f64 {
-        let (believed, since) = backend.believed;
-        let seen = self.seen(backend).max(if backend.answered_sent > since { 0.0 } else { believed });
-        if backend.in_flight == 0 || self.wait.mean <= 0.0 {
-            return seen;
+        let (hint, since) = backend.hint;
+        let known =
+            self.observed_slowness(backend).max(if backend.last_answered_send > since { 0.0 } else { hint });
+        if backend.in_flight == 0 || self.answer_times.mean <= 0.0 {
+            return known;
         }
-        seen.max(((self.now - backend.alive_at) / self.wait.mean).min(FAILED_SLOWNESS))
+        known.max(((self.now - backend.last_alive_at) / self.answer_times.mean).min(FAILURE_SLOWNESS))
     }
 
-    /// What was seen of a backend fades, so that it is tried again.
-    fn seen(&self, backend: &Backend) -> f64 {
-        let long = HEALTH_MEMORY * self.memory;
-        let failed = self.now - backend.failed_at < long;
-        let memory = if failed { long } else { long.min(SLOW_MEMORY * self.wait.mean) };
-        let age = (self.now - backend.slowness_at) / memory.max(f64::EPSILON);
+    /// Observed slowness, which fades towards 1 so that an avoided backend is tried again.
+    fn observed_slowness(&self, backend: &Backend) -> f64 {
+        let longest = SLOWNESS_MEMORY_FRACTION * self.rate_memory;
+        let failed = self.now - backend.last_failed_at < longest;
+        let memory =
+            if failed { longest } else { longest.min(SLOW_MEMORY_ANSWER_TIMES * self.answer_times.mean) };
+        let age = (self.now - backend.slowness_updated_at) / memory.max(f64::EPSILON);
         1.0 + (backend.slowness - 1.0) * (-age).exp()
     }
 
-    /// Takes in how long requests take a backend, as it reports.
-    fn take_report(&mut self, backend: BackendId, report: Option<Report>) {
-        let service = report.and_then(|r| r.service_time).filter(|s| *s > 0.0);
-        if let (Some(&backend), Some(service)) = (self.by_backend.get(&backend), service) {
-            let known = self.backends[backend].service.get_or_insert(service);
-            *known += SERVICE_WEIGHT * (service - *known);
-            let mean = if self.service > 0.0 { self.service } else { service };
-            self.service = mean + NORMAL_WEIGHT * (service - mean);
+    /// Updates the service time of a backend, and the mean of all backends, with a load report.
+    fn record_load_report(&mut self, backend: BackendId, report: Option<Report>) {
+        let service_time = report.and_then(|r| r.service_time).filter(|s| *s > 0.0);
+        if let (Some(&backend), Some(service_time)) = (self.backend_indices.get(&backend), service_time) {
+            let known = self.backends[backend].service_time.get_or_insert(service_time);
+            *known += SERVICE_TIME_EWMA_WEIGHT * (service_time - *known);
+            let mean = if self.mean_service_time > 0.0 { self.mean_service_time } else { service_time };
+            self.mean_service_time = mean + ANSWER_TIME_EWMA_WEIGHT * (service_time - mean);
         }
     }
 
-    // ---- The list ----
+    // ---- Backend list and subset ----
 
-    /// Closes idle connections to a draining backend: on the notice, and after each outcome
-    /// there, as what was out at the notice leaves a connection behind.
-    fn release_if_draining(&self, backend: usize, actions: &mut Vec<Action>) {
+    /// Requests the closing of idle connections to a draining backend. Each attempt that ends there during
+    /// the drain leaves another idle connection.
+    fn close_idle_if_draining(&self, backend: usize, actions: &mut Vec<Action>) {
         let entry = &self.backends[backend].entry;
         if self.settings.connection_release_deadline.is_some() && entry.status == Status::Draining {
             actions.push(Action::CloseIdleConnections(entry.id));
         }
     }
 
-    fn list(&mut self, update: ListUpdate<'_>, actions: &mut Vec<Action>) {
+    fn update_list(&mut self, update: ListUpdate<'_>, actions: &mut Vec<Action>) {
         match update {
             ListUpdate::Failed => {
-                // Asked again later and later, and not all at once: what failed may be busy.
-                let wait = self.watch_wait * (0.5 + self.rng.random::<f64>());
-                self.watch_wait = (2.0 * self.watch_wait).min(self.settings.list_request_deadline);
-                actions.push(Action::Timer { at: self.now + wait, token: LIST_TOKEN });
+                // Exponential backoff with jitter, since the source may be overloaded.
+                let delay = self.list_backoff * (0.5 + self.rng.random::<f64>());
+                self.list_backoff = (2.0 * self.list_backoff).min(self.settings.list_request_deadline);
+                actions.push(Action::Timer { at: self.now + delay, token: LIST_TOKEN });
                 return;
             }
             ListUpdate::Full(entries) | ListUpdate::Remembered(entries) => {
                 self.backends.iter_mut().for_each(|b| b.entry.status = Status::Gone);
-                entries.iter().for_each(|e| self.take_in(e, actions));
+                entries.iter().for_each(|e| self.update_backend(e, actions));
             }
-            ListUpdate::Changes(entries) => entries.iter().for_each(|e| self.take_in(e, actions)),
+            ListUpdate::Changes(entries) => entries.iter().for_each(|e| self.update_backend(e, actions)),
         }
-        self.watch_wait = self.settings.list_request_deadline / 10.0;
-        self.relist();
-        self.forget();
+        self.list_backoff = self.settings.list_request_deadline / 10.0;
+        self.rebuild_subset();
+        self.remove_unreferenced_backends();
     }
 
-    /// Forgets backends that are gone and that nothing names: ever new ones would grow without end.
-    fn forget(&mut self) {
+    /// Removes backends that are gone and to which no attempt or open call refers, which bounds memory.
+    fn remove_unreferenced_backends(&mut self) {
         for (i, b) in self.backends.iter().enumerate() {
-            let unnamed = b.entry.status == Status::Gone && b.in_flight == 0 && b.named == 0;
-            if unnamed && self.by_backend.get(&b.entry.id) == Some(&i) {
-                self.by_backend.remove(&b.entry.id);
-                self.vacant.push(i);
+            let is_unreferenced = b.entry.status == Status::Gone && b.in_flight == 0 && b.references == 0;
+            if is_unreferenced && self.backend_indices.get(&b.entry.id) == Some(&i) {
+                self.backend_indices.remove(&b.entry.id);
+                self.vacant_indices.push(i);
             }
         }
     }
 
-    fn take_in(&mut self, entry: &BackendEntry, actions: &mut Vec<Action>) {
-        let fresh = Bucket { room: -self.wait_for_turn(), at: self.now };
-        let known = self.by_backend.get(&entry.id).copied().unwrap_or_else(|| {
+    fn update_backend(&mut self, entry: &BackendEntry, actions: &mut Vec<Action>) {
+        let cold_budget = TokenBucket { tokens: -self.draw_turn_interval(), filled_at: self.now };
+        let index = self.backend_indices.get(&entry.id).copied().unwrap_or_else(|| {
             let new = Backend {
                 entry: entry.clone(),
                 in_flight: 0,
-                lost: 0,
-                named: 0,
+                lost_attempts: 0,
+                references: 0,
                 slowness: 1.0,
-                slowness_at: self.now,
-                failed_at: f64::NEG_INFINITY,
-                answered_at: f64::NEG_INFINITY,
-                answered_sent: f64::NEG_INFINITY,
-                alive_at: self.now,
-                cold: fresh,
-                service: None,
-                believed: (0.0, self.now),
+                slowness_updated_at: self.now,
+                last_failed_at: f64::NEG_INFINITY,
+                last_answered_at: f64::NEG_INFINITY,
+                last_answered_send: f64::NEG_INFINITY,
+                last_alive_at: self.now,
+                cold_budget,
+                service_time: None,
+                hint: (0.0, self.now),
             };
-            let place = self.vacant.pop().unwrap_or(self.backends.len());
-            self.by_backend.insert(entry.id, place);
-            match self.backends.get_mut(place) {
+            let index = self.vacant_indices.pop().unwrap_or(self.backends.len());
+            self.backend_indices.insert(entry.id, index);
+            match self.backends.get_mut(index) {
                 Some(vacant) => *vacant = new,
                 None => self.backends.push(new),
             }
-            place
+            index
         });
-        let b = &mut self.backends[known];
+        let b = &mut self.backends[index];
         if b.entry.started != entry.started {
-            (b.slowness, b.slowness_at, b.cold) = (1.0, self.now, fresh);
+            (b.slowness, b.slowness_updated_at, b.cold_budget) = (1.0, self.now, cold_budget);
         }
         b.entry = entry.clone();
-        self.release_if_draining(known, actions);
+        self.close_idle_if_draining(index, actions);
     }
 
-    /// Number of members wanted: never fewer than cover all backends, and more for a balancer
-    /// that has more calls in flight, by Little's law.
+    /// Subset size: enough for all subsets together to cover all backends, and more for a balancer with more
+    /// calls in flight, which Little's law gives as the send rate times the mean answer time.
     fn subset_size(&mut self) -> usize {
-        if self.sent.span > 0.5 * self.memory {
-            let each = MEMBERS_PER_CALL[usize::from(self.settings.costly_connections)];
-            let busy = each * self.sent.per_second() * self.wait.mean;
-            self.grown = self.grown.max(busy as usize);
+        if self.send_rate.duration > 0.5 * self.rate_memory {
+            let members_per_call = MEMBERS_PER_CALL[usize::from(self.settings.costly_connections)];
+            let members = members_per_call * self.send_rate.per_second() * self.answer_times.mean;
+            self.busy_subset_size = self.busy_subset_size.max(members as usize);
         }
-        self.least_subset().max(self.grown)
+        self.min_subset_size().max(self.busy_subset_size)
     }
 
-    /// Members without which some backends would be in no subset, and two to choose from.
-    fn least_subset(&self) -> usize {
-        let least = if self.settings.tier == 0 { ENTRY_SUBSET } else { SUBSET };
-        least.max(self.listed.len().div_ceil(self.settings.instance_count.max(1)))
+    /// Subset size at which the subsets of all balancers cover all backends, with a minimum per tier.
+    fn min_subset_size(&self) -> usize {
+        let min = if self.settings.tier == 0 { MIN_FIRST_TIER_SUBSET_SIZE } else { MIN_SUBSET_SIZE };
+        min.max(self.in_service.len().div_ceil(self.settings.instance_count.max(1)))
     }
 
-    /// Draws the subset, keeping the members that are still in service. Where crossing zones is
-    /// priced, most members are of this zone, and a few of others for what it cannot carry.
-    fn relist(&mut self) {
-        let before: Vec<usize> = std::mem::take(&mut self.listed);
+    /// Recomputes the backends in service and the subset, which keeps its members where possible. Where
+    /// crossing zones has a cost, most members are in the balancer's zone and a few in others.
+    fn rebuild_subset(&mut self) {
+        let previous: Vec<usize> = std::mem::take(&mut self.in_service);
         let in_service = |b: &usize| self.backends[*b].entry.status == Status::InService;
-        self.listed = (0..self.backends.len()).filter(in_service).collect();
-        self.groups.clear();
-        for &b in &self.listed {
+        self.in_service = (0..self.backends.len()).filter(in_service).collect();
+        self.in_service_by_scope.clear();
+        for &b in &self.in_service {
             let entry = &self.backends[b].entry;
-            self.groups.entry(Scope::Zone(entry.zone)).or_default().push(b);
-            self.groups.entry(Scope::Cell(entry.cell)).or_default().push(b);
+            self.in_service_by_scope.entry(Scope::Zone(entry.zone)).or_default().push(b);
+            self.in_service_by_scope.entry(Scope::Cell(entry.cell)).or_default().push(b);
         }
-        let (home, away): (Vec<usize>, Vec<usize>) = self.listed.iter().partition(|b| !self.away(**b));
+        let (local, remote): (Vec<usize>, Vec<usize>) =
+            self.in_service.iter().partition(|b| !self.is_remote(**b));
         let size = self.subset_size();
-        let mut mine = self.deal(home, self.least_subset(), size);
-        mine.extend(self.deal(away, AWAY_SUBSET.max(self.least_subset() - AWAY_SUBSET), 0));
-        let size = mine.len();
-        let listed = &self.listed;
-        self.subset.retain(|b| listed.binary_search(b).is_ok());
-        for &b in &mine {
-            let new = before.binary_search(&b).is_err();
-            if !self.subset.contains(&b) && (new || self.subset.len() < size) {
+        let mut part = self.assign_members(local, self.min_subset_size(), size);
+        part.extend(self.assign_members(
+            remote,
+            REMOTE_MEMBERS.max(self.min_subset_size() - REMOTE_MEMBERS),
+            0,
+        ));
+        let size = part.len();
+        let in_service = &self.in_service;
+        self.subset.retain(|b| in_service.binary_search(b).is_ok());
+        for &b in &part {
+            let is_new = previous.binary_search(&b).is_err();
+            if !self.subset.contains(&b) && (is_new || self.subset.len() < size) {
                 self.subset.push(b);
             }
         }
         while self.subset.len() > size {
-            let out = self.subset.iter().position(|b| !mine.contains(b)).unwrap_or(0);
-            self.subset.remove(out);
+            let removed = self.subset.iter().position(|b| !part.contains(b)).unwrap_or(0);
+            self.subset.remove(removed);
         }
     }
 
-    /// Deals out backends in rounds, each a shuffle of its own, so that every one is in as many
-    /// subsets as the next: with few balancers a plain random draw would leave some in none.
-    fn deal(&self, mut from: Vec<usize>, least: usize, size: usize) -> Vec<usize> {
-        let count = from.len();
-        let base = least.min(count);
+    /// Assigns this balancer its part of `backends`, which each round of balancers shares out in a shuffle of
+    /// its own. Every backend is then in about as many subsets as any other, and none is left out.
+    fn assign_members(&self, mut backends: Vec<usize>, min_size: usize, size: usize) -> Vec<usize> {
+        let count = backends.len();
+        let base = min_size.min(count);
         let subsets = count.div_ceil(base.max(1)).max(1);
-        let (round, place) = (self.settings.instance_index / subsets, self.settings.instance_index % subsets);
-        // Those of the last round are fewer, and spread as evenly.
+        let (round, position) =
+            (self.settings.instance_index / subsets, self.settings.instance_index % subsets);
+        // The last round may have fewer balancers, whose parts are spread evenly.
         let in_round = subsets.min(self.settings.instance_count.saturating_sub(round * subsets)).max(1);
-        let start = place * count / in_round;
-        from.sort_by_cached_key(|b| (mix(self.backends[*b].entry.id, round as u64), *b));
-        (0..size.max(base).min(count)).map(|i| from[(start + i) % count]).collect()
+        let start = position * count / in_round;
+        backends.sort_by_cached_key(|b| (hash_id(self.backends[*b].entry.id, round as u64), *b));
+        (0..size.max(base).min(count)).map(|i| backends[(start + i) % count]).collect()
     }
 
-    /// A call to it would cross zones, and that is priced.
-    fn away(&self, backend: usize) -> bool {
+    /// Whether sending to a backend crosses zones at a cost.
+    fn is_remote(&self, backend: usize) -> bool {
         self.settings.cross_zone_cost > 0.0 && self.backends[backend].entry.zone != self.settings.zone
     }
 }
 
-/// The token of a call's timer; it fits no later call.
-fn token(slot: Slot, kind: u64) -> u64 {
+/// Returns the token of a call's timer, which is never used for a later call.
+fn timer_token(slot: Slot, kind: u64) -> u64 {
     1 + (slot.data().as_ffi() << 2 | kind)
 }
 
-/// Scatters ids, in a different way for each round (the finalizer of SplitMix64).
-fn mix(id: BackendId, round: u64) -> u64 {
+/// Hashes a backend id, differently for each round (the finalizer of SplitMix64).
+fn hash_id(id: BackendId, round: u64) -> u64 {
     let mut z = (u64::from(id.0) << 24 ^ round).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
