--- a/src/bin/gannetproxy-simhost.rs
+++ b/src/bin/gannetproxy-simhost.rs
@@ -1,9 +1,9 @@
-//! Hosts balancers on the simulator's wire: batches of events on standard input, one reply
-//! each on standard output.
+//! Runs balancers for the simulator: reads batches of event lines from standard input, and writes one reply
+//! to each batch to standard output.
 
 #![forbid(unsafe_code)]
 
-use gannetproxy::wire::{self, InstanceNames, LISTS, Line, Names, UpdateKind, WireError};
+use gannetproxy::wire::{self, InstanceNames, LIST_COUNT, Line, NameIndex, UpdateKind, WireError};
 use gannetproxy::{BackendEntry, Balancer, Event, ListUpdate, Time};
 use std::any::Any;
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 
-/// An instance: its balancer, where it has started, and the names in its requests.
+/// An instance of the simulator, with its balancer and the names in its requests once it has started.
 struct Instance {
     name: String,
     running: Option<(Balancer, InstanceNames)>,
@@ -21,43 +21,44 @@
 struct Host {
     instances: Vec<Instance>,
     by_name: HashMap<String, usize>,
-    zones: Names,
-    lists: [Vec<BackendEntry>; LISTS],
-    filling: Option<(usize, usize)>,
+    zones: NameIndex,
+    lists: [Vec<BackendEntry>; LIST_COUNT],
+    /// The list whose entries are being read, and the number of entries left.
+    open_list: Option<(usize, usize)>,
     selected: Option<usize>,
     now: Time,
     reply: String,
-    /// The instance that the reply speaks of.
-    by: Option<usize>,
+    /// The instance that the last `BY` line of the reply names.
+    reply_instance: Option<usize>,
 }
 
-fn out_of_order(expected: &'static str, got: &str) -> WireError {
-    WireError::Order { expected, got: got.to_string() }
+fn unexpected_line(expected: &'static str, got: &str) -> WireError {
+    WireError::UnexpectedLine { expected, got: got.to_string() }
 }
 
-/// The wire's failure message for a panic, on one line.
-fn failure(panic: &(dyn Any + Send)) -> String {
+/// Formats a panic as a failure message of one line.
+fn panic_message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("no message");
     format!("panic: {}", text.replace(['\n', '\r'], " "))
 }
 
 impl Host {
-    /// Takes in a line of a batch; true when the batch is complete.
-    fn line(&mut self, text: &str) -> Result<bool, WireError> {
+    /// Handles a line of a batch, and returns whether the batch is complete.
+    fn handle_line(&mut self, text: &str) -> Result<bool, WireError> {
         let running = self.selected.and_then(|i| self.instances[i].running.as_ref());
-        let line = wire::parse(text, &mut self.zones, running.map(|(_, names)| names))?;
-        if let Some((page, left)) = self.filling.take() {
+        let line = wire::parse_line(text, &mut self.zones, running.map(|(_, names)| names))?;
+        if let Some((list, entries_left)) = self.open_list.take() {
             let Line::Item(entry) = line else {
-                return Err(out_of_order("an ITEM line", text));
+                return Err(unexpected_line("an ITEM line", text));
             };
-            self.lists[page].push(entry);
-            self.filling = (left > 1).then_some((page, left - 1));
+            self.lists[list].push(entry);
+            self.open_list = (entries_left > 1).then_some((list, entries_left - 1));
             return Ok(false);
         }
         match line {
-            Line::Batch(..) => return Err(out_of_order("GO before the next BATCH", text)),
-            Line::Item(_) => return Err(out_of_order("a ROSTER before its entries", text)),
+            Line::Batch(..) => return Err(unexpected_line("GO before the next BATCH", text)),
+            Line::Item(_) => return Err(unexpected_line("a ROSTER before its entries", text)),
             Line::Go => return Ok(true),
             Line::Select(name) => {
                 let known = self.by_name.get(name).copied();
@@ -67,62 +68,62 @@
                     self.instances.len() - 1
                 }));
             }
-            Line::Roster(page, count) => {
-                self.lists[page].clear();
-                self.filling = (count > 0).then_some((page, count));
+            Line::Roster(list, count) => {
+                self.lists[list].clear();
+                self.open_list = (count > 0).then_some((list, count));
             }
             Line::Hello(seed, settings, names) => {
                 let now = self.now;
-                self.instance(text)?.running = Some((Balancer::new(now, seed, *settings), names));
+                self.selected_instance(text)?.running = Some((Balancer::new(now, seed, *settings), names));
             }
-            Line::Teardown => self.instance(text)?.running = None,
+            Line::Teardown => self.selected_instance(text)?.running = None,
             Line::Ignored => {
-                self.instance(text)?;
+                self.selected_instance(text)?;
             }
-            Line::Update(kind, page) => {
-                let list = std::mem::take(&mut self.lists[page]);
-                let done = self.event(
+            Line::Update(kind, number) => {
+                let list = std::mem::take(&mut self.lists[number]);
+                let result = self.handle_event(
                     text,
                     Event::List(match kind {
                         UpdateKind::Changes => ListUpdate::Changes(&list),
-                        UpdateKind::All => ListUpdate::Full(&list),
+                        UpdateKind::Full => ListUpdate::Full(&list),
                         UpdateKind::Remembered => ListUpdate::Remembered(&list),
-                        UpdateKind::Refused => ListUpdate::Failed,
+                        UpdateKind::Failed => ListUpdate::Failed,
                     }),
                 );
-                self.lists[page] = list;
-                done?;
+                self.lists[number] = list;
+                result?;
             }
-            Line::Event(event) => self.event(text, event)?,
+            Line::Event(event) => self.handle_event(text, event)?,
         }
         Ok(false)
     }
 
-    fn instance(&mut self, text: &str) -> Result<&mut Instance, WireError> {
-        let selected = self.selected.ok_or_else(|| out_of_order("SELECT first", text))?;
+    fn selected_instance(&mut self, text: &str) -> Result<&mut Instance, WireError> {
+        let selected = self.selected.ok_or_else(|| unexpected_line("SELECT first", text))?;
         Ok(&mut self.instances[selected])
     }
 
-    /// Lets the selected instance decide, and writes what it wants. A panic in there is told
-    /// as the wire's failure message.
-    fn event(&mut self, text: &str, event: Event<'_>) -> Result<(), WireError> {
+    /// Passes an event to the selected instance's balancer, and writes its actions to the reply. A panic of
+    /// the balancer is written as a `DIE` line.
+    fn handle_event(&mut self, text: &str, event: Event<'_>) -> Result<(), WireError> {
         let now = self.now;
-        let running = self.instance(text)?.running.as_mut();
-        let (balancer, _) = running.ok_or_else(|| out_of_order("HELLO first", text))?;
+        let running = self.selected_instance(text)?.running.as_mut();
+        let (balancer, _) = running.ok_or_else(|| unexpected_line("HELLO first", text))?;
         let mut actions = Vec::new();
         let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, &mut actions)));
         if handled.is_ok() && actions.is_empty() {
             return Ok(());
         }
-        if self.by != self.selected {
-            let name = &self.instance(text)?.name;
+        if self.reply_instance != self.selected {
+            let name = &self.selected_instance(text)?.name;
             let line = format!("BY {name}\n");
             self.reply.push_str(&line);
-            self.by = self.selected;
+            self.reply_instance = self.selected;
         }
         if let Err(panic) = handled {
-            self.reply.push_str(&format!("DIE {}\n", failure(panic.as_ref())));
-            return Ok(()); // what it wanted done up to there is not to be trusted
+            self.reply.push_str(&format!("DIE {}\n", panic_message(panic.as_ref())));
+            return Ok(()); // actions from before the panic are discarded
         }
         for action in &actions {
             wire::write_action(&mut self.reply, action);
@@ -131,31 +132,31 @@
     }
 }
 
-/// Plays all batches. The error names the batch and line.
+/// Handles all batches. An error names the batch and the line.
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut host = Host::default();
     let mut batch: Option<u64> = None;
-    let mut count = 0u64;
+    let mut line_number = 0u64;
     for line in input.lines() {
         let text = line.map_err(|e| format!("cannot read: {e}"))?;
-        count += 1;
-        let place = |e: WireError, batch: Option<u64>| match batch {
-            Some(batch) => format!("batch {batch}, line {count}: {e}"),
-            None => format!("between batches, line {count}: {e}"),
+        line_number += 1;
+        let locate = |e: WireError, batch: Option<u64>| match batch {
+            Some(batch) => format!("batch {batch}, line {line_number}: {e}"),
+            None => format!("between batches, line {line_number}: {e}"),
         };
-        let Some(seq) = batch else {
-            match wire::parse(&text, &mut host.zones, None).map_err(|e| place(e, None))? {
-                Line::Batch(now, seq) => {
-                    (host.now, batch) = (now, Some(seq));
-                    (host.selected, host.by, host.filling) = (None, None, None);
+        let Some(number) = batch else {
+            match wire::parse_line(&text, &mut host.zones, None).map_err(|e| locate(e, None))? {
+                Line::Batch(now, number) => {
+                    (host.now, batch) = (now, Some(number));
+                    (host.selected, host.reply_instance, host.open_list) = (None, None, None);
                     host.reply.clear();
                 }
-                _ => return Err(place(out_of_order("BATCH", &text), None)),
+                _ => return Err(locate(unexpected_line("BATCH", &text), None)),
             }
             continue;
         };
-        if host.line(&text).map_err(|e| place(e, batch))? {
-            host.reply.push_str(&format!("END {seq}\n"));
+        if host.handle_line(&text).map_err(|e| locate(e, batch))? {
+            host.reply.push_str(&format!("END {number}\n"));
             output
                 .write_all(host.reply.as_bytes())
                 .and_then(|()| output.flush())
@@ -164,7 +165,7 @@
         }
     }
     match batch {
-        Some(seq) => Err(format!("batch {seq}, line {count}: expected GO, got end of input")),
+        Some(number) => Err(format!("batch {number}, line {line_number}: expected GO, got end of input")),
         None => Ok(()),
     }
 }
@@ -184,10 +185,10 @@
     use super::*;
 
     #[test]
-    fn a_panic_becomes_a_one_line_message() {
+    fn panic_message_is_one_line() {
         let panic = catch_unwind(|| panic!("index {}\nout of range", 3)).unwrap_err();
-        assert_eq!(failure(panic.as_ref()), "panic: index 3 out of range");
+        assert_eq!(panic_message(panic.as_ref()), "panic: index 3 out of range");
         let panic = catch_unwind(|| panic!("plain")).unwrap_err();
-        assert_eq!(failure(panic.as_ref()), "panic: plain");
+        assert_eq!(panic_message(panic.as_ref()), "panic: plain");
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,109 +1,109 @@
-//! The text wire of the simulator, turned into the interface's types and back.
+//! Parses event lines of the simulator into the balancer's types, and formats its actions as lines.
 //!
-//! Names (of classes, tenants, zones) become indices here; the decisions never see them.
+//! Names of classes, tenants and zones are replaced by indices; the decision module does not see names.
 
 use crate::interface::*;
 use std::collections::HashMap;
 use std::fmt::Write;
 use thiserror::Error;
 
-/// What is wrong with a line.
+/// An error in a line.
 #[derive(Debug, Error, PartialEq)]
 pub enum WireError {
-    /// The first part names no event.
+    /// The first word is not the name of an event.
     #[error("unknown event '{0}'")]
     UnknownEvent(String),
-    /// Too few or too many parts.
+    /// The line has too few or too many values.
     #[error("{event} takes {expected} values, got {got}")]
-    Parts {
+    ValueCount {
         /// The event.
         event: &'static str,
-        /// Values it has.
+        /// Number of values that the event takes.
         expected: usize,
-        /// Values found.
+        /// Number of values in the line.
         got: usize,
     },
-    /// A value that can't be read.
+    /// A value has the wrong type or is out of range.
     #[error("expected {expected} for {field}, got '{got}'")]
-    Value {
+    InvalidValue {
         /// The field.
         field: String,
-        /// What it should have been.
+        /// The type or range of valid values.
         expected: &'static str,
-        /// What it was.
+        /// The value in the line.
         got: String,
     },
-    /// A setting that is needed and absent.
+    /// A required setting is absent.
     #[error("missing setting {0}")]
     MissingSetting(String),
-    /// A line where another kind of line must come.
+    /// The line is not allowed at this place.
     #[error("expected {expected}, got '{got}'")]
-    Order {
-        /// What must come.
+    UnexpectedLine {
+        /// The kind of line that is allowed.
         expected: &'static str,
-        /// What came.
+        /// The line.
         got: String,
     },
 }
 
 type Result<T> = std::result::Result<T, WireError>;
 
-fn bad(field: &str, expected: &'static str, got: &str) -> WireError {
-    WireError::Value { field: field.to_string(), expected, got: got.to_string() }
+fn invalid_value(field: &str, expected: &'static str, got: &str) -> WireError {
+    WireError::InvalidValue { field: field.to_string(), expected, got: got.to_string() }
 }
 
-/// Splits a line in its name and exactly `N` values.
-fn values<'a, const N: usize>(event: &'static str, rest: &'a str) -> Result<[&'a str; N]> {
-    let mut found = [""; N];
+/// Splits the part of a line after the event's name into exactly `N` values.
+fn split_values<'a, const N: usize>(event: &'static str, rest: &'a str) -> Result<[&'a str; N]> {
+    let mut values = [""; N];
     let mut got = 0;
     if !rest.is_empty() {
         for part in rest.split(' ') {
             if got < N {
-                found[got] = part;
+                values[got] = part;
             }
             got += 1;
         }
     }
     match got == N {
-        true => Ok(found),
-        false => Err(WireError::Parts { event, expected: N, got }),
+        true => Ok(values),
+        false => Err(WireError::ValueCount { event, expected: N, got }),
     }
 }
 
-fn number(field: &str, text: &str) -> Result<f64> {
+fn parse_number(field: &str, text: &str) -> Result<f64> {
     match text.parse::<f64>() {
         Ok(n) if n.is_finite() => Ok(n),
-        _ => Err(bad(field, "a number", text)),
+        _ => Err(invalid_value(field, "a number", text)),
     }
 }
 
-fn positive(field: &str, text: &str) -> Result<f64> {
-    match number(field, text)? {
+fn parse_non_negative(field: &str, text: &str) -> Result<f64> {
+    match parse_number(field, text)? {
         n if n >= 0.0 => Ok(n),
-        _ => Err(bad(field, "a number not below 0", text)),
+        _ => Err(invalid_value(field, "a number not below 0", text)),
     }
 }
 
-fn whole<T: std::str::FromStr>(field: &str, text: &str) -> Result<T> {
-    text.parse().map_err(|_| bad(field, "a whole number", text))
+fn parse_integer<T: std::str::FromStr>(field: &str, text: &str) -> Result<T> {
+    text.parse().map_err(|_| invalid_value(field, "a whole number", text))
 }
 
-fn flag(field: &str, text: &str) -> Result<bool> {
+fn parse_flag(field: &str, text: &str) -> Result<bool> {
     match text {
         "1" => Ok(true),
         "0" => Ok(false),
-        _ => Err(bad(field, "1 or 0", text)),
+        _ => Err(invalid_value(field, "1 or 0", text)),
     }
 }
 
-fn request_id(text: &str) -> Result<RequestId> {
+fn parse_request_id(text: &str) -> Result<RequestId> {
     match u64::from_str_radix(text, 16) {
         Ok(id) if text.len() == 16 => Ok(RequestId(id)),
-        _ => Err(bad("the request", "16 hex digits", text)),
+        _ => Err(invalid_value("the request", "16 hex digits", text)),
     }
 }
 
-fn outcome(text: &str) -> Result<Outcome> {
+fn parse_outcome(text: &str) -> Result<Outcome> {
     Ok(match text {
         "S" => Outcome::Served,
         "E" => Outcome::Error,
@@ -113,16 +113,16 @@
         "R" => Outcome::Reset,
         "X" => Outcome::Cancelled,
         "N" => Outcome::NeverSent,
-        _ => return Err(bad("the completion code", "one of S E F T C R X N", text)),
+        _ => return Err(invalid_value("the completion code", "one of S E F T C R X N", text)),
     })
 }
 
-/// Numbers for names, given out in the order in which names are first met.
+/// Indices of names, assigned in the order in which names first occur.
 #[derive(Debug, Default)]
-pub struct Names(HashMap<String, u32>);
+pub struct NameIndex(HashMap<String, u32>);
 
-impl Names {
-    /// The number of a name.
+impl NameIndex {
+    /// Returns the index of a name, and assigns one to a new name.
     pub fn index(&mut self, name: &str) -> u32 {
         if let Some(&index) = self.0.get(name) {
             return index;
@@ -133,159 +133,167 @@
     }
 }
 
-/// The names that an instance's requests use.
+/// The names that occur in the requests and load reports of an instance.
 #[derive(Clone, Debug, Default)]
 pub struct InstanceNames {
     classes: Vec<String>,
     tenants: Vec<String>,
-    /// The names of the values of a load report, in their order.
-    report: Vec<String>,
+    /// Names of the values of a load report, in their order.
+    report_fields: Vec<String>,
 }
 
-/// A line of a batch.
+/// A parsed line of a batch.
 #[derive(Debug)]
 pub enum Line<'a> {
-    /// The batch begins: clock and number.
+    /// `BATCH`: start of a batch, with the time and the number of the batch.
     Batch(Time, u64),
-    /// The batch is complete.
+    /// `GO`: end of the batch.
     Go,
-    /// What follows is of this instance.
+    /// `SELECT`: the following lines apply to this instance.
     Select(&'a str),
-    /// The instance starts.
+    /// `HELLO`: the instance starts, with its seed, settings and names.
     Hello(u64, Box<Settings>, InstanceNames),
-    /// The instance is gone.
+    /// `TEARDOWN`: the instance ends.
     Teardown,
-    /// A numbered list of so many entries follows.
+    /// `ROSTER`: start of a backend list, with its number and the count of its entries.
     Roster(usize, usize),
-    /// An entry of a list.
+    /// `ITEM`: an entry of the list.
     Item(BackendEntry),
-    /// News of the list for the instance.
+    /// `UPDATE`: an update of the instance's backend list, with the number of the list.
     Update(UpdateKind, usize),
-    /// An event that needs nothing further.
+    /// An event for the balancer.
     Event(Event<'static>),
-    /// An event without meaning for the decisions.
+    /// A valid line that the balancer does not use.
     Ignored,
 }
 
-/// How an `UPDATE` is meant.
+/// Kind of an `UPDATE` line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// Changed entries.
+    /// The list holds the changed entries.
     Changes,
-    /// All entries.
-    All,
-    /// All entries as last held.
+    /// The list is complete.
+    Full,
+    /// The list is complete, as known before a restart.
     Remembered,
-    /// None: a call failed.
-    Refused,
+    /// A request for the list failed; there is no list.
+    Failed,
 }
 
-/// Number of numbered lists.
-pub const LISTS: usize = 16;
+/// Number of backend lists that can be held at a time.
+pub const LIST_COUNT: usize = 16;
 
-/// Reads a line. `instance` holds the names of the instance selected, where it has started.
-pub fn parse<'a>(line: &'a str, zones: &mut Names, instance: Option<&InstanceNames>) -> Result<Line<'a>> {
+/// Parses a line. `instance` holds the names of the selected instance, if it has started.
+pub fn parse_line<'a>(
+    line: &'a str,
+    zones: &mut NameIndex,
+    instance: Option<&InstanceNames>,
+) -> Result<Line<'a>> {
     let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
     Ok(match name {
         "BATCH" => {
-            let [now, seq] = values("BATCH", rest)?;
-            Line::Batch(number("the clock", now)?, whole("the batch number", seq)?)
+            let [time, number] = split_values("BATCH", rest)?;
+            Line::Batch(parse_number("the clock", time)?, parse_integer("the batch number", number)?)
         }
         "GO" => {
-            let [] = values("GO", rest)?;
+            let [] = split_values("GO", rest)?;
             Line::Go
         }
         "SELECT" => {
-            let [instance] = values("SELECT", rest)?;
+            let [instance] = split_values("SELECT", rest)?;
             Line::Select(instance)
         }
         "HELLO" => {
             let (seed, pairs) = rest.split_once(' ').unwrap_or((rest, ""));
-            let (settings, names) = settings(pairs, zones)?;
-            Line::Hello(whole("the seed", seed)?, Box::new(settings), names)
+            let (settings, names) = parse_settings(pairs, zones)?;
+            Line::Hello(parse_integer("the seed", seed)?, Box::new(settings), names)
         }
         "TEARDOWN" => {
-            let [] = values("TEARDOWN", rest)?;
+            let [] = split_values("TEARDOWN", rest)?;
             Line::Teardown
         }
         "ROSTER" => {
-            let [page, hosts] = values("ROSTER", rest)?;
-            Line::Roster(list_number(page)?, whole("the number of entries", hosts)?)
+            let [list, count] = split_values("ROSTER", rest)?;
+            Line::Roster(parse_list_number(list)?, parse_integer("the number of entries", count)?)
         }
-        "ITEM" => Line::Item(entry(rest, zones)?),
+        "ITEM" => Line::Item(parse_entry(rest, zones)?),
         "UPDATE" => {
-            let [version, how, page] = values("UPDATE", rest)?;
-            whole::<u64>("the version", version)?;
-            let kind = match how {
+            let [version, kind, list] = split_values("UPDATE", rest)?;
+            parse_integer::<u64>("the version", version)?;
+            let kind = match kind {
                 "changes" => UpdateKind::Changes,
-                "all" => UpdateKind::All,
+                "all" => UpdateKind::Full,
                 "remembered" => UpdateKind::Remembered,
-                "refused" => UpdateKind::Refused,
-                _ => return Err(bad("the kind", "changes, all, remembered or refused", how)),
+                "refused" => UpdateKind::Failed,
+                _ => return Err(invalid_value("the kind", "changes, all, remembered or refused", kind)),
             };
-            let page = if kind == UpdateKind::Refused { 0 } else { list_number(page)? };
-            Line::Update(kind, page)
+            let list = if kind == UpdateKind::Failed { 0 } else { parse_list_number(list)? };
+            Line::Update(kind, list)
         }
         "QUERY" => {
-            let [id, write, key, budget, again, tenant, class, work] = values("QUERY", rest)?;
-            flag("the write mark", write)?;
+            let [id, is_write, key, budget, is_retry, tenant, class, work] = split_values("QUERY", rest)?;
+            parse_flag("the write flag", is_write)?;
             let key = match key {
                 "-" => None,
-                key => Some(request_id(key).map_err(|_| bad("the key", "16 hex digits or -", key))?.0),
+                key => Some(
+                    parse_request_id(key).map_err(|_| invalid_value("the key", "16 hex digits or -", key))?.0,
+                ),
             };
-            if again != "-" {
-                flag("the retry mark", again)?;
+            if is_retry != "-" {
+                parse_flag("the retry flag", is_retry)?;
             }
             if work != "-" {
-                positive("the predicted work", work)?;
+                parse_non_negative("the predicted work", work)?;
             }
-            let names = instance
-                .ok_or(WireError::Order { expected: "HELLO before any request", got: name.to_string() })?;
+            let names = instance.ok_or(WireError::UnexpectedLine {
+                expected: "HELLO before any request",
+                got: name.to_string(),
+            })?;
             let class = names.classes.iter().position(|c| c == class);
-            let class = class.ok_or_else(|| bad("the class", "a class of the settings", rest))?;
+            let class = class.ok_or_else(|| invalid_value("the class", "a class of the settings", rest))?;
             let tenant = names.tenants.iter().position(|t| t == tenant);
-            let budget = number("the time left", budget)?;
-            Line::Event(Event::Request(Request { id: request_id(id)?, class, tenant, key, budget }))
+            let budget = parse_number("the time left", budget)?;
+            Line::Event(Event::Request(Request { id: parse_request_id(id)?, class, tenant, key, budget }))
         }
         "BEGUN" => {
-            let [id, duration, attempt, backend] = values("BEGUN", rest)?;
-            positive("the duration", duration)?;
-            whole::<u32>("the backend", backend)?;
-            let attempt = whole("the attempt", attempt)?;
-            Line::Event(Event::StreamStarted { id: request_id(id)?, attempt })
+            let [id, duration, attempt, backend] = split_values("BEGUN", rest)?;
+            parse_non_negative("the duration", duration)?;
+            parse_integer::<u32>("the backend", backend)?;
+            let attempt = parse_integer("the attempt", attempt)?;
+            Line::Event(Event::StreamStarted { id: parse_request_id(id)?, attempt })
         }
         "RESULT" => {
-            let [id, backend, attempt, code, took, over, report] = values("RESULT", rest)?;
+            let [id, backend, attempt, code, duration, is_final, report] = split_values("RESULT", rest)?;
             Line::Event(Event::Outcome(AttemptResult {
-                id: request_id(id)?,
-                backend: BackendId(whole("the backend", backend)?),
-                attempt: whole("the attempt", attempt)?,
-                outcome: outcome(code)?,
-                duration: positive("the duration", took)?,
-                is_final: flag("the end mark", over)?,
-                report: load_report(report, instance)?,
+                id: parse_request_id(id)?,
+                backend: BackendId(parse_integer("the backend", backend)?),
+                attempt: parse_integer("the attempt", attempt)?,
+                outcome: parse_outcome(code)?,
+                duration: parse_non_negative("the duration", duration)?,
+                is_final: parse_flag("the end flag", is_final)?,
+                report: parse_load_report(report, instance)?,
             }))
         }
         "CLIENT_LEFT" => {
-            let [id] = values("CLIENT_LEFT", rest)?;
-            Line::Event(Event::ClientDisconnected(request_id(id)?))
+            let [id] = split_values("CLIENT_LEFT", rest)?;
+            Line::Event(Event::ClientDisconnected(parse_request_id(id)?))
         }
         "TICK_DUE" => {
-            let [token] = values("TICK_DUE", rest)?;
-            Line::Event(Event::Timer(whole("the token", token)?))
+            let [token] = split_values("TICK_DUE", rest)?;
+            Line::Event(Event::Timer(parse_integer("the token", token)?))
         }
         "HEALTH" => {
-            let [duration, backend, code, report] = values("HEALTH", rest)?;
-            positive("the duration", duration)?;
-            let report = load_report(report, instance)?;
-            let backend = BackendId(whole("the backend", backend)?);
-            Line::Event(Event::Probed { backend, outcome: outcome(code)?, report })
+            let [duration, backend, code, report] = split_values("HEALTH", rest)?;
+            parse_non_negative("the duration", duration)?;
+            let report = parse_load_report(report, instance)?;
+            let backend = BackendId(parse_integer("the backend", backend)?);
+            Line::Event(Event::Probed { backend, outcome: parse_outcome(code)?, report })
         }
         "PEER" => {
-            let [from, octets] = values("PEER", rest)?;
-            whole::<u64>("the sender", from)?;
-            if octets != "-" && !octets.bytes().all(|b| b.is_ascii_hexdigit()) {
-                return Err(bad("the message", "hex digits", octets));
+            let [sender, message] = split_values("PEER", rest)?;
+            parse_integer::<u64>("the sender", sender)?;
+            if message != "-" && !message.bytes().all(|b| b.is_ascii_hexdigit()) {
+                return Err(invalid_value("the message", "hex digits", message));
             }
             Line::Ignored
         }
@@ -293,22 +301,22 @@
     })
 }
 
-fn list_number(text: &str) -> Result<usize> {
-    match whole::<usize>("the list number", text)? {
-        n if n < LISTS => Ok(n),
-        _ => Err(bad("the list number", "a number from 0 to 15", text)),
+fn parse_list_number(text: &str) -> Result<usize> {
+    match parse_integer::<usize>("the list number", text)? {
+        n if n < LIST_COUNT => Ok(n),
+        _ => Err(invalid_value("the list number", "a number from 0 to 15", text)),
     }
 }
 
-/// Reads a load report; values that the decisions can't use are skipped.
-fn load_report(text: &str, instance: Option<&InstanceNames>) -> Result<Option<Report>> {
+/// Parses a load report; values that the balancer does not use are skipped.
+fn parse_load_report(text: &str, instance: Option<&InstanceNames>) -> Result<Option<Report>> {
     if text == "-" {
         return Ok(None);
     }
     let mut report = Report::default();
-    let names = instance.map_or(&[][..], |i| &i.report);
+    let names = instance.map_or(&[][..], |i| &i.report_fields);
     for (i, value) in text.split(',').enumerate().filter(|(_, v)| *v != "-") {
-        let value = number("the load report", value)?.max(0.0);
+        let value = parse_number("the load report", value)?.max(0.0);
         if names.get(i).is_some_and(|name| name == "avg_ms") {
             report.service_time = Some(value / 1000.0);
         }
@@ -316,23 +324,23 @@
     Ok(Some(report))
 }
 
-fn entry(rest: &str, zones: &mut Names) -> Result<BackendEntry> {
-    let [_kind, cell, id, weight, zone, status, started] = values("ITEM", rest)?;
+fn parse_entry(rest: &str, zones: &mut NameIndex) -> Result<BackendEntry> {
+    let [_kind, cell, id, weight, zone, status, started] = split_values("ITEM", rest)?;
     let started = match started {
         "-" => None,
-        text => Some(number("the start", text)?).filter(|t| *t != 0.0),
+        text => Some(parse_number("the start", text)?).filter(|t| *t != 0.0),
     };
     Ok(BackendEntry {
-        id: BackendId(whole("the backend", id)?),
-        cell: whole("the cell", cell)?,
+        id: BackendId(parse_integer("the backend", id)?),
+        cell: parse_integer("the cell", cell)?,
         zone: zones.index(zone),
-        weight: if weight == "-" { 1.0 } else { positive("the weight", weight)? },
+        weight: if weight == "-" { 1.0 } else { parse_non_negative("the weight", weight)? },
         status: match status {
             "in_service" => Status::InService,
             "terminating" => Status::Draining,
             "terminated" => Status::Gone,
             _ => {
-                return Err(bad("the status", "in_service, terminating or terminated", status));
+                return Err(invalid_value("the status", "in_service, terminating or terminated", status));
             }
         },
         started,
@@ -340,122 +348,124 @@
     })
 }
 
-fn settings(pairs: &str, zones: &mut Names) -> Result<(Settings, InstanceNames)> {
-    let mut map = HashMap::new();
+fn parse_settings(pairs: &str, zones: &mut NameIndex) -> Result<(Settings, InstanceNames)> {
+    let mut values = HashMap::new();
     for pair in pairs.split(' ').filter(|p| !p.is_empty()) {
-        let (path, value) = pair.split_once('=').ok_or_else(|| bad("a setting", "path=value", pair))?;
-        map.insert(path, value);
+        let (path, value) =
+            pair.split_once('=').ok_or_else(|| invalid_value("a setting", "path=value", pair))?;
+        values.insert(path, value);
     }
-    let text = |path: &str| map.get(path).copied().ok_or_else(|| WireError::MissingSetting(path.to_string()));
-    let num = |path: &str| positive(path, text(path)?);
-    let num_or = |path: &str, or: f64| match map.get(path) {
-        Some(value) => positive(path, value),
-        None => Ok(or),
+    let text =
+        |path: &str| values.get(path).copied().ok_or_else(|| WireError::MissingSetting(path.to_string()));
+    let number = |path: &str| parse_non_negative(path, text(path)?);
+    let number_or = |path: &str, default: f64| match values.get(path) {
+        Some(value) => parse_non_negative(path, value),
+        None => Ok(default),
     };
-    let yes = |path: &str| match text(path)? {
+    let boolean = |path: &str| match text(path)? {
         "true" | "1" => Ok(true),
         "false" | "0" => Ok(false),
-        other => Err(bad(path, "true or false", other)),
+        other => Err(invalid_value(path, "true or false", other)),
     };
     let mut names = InstanceNames::default();
     let mut classes = Vec::new();
-    for i in 0..whole::<usize>("classes.count", text("classes.count")?)? {
-        let at = |key: &str| format!("classes.{i}.{key}");
-        let effect = match text(&at("effect"))? {
+    for i in 0..parse_integer::<usize>("classes.count", text("classes.count")?)? {
+        let path = |key: &str| format!("classes.{i}.{key}");
+        let effect = match text(&path("effect"))? {
             "free" => Effect::Safe,
             "single_shot" => Effect::Unsafe,
             "guarded" => Effect::Keyed {
-                group: match text(&at("group"))? {
+                group: match text(&path("group"))? {
                     "all" => DedupGroup::All,
                     "zone" => DedupGroup::Zone,
                     "cell" => DedupGroup::Cell,
-                    other => return Err(bad(&at("group"), "all, zone or cell", other)),
+                    other => return Err(invalid_value(&path("group"), "all, zone or cell", other)),
                 },
-                window: num(&at("window"))?,
+                window: number(&path("window"))?,
             },
-            other => return Err(bad(&at("effect"), "free, guarded or single_shot", other)),
+            other => return Err(invalid_value(&path("effect"), "free, guarded or single_shot", other)),
         };
         classes.push(Class {
-            aim: num(&at("on-time"))?,
-            deadline: num(&at("hard-limit"))?,
-            late_worth: num_or(&at("late-worth"), 0.0)?,
-            worth: num_or(&at("worth"), 1.0)?,
+            aim: number(&path("on-time"))?,
+            deadline: number(&path("hard-limit"))?,
+            late_worth: number_or(&path("late-worth"), 0.0)?,
+            worth: number_or(&path("worth"), 1.0)?,
             effect,
-            in_order: map.contains_key(at("fifo-by-key").as_str()) && yes(&at("fifo-by-key"))?,
+            in_order: values.contains_key(path("fifo-by-key").as_str()) && boolean(&path("fifo-by-key"))?,
         });
-        names.classes.push(text(&at("name"))?.to_string());
+        names.classes.push(text(&path("name"))?.to_string());
     }
     let mut quotas = Vec::new();
-    if map.contains_key("projects.count") {
-        for i in 0..whole::<usize>("projects.count", text("projects.count")?)? {
-            quotas.push(num(&format!("projects.{i}.quota-per-s"))?);
+    if values.contains_key("projects.count") {
+        for i in 0..parse_integer::<usize>("projects.count", text("projects.count")?)? {
+            quotas.push(number(&format!("projects.{i}.quota-per-s"))?);
             names.tenants.push(text(&format!("projects.{i}.name"))?.to_string());
         }
     }
-    let retry_after = match map.get("caps.retry-after") {
-        Some(_) if yes("caps.retry-after")? => num_or("caps.max-retry-after", 0.0)?,
+    let max_retry_after = match values.get("caps.retry-after") {
+        Some(_) if boolean("caps.retry-after")? => number_or("caps.max-retry-after", 0.0)?,
         _ => 0.0,
     };
-    if let Some(fields) = map.get("stats.fields") {
-        names.report = fields.split(',').map(str::to_string).collect();
+    if let Some(fields) = values.get("stats.fields") {
+        names.report_fields = fields.split(',').map(str::to_string).collect();
     }
     let settings = Settings {
         classes,
         quotas,
-        over_share_worth: num_or("over-share-worth", 1.0)?,
-        instance_count: whole("n-instances", text("n-instances")?)?,
-        instance_index: whole("me", text("me")?)?,
-        tier: match map.get("tier") {
-            Some(tier) => whole("tier", tier)?,
+        over_share_worth: number_or("over-share-worth", 1.0)?,
+        instance_count: parse_integer("n-instances", text("n-instances")?)?,
+        instance_index: parse_integer("me", text("me")?)?,
+        tier: match values.get("tier") {
+            Some(tier) => parse_integer("tier", tier)?,
             None => 0,
         },
-        zone: zones.index(map.get("zone").copied().unwrap_or("")),
-        cross_zone_cost: num_or("costs.cross-zone", 0.0)?,
-        costly_connections: num_or("costs.connection", 0.0)? + num_or("costs.handshake", 0.0)? > 0.0,
-        probe_for_reports: map.get("stats.how") == Some(&"on_probe")
-            && map.contains_key("caps.probing")
-            && yes("caps.probing")?,
-        can_cancel: yes("caps.cancel")?,
-        allow_concurrent_attempts: yes("caps.second-copies")?,
-        max_attempts: whole("caps.max-attempts", text("caps.max-attempts")?)?,
-        max_retry_after: retry_after,
+        zone: zones.index(values.get("zone").copied().unwrap_or("")),
+        cross_zone_cost: number_or("costs.cross-zone", 0.0)?,
+        costly_connections: number_or("costs.connection", 0.0)? + number_or("costs.handshake", 0.0)? > 0.0,
+        probe_for_reports: values.get("stats.how") == Some(&"on_probe")
+            && values.contains_key("caps.probing")
+            && boolean("caps.probing")?,
+        can_cancel: boolean("caps.cancel")?,
+        allow_concurrent_attempts: boolean("caps.second-copies")?,
+        max_attempts: parse_integer("caps.max-attempts", text("caps.max-attempts")?)?,
+        max_retry_after,
         must_watch: match text("registry-mode")? {
             "automatic" => false,
             "subscribe" => true,
-            other => return Err(bad("registry-mode", "automatic or subscribe", other)),
+            other => return Err(invalid_value("registry-mode", "automatic or subscribe", other)),
         },
-        list_request_deadline: num("rules.ask-within")?,
-        cold_capacity_fraction: num("rules.cold-share")?,
-        cold_duration: num("rules.cold")?,
-        overload_multiple: num("rules.fall-multiple")?,
-        overload_duration: num("rules.tip-after")?,
-        key_settle_time: num_or("rules.settle-after-doubt", 0.0)?,
-        connection_release_deadline: match map.contains_key("rules.release-within") {
-            true => Some(num("rules.release-within")?),
+        list_request_deadline: number("rules.ask-within")?,
+        cold_capacity_fraction: number("rules.cold-share")?,
+        cold_duration: number("rules.cold")?,
+        overload_multiple: number("rules.fall-multiple")?,
+        overload_duration: number("rules.tip-after")?,
+        key_settle_time: number_or("rules.settle-after-doubt", 0.0)?,
+        connection_release_deadline: match values.contains_key("rules.release-within") {
+            true => Some(number("rules.release-within")?),
             false => None,
         },
-        quantum: num("quantum")?,
+        quantum: number("quantum")?,
     };
     Ok((settings, names))
 }
 
-/// Writes an action as a line of the reply.
+/// Appends an action to the reply, as a line.
 pub fn write_action(out: &mut String, action: &Action) {
-    // Writing to a string cannot fail.
+    // Writing to a string does not fail.
     let _ = match action {
         Action::Send { id, backend, timeout } => {
             writeln!(out, "PLACE {:016x} {:.6} {}", id.0, timeout, backend.0)
         }
         Action::Cancel { id, attempt } => writeln!(out, "REVOKE {:016x} {attempt}", id.0),
-        Action::Reject { id, retry_after: Some(wait) } => {
-            writeln!(out, "REJECT {:016x} {wait:.6}", id.0)
+        Action::Reject { id, retry_after: Some(delay) } => {
+            writeln!(out, "REJECT {:016x} {delay:.6}", id.0)
         }
         Action::Reject { id, retry_after: None } => writeln!(out, "REJECT {:016x} -", id.0),
         Action::Fail { id } => writeln!(out, "ERROR {:016x}", id.0),
         Action::Timer { at, token } => writeln!(out, "SLEEP {at:.6} {token}"),
         Action::Probe(backend) => writeln!(out, "INSPECT {}", backend.0),
         Action::CloseIdleConnections(backend) => writeln!(out, "RELEASE {}", backend.0),
-        Action::Watch(on) => writeln!(out, "STREAM_CHANGES {}", u8::from(*on)),
+        Action::Watch(enabled) => writeln!(out, "STREAM_CHANGES {}", u8::from(*enabled)),
         Action::Fetch => writeln!(out, "REFRESH"),
         Action::Log(text) => writeln!(out, "EMIT {}", text.replace(['\n', '\r'], " ")),
     };
