--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on hand-written transcripts: replies, and what bad input does.
+//! Runs the simulator host on transcripts, and checks its replies and its errors on invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -16,7 +16,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The adapter may end before it has read all of a bad input.
+    // The host may exit before it has read all of an invalid input.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     child.wait_with_output().unwrap()
 }
@@ -27,70 +27,71 @@
     String::from_utf8(output.stdout).unwrap()
 }
 
-fn start(instance: &str) -> String {
+fn start_lines(instance: &str) -> String {
     format!(
         "SELECT {instance}\n{HELLO}\nROSTER 0 1\nITEM k 0 51 1 here in_service -\nUPDATE 1 remembered 0\n"
     )
 }
 
 #[test]
-fn a_request_is_sent_and_answered() {
+fn request_is_sent_and_answered() {
     let input = format!(
         "BATCH 1 1\nGO\nBATCH 2 2\n{}QUERY 00000000000000a1 0 - 0.5 0 - look -\nGO\n\
          BATCH 2.1 3\nSELECT proxy-1\nRESULT 00000000000000a1 51 0 S 0.1 1 -\nGO\n\
          BATCH 2.2 4\nSELECT proxy-1\nRESULT 00000000000000a1 51 0 X 0.1 1 1,-,2.5\n\
          CLIENT_LEFT 00000000000000a1\nHEALTH 0.1 51 S -\nPEER 2 -\nTICK_DUE 99\nGO\n",
-        start("proxy-1")
+        start_lines("proxy-1")
     );
     let replies = replies(&input);
     let lines: Vec<&str> = replies.lines().collect();
     assert_eq!(lines[..2], ["END 1", "BY proxy-1"]);
     assert!(lines[2].starts_with("SLEEP 2.498"), "{}", lines[2]);
-    assert!(lines[3].starts_with("SLEEP 2."), "the first firing: {}", lines[3]);
+    assert!(lines[3].starts_with("SLEEP 2."), "the first repeat timer: {}", lines[3]);
     assert_eq!(lines[4..], ["PLACE 00000000000000a1 0.498000 51", "END 2", "END 3", "END 4"]);
 }
 
 #[test]
-fn odd_but_legal_rounds() {
-    // Instances selected twice, a list number used twice, TEARDOWN and HELLO in one batch.
+fn reused_instances_and_lists_are_accepted() {
+    // Instances are selected twice, a list number is used twice, and one batch holds TEARDOWN and HELLO.
     let input = format!(
         "BATCH 1 1\n{}{}SELECT proxy-1\nROSTER 0 0\nUPDATE 2 all 0\nROSTER 0 1\nITEM k 0 52 1 here in_service 0\n\
          UPDATE 3 changes 0\nQUERY 00000000000000a1 0 - 0.5 - - look -\nSELECT proxy-2\n\
          QUERY 00000000000000a2 1 00000000000000ff 0.5 1 who look 0.1\nSELECT proxy-1\nTEARDOWN\n{HELLO}\n\
          UPDATE 3 refused 9\nQUERY 00000000000000a3 0 - 0 0 - look -\nGO\n",
-        start("proxy-1"),
-        start("proxy-2"),
+        start_lines("proxy-1"),
+        start_lines("proxy-2"),
     );
     let replies = replies(&input);
-    let of = |start: &str| replies.lines().filter(|l| l.starts_with(start)).collect::<Vec<_>>();
-    assert_eq!(of("BY"), ["BY proxy-1", "BY proxy-2", "BY proxy-1"]);
-    assert_eq!(of("PLACE 00000000000000a1"), ["PLACE 00000000000000a1 0.498000 52"]);
-    assert_eq!(of("PLACE 00000000000000a2"), ["PLACE 00000000000000a2 0.498000 51"]);
-    assert_eq!(of("REJECT"), ["REJECT 00000000000000a3 -"], "no time left");
-    assert_eq!(of("END"), ["END 1"]);
+    let lines_with = |prefix: &str| replies.lines().filter(|l| l.starts_with(prefix)).collect::<Vec<_>>();
+    assert_eq!(lines_with("BY"), ["BY proxy-1", "BY proxy-2", "BY proxy-1"]);
+    assert_eq!(lines_with("PLACE 00000000000000a1"), ["PLACE 00000000000000a1 0.498000 52"]);
+    assert_eq!(lines_with("PLACE 00000000000000a2"), ["PLACE 00000000000000a2 0.498000 51"]);
+    assert_eq!(lines_with("REJECT"), ["REJECT 00000000000000a3 -"], "no time left");
+    assert_eq!(lines_with("END"), ["END 1"]);
 }
 
 #[test]
-fn two_instances_in_one_process_act_as_in_two() {
-    let traffic = |name: &str| {
-        let mut lines = start(name);
+fn instances_in_one_process_do_not_affect_each_other() {
+    let requests = |name: &str| {
+        let mut lines = start_lines(name);
         (0..9).for_each(|i| lines += &format!("QUERY 00000000000000a{i} 0 - 0.5 0 - look -\n"));
         lines
     };
-    let own = |text: String| {
+    let without_end_lines = |text: String| {
         text.lines().filter(|l| !l.starts_with("END")).map(|l| l.to_string() + "\n").collect::<String>()
     };
-    let one = own(replies(&format!("BATCH 1 1\n{}GO\n", traffic("proxy-1"))));
-    let two = own(replies(&format!("BATCH 1 1\n{}GO\n", traffic("proxy-2"))));
-    let both = own(replies(&format!("BATCH 1 1\n{}{}GO\n", traffic("proxy-1"), traffic("proxy-2"))));
+    let one = without_end_lines(replies(&format!("BATCH 1 1\n{}GO\n", requests("proxy-1"))));
+    let two = without_end_lines(replies(&format!("BATCH 1 1\n{}GO\n", requests("proxy-2"))));
+    let both =
+        without_end_lines(replies(&format!("BATCH 1 1\n{}{}GO\n", requests("proxy-1"), requests("proxy-2"))));
     assert_eq!(both, one + &two);
 }
 
 #[test]
-fn bad_input_is_named_and_ends_the_process() {
-    let ready = start("proxy-1");
-    let hello =
-        |without: &str| HELLO.split(' ').filter(|p| !p.starts_with(without)).collect::<Vec<_>>().join(" ");
+fn invalid_input_is_reported_and_ends_the_process() {
+    let start = start_lines("proxy-1");
+    let hello_without =
+        |omitted: &str| HELLO.split(' ').filter(|p| !p.starts_with(omitted)).collect::<Vec<_>>().join(" ");
     let cases = [
         ("SELECT proxy-1\n".to_string(), "between batches, line 1: expected BATCH"),
         ("BATCH x 1\n".into(), "expected a number for the clock, got 'x'"),
@@ -105,19 +106,22 @@
         ("BATCH 1 1\nITEM k 0 51 1 here in_service -\n".into(), "expected a ROSTER"),
         ("BATCH 1 1\nROSTER 0 1\nITEM k 0 51 -1 here in_service -\n".into(), "not below 0"),
         (
-            format!("BATCH 1 1\n{ready}QUERY 00000000000000a1 0 - 0.5 0 - other -\n"),
+            format!("BATCH 1 1\n{start}QUERY 00000000000000a1 0 - 0.5 0 - other -\n"),
             "a class of the settings",
         ),
-        (format!("BATCH 1 1\n{ready}QUERY a1 0 - 0.5 0 - look -\n"), "16 hex digits"),
-        (format!("BATCH 1 1\n{ready}QUERY 00000000000000a1 0 - NaN 0 - look -\n"), "expected a number"),
-        (format!("BATCH 1 1\n{ready}RESULT 00000000000000a1 51 0 Q 0.1 1 -\n"), "one of S E F T C R X N"),
-        (format!("BATCH 1 1\n{ready}RESULT 00000000000000a1 51 0 S -0.1 1 -\n"), "not below 0"),
-        (format!("BATCH 1 1\n{ready}UPDATE 1 some 0\n"), "changes, all, remembered or refused"),
+        (format!("BATCH 1 1\n{start}QUERY a1 0 - 0.5 0 - look -\n"), "16 hex digits"),
+        (format!("BATCH 1 1\n{start}QUERY 00000000000000a1 0 - NaN 0 - look -\n"), "expected a number"),
+        (format!("BATCH 1 1\n{start}RESULT 00000000000000a1 51 0 Q 0.1 1 -\n"), "one of S E F T C R X N"),
+        (format!("BATCH 1 1\n{start}RESULT 00000000000000a1 51 0 S -0.1 1 -\n"), "not below 0"),
+        (format!("BATCH 1 1\n{start}UPDATE 1 some 0\n"), "changes, all, remembered or refused"),
         (
-            format!("BATCH 1 1\nSELECT p\n{}\n", hello("caps.max-attempts")),
+            format!("BATCH 1 1\nSELECT p\n{}\n", hello_without("caps.max-attempts")),
             "missing setting caps.max-attempts",
         ),
-        (format!("BATCH 1 1\nSELECT p\n{}\n", hello("classes.count")), "missing setting classes.count"),
+        (
+            format!("BATCH 1 1\nSELECT p\n{}\n", hello_without("classes.count")),
+            "missing setting classes.count",
+        ),
         ("BATCH 1 1\nBATCH 2 2\n".into(), "expected GO before the next BATCH"),
         ("BATCH 1 1\n".into(), "batch 1, line 1: expected GO, got end of input"),
     ];
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A balancer with a clock, driven step by step, and what tests ask of it.
+//! A test harness that drives a balancer step by step in virtual time, and helpers to read its actions.
 #![allow(dead_code)]
 
 use gannetproxy::*;
@@ -8,11 +8,11 @@
     Class { aim: 1.0, deadline: 2.0, late_worth: 0.0, worth: 1.0, effect, in_order: false }
 }
 
-pub fn safe() -> Settings {
+pub fn safe_settings() -> Settings {
     Settings { classes: vec![class(Effect::Safe)], tier: 1, ..Settings::default() }
 }
 
-pub fn with(effect: Effect) -> Settings {
+pub fn settings_with_effect(effect: Effect) -> Settings {
     Settings { classes: vec![class(effect)], tier: 1, ..Settings::default() }
 }
 
@@ -20,34 +20,34 @@
     BackendEntry { id: BackendId(id), ..BackendEntry::default() }
 }
 
-pub struct Bench {
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Time,
     pub timers: Vec<(Time, u64)>,
-    /// Where each attempt of each request went.
-    pub sent: BTreeMap<u64, Vec<u32>>,
+    /// The backends that the attempts of each request were sent to.
+    pub backends_by_request: BTreeMap<u64, Vec<u32>>,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(settings: Settings, list: &[BackendEntry]) -> Self {
-        Self::seeded(1, settings, list)
+        Self::with_seed(1, settings, list)
     }
 
-    pub fn seeded(seed: u64, settings: Settings, list: &[BackendEntry]) -> Self {
+    pub fn with_seed(seed: u64, settings: Settings, list: &[BackendEntry]) -> Self {
         let balancer = Balancer::new(0.0, seed, settings);
-        let mut bench = Self { balancer, now: 0.0, timers: vec![], sent: BTreeMap::new() };
-        bench.event(Event::List(ListUpdate::Remembered(list)));
-        bench
+        let mut harness = Self { balancer, now: 0.0, timers: vec![], backends_by_request: BTreeMap::new() };
+        harness.handle(Event::List(ListUpdate::Remembered(list)));
+        harness
     }
 
-    /// Lets the outcomes of cancelled attempts follow, as they do in service.
-    pub fn cancelled(&mut self, actions: &[Action]) -> Vec<Action> {
-        let mut further = Vec::new();
+    /// Reports the outcome of each cancelled attempt to the balancer, and returns the resulting actions.
+    pub fn deliver_cancellations(&mut self, actions: &[Action]) -> Vec<Action> {
+        let mut resulting = Vec::new();
         for action in actions {
             if let Action::Cancel { id, attempt } = action {
-                let backend = BackendId(self.sent[&id.0][*attempt]);
+                let backend = BackendId(self.backends_by_request[&id.0][*attempt]);
                 let outcome = Outcome::Cancelled;
-                let ended = AttemptResult {
+                let result = AttemptResult {
                     id: *id,
                     backend,
                     attempt: *attempt,
@@ -56,14 +56,14 @@
                     is_final: true,
                     report: None,
                 };
-                further.extend(self.event(Event::Outcome(ended)));
+                resulting.extend(self.handle(Event::Outcome(result)));
             }
         }
-        further
+        resulting
     }
 
-    /// Plays an event now; timers are kept, all other actions returned.
-    pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
+    /// Handles an event now. Timers are kept, and all other actions are returned.
+    pub fn handle(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions.retain(|action| match action {
@@ -72,7 +72,7 @@
                 false
             }
             Action::Send { id, backend, .. } => {
-                self.sent.entry(id.0).or_default().push(backend.0);
+                self.backends_by_request.entry(id.0).or_default().push(backend.0);
                 true
             }
             _ => true,
@@ -81,17 +81,17 @@
     }
 
     pub fn request(&mut self, id: u64) -> Vec<Action> {
-        self.request_for(id, 2.0)
+        self.request_with_budget(id, 2.0)
     }
 
-    pub fn request_for(&mut self, id: u64, budget: Time) -> Vec<Action> {
+    pub fn request_with_budget(&mut self, id: u64, budget: Time) -> Vec<Action> {
         let request = Request { id: RequestId(id), budget, ..Request::default() };
-        self.event(Event::Request(request))
+        self.handle(Event::Request(request))
     }
 
-    /// Lets time pass to `until`, playing the timers that come due.
-    pub fn run_to(&mut self, until: Time) -> Vec<(Time, Action)> {
-        let mut seen = Vec::new();
+    /// Advances the time to `until` and fires the timers that are due. Returns actions with their times.
+    pub fn advance_to(&mut self, until: Time) -> Vec<(Time, Action)> {
+        let mut actions = Vec::new();
         while let Some(next) = (0..self.timers.len())
             .filter(|i| self.timers[*i].0 <= until)
             .min_by(|a, b| self.timers[*a].0.total_cmp(&self.timers[*b].0))
@@ -99,34 +99,41 @@
             let (at, token) = self.timers.remove(next);
             self.now = self.now.max(at);
             let now = self.now;
-            seen.extend(self.event(Event::Timer(token)).into_iter().map(|a| (now, a)));
+            actions.extend(self.handle(Event::Timer(token)).into_iter().map(|a| (now, a)));
         }
         self.now = until;
-        seen
+        actions
     }
 
-    pub fn end(&mut self, id: u64, attempt: usize, to: u32, outcome: Outcome, took: Time) -> Vec<Action> {
-        let (id, backend) = (RequestId(id), BackendId(to));
-        let over = outcome == Outcome::Served;
-        self.event(Event::Outcome(AttemptResult {
+    pub fn end_attempt(
+        &mut self,
+        id: u64,
+        attempt: usize,
+        backend: u32,
+        outcome: Outcome,
+        duration: Time,
+    ) -> Vec<Action> {
+        let (id, backend) = (RequestId(id), BackendId(backend));
+        let is_final = outcome == Outcome::Served;
+        self.handle(Event::Outcome(AttemptResult {
             id,
             backend,
             attempt,
             outcome,
-            duration: took,
-            is_final: over,
+            duration,
+            is_final,
             report: None,
         }))
     }
 
-    /// One request that is answered after `took`; returns where it went.
-    pub fn served(&mut self, id: u64, took: Time) -> u32 {
+    /// Sends a request, answers it after `duration`, and returns the backend that it was sent to.
+    pub fn serve_request(&mut self, id: u64, duration: Time) -> u32 {
         let actions = self.request(id);
-        let (_, to) = sends(&actions)[0];
-        self.run_to(self.now + took);
-        let actions = self.end(id, 0, to, Outcome::Served, took);
-        self.cancelled(&actions);
-        to
+        let (_, backend) = sends(&actions)[0];
+        self.advance_to(self.now + duration);
+        let actions = self.end_attempt(id, 0, backend, Outcome::Served, duration);
+        self.deliver_cancellations(&actions);
+        backend
     }
 }
 
@@ -138,14 +145,14 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn refused(actions: &[Action], id: u64) -> bool {
+pub fn is_rejected(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if i.0 == id))
 }
 
-pub fn failed(actions: &[Action], id: u64) -> bool {
+pub fn has_failed(actions: &[Action], id: u64) -> bool {
     actions.contains(&Action::Fail { id: RequestId(id) })
 }
 
-pub fn plain(timed: Vec<(Time, Action)>) -> Vec<Action> {
+pub fn without_times(timed: Vec<(Time, Action)>) -> Vec<Action> {
     timed.into_iter().map(|(_, a)| a).collect()
 }
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -1,31 +1,30 @@
-//! Backends that are replaced by ever new ones: the module forgets what is gone, and no sooner than
-//! nothing can name it any more.
+//! The balancer's memory stays bounded while the backends in its list are replaced repeatedly.
 
 mod common;
 
-use common::{Bench, entry, refused, safe, sends};
+use common::{Harness, entry, is_rejected, safe_settings, sends};
 use gannetproxy::*;
 
 #[test]
-fn the_module_forgets_backends_that_are_gone_and_keeps_count_of_those_with_calls() {
-    let mut bench = Bench::new(safe(), &[entry(1)]);
-    let first = sends(&bench.request(1));
+fn gone_backends_are_removed_once_their_attempts_have_ended() {
+    let mut harness = Harness::new(safe_settings(), &[entry(1)]);
+    let first = sends(&harness.request(1));
     assert_eq!(first, [(1, 1)]);
     for new in 2..500 {
-        bench.event(Event::List(ListUpdate::Full(&[entry(new), entry(1000 + new)])));
-        // Calls go on meanwhile, and their places are not mixed up.
-        bench.now += 0.01;
+        harness.handle(Event::List(ListUpdate::Full(&[entry(new), entry(1000 + new)])));
+        // Calls go to listed backends although indices of removed ones are reused.
+        harness.now += 0.01;
         let id = u64::from(new);
-        let to = sends(&bench.request(id))[0].1;
+        let to = sends(&harness.request(id))[0].1;
         assert!(to == new || to == 1000 + new, "{to} at {new}");
-        let over = bench.end(id, 0, to, Outcome::Served, 0.01);
-        assert!(!refused(&over, id));
+        let actions = harness.end_attempt(id, 0, to, Outcome::Served, 0.01);
+        assert!(!is_rejected(&actions, id));
     }
-    assert!(bench.balancer.known_backends() <= 5, "{}", bench.balancer.known_backends());
-    // The first call's backend is known until its attempt has ended.
-    assert!(bench.balancer.known_backends() > 2);
-    bench.end(1, 0, 1, Outcome::Served, 1.0);
-    bench.event(Event::List(ListUpdate::Changes(&[])));
-    bench.event(Event::List(ListUpdate::Full(&[entry(499)])));
-    assert_eq!(bench.balancer.known_backends(), 1);
+    assert!(harness.balancer.known_backends() <= 5, "{}", harness.balancer.known_backends());
+    // The backend of the first call is known until its attempt has ended.
+    assert!(harness.balancer.known_backends() > 2);
+    harness.end_attempt(1, 0, 1, Outcome::Served, 1.0);
+    harness.handle(Event::List(ListUpdate::Changes(&[])));
+    harness.handle(Event::List(ListUpdate::Full(&[entry(499)])));
+    assert_eq!(harness.balancer.known_backends(), 1);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,5 @@
-//! The rules, checked from outside on random legal event sequences, with a checker that is
-//! shown to catch planted breaches.
+//! Checks the balancer's invariants on random valid event sequences, and the checker itself on planted
+//! violations.
 
 mod common;
 use common::entry;
@@ -9,179 +9,186 @@
 use std::collections::HashMap;
 
 #[derive(Clone, Debug)]
-struct Try {
+struct SentAttempt {
     cell: u32,
     zone: u32,
-    sent: Time,
+    sent_at: Time,
     outcome: Option<Outcome>,
-    ended: Time,
+    ended_at: Time,
 }
 
-struct Open {
+struct RequestState {
     class: usize,
     key: Option<u64>,
     deadline: Time,
-    tries: Vec<Try>,
-    over: bool,
+    attempts: Vec<SentAttempt>,
+    is_closed: bool,
 }
 
-/// Watches events and actions as the outside sees them.
+/// Follows the events and actions of a balancer, and records violations.
 struct Checker {
     settings: Settings,
-    open: HashMap<u64, Open>,
-    list: HashMap<u32, BackendEntry>,
-    /// Draining backends whose connections are to be closed, since the notice or the last use.
-    unclosed: HashMap<u32, Time>,
-    breaches: Vec<String>,
+    requests: HashMap<u64, RequestState>,
+    entries: HashMap<u32, BackendEntry>,
+    /// Draining backends whose connections have to be closed, and since when.
+    unclosed_since: HashMap<u32, Time>,
+    violations: Vec<String>,
 }
 
 impl Checker {
     fn new(settings: Settings) -> Self {
         Self {
             settings,
-            open: HashMap::new(),
-            list: HashMap::new(),
-            unclosed: HashMap::new(),
-            breaches: vec![],
+            requests: HashMap::new(),
+            entries: HashMap::new(),
+            unclosed_since: HashMap::new(),
+            violations: vec![],
         }
     }
 
-    fn breach(&mut self, what: String) {
-        self.breaches.push(what);
+    fn add_violation(&mut self, violation: String) {
+        self.violations.push(violation);
     }
 
-    /// What is out of order if this request is sent now: ids rise in the order of arrival.
-    fn out_of_order(&self, now: Time, id: u64) -> Option<&'static str> {
-        let ordered = |o: &&Open| self.settings.classes[o.class].in_order && o.key.is_some();
-        let key = self.open.get(&id).filter(ordered)?.key;
-        for earlier in self.open.iter().filter(|(i, o)| **i < id && ordered(o) && o.key == key) {
-            let rests = |t: &Try| {
+    /// Returns a violation if sending this request now breaks the order of its key. Ids are in the order of
+    /// arrival.
+    fn order_violation(&self, now: Time, id: u64) -> Option<&'static str> {
+        let is_ordered = |o: &&RequestState| self.settings.classes[o.class].in_order && o.key.is_some();
+        let key = self.requests.get(&id).filter(is_ordered)?.key;
+        for earlier in self.requests.iter().filter(|(i, o)| **i < id && is_ordered(o) && o.key == key) {
+            let is_settling = |t: &SentAttempt| {
                 matches!(t.outcome, Some(Outcome::Timeout | Outcome::Reset | Outcome::Cancelled))
-                    && now < t.ended + self.settings.key_settle_time
+                    && now < t.ended_at + self.settings.key_settle_time
             };
-            if !earlier.1.over || earlier.1.tries.iter().any(|t| t.outcome.is_none()) {
-                return Some("order: an earlier one is not over");
+            if !earlier.1.is_closed || earlier.1.attempts.iter().any(|t| t.outcome.is_none()) {
+                return Some("order: an earlier request is not complete");
             }
-            if earlier.1.tries.iter().any(rests) {
-                return Some("order: the key has not rested");
+            if earlier.1.attempts.iter().any(is_settling) {
+                return Some("order: the key has not settled");
             }
         }
         None
     }
 
-    /// A draining backend was told of or used: its idle connections are to be closed from now.
-    fn used(&mut self, now: Time, backend: u32) {
-        if self.list.get(&backend).is_some_and(|e| e.status == Status::Draining) {
-            self.unclosed.insert(backend, now);
+    /// Records an update or a use of a backend. If it drains, its idle connections have to be closed now.
+    fn record_use(&mut self, now: Time, backend: u32) {
+        if self.entries.get(&backend).is_some_and(|e| e.status == Status::Draining) {
+            self.unclosed_since.insert(backend, now);
         } else {
-            self.unclosed.remove(&backend);
+            self.unclosed_since.remove(&backend);
         }
     }
 
-    fn check_closed(&mut self, now: Time) {
-        let within = self.settings.connection_release_deadline.unwrap_or(f64::INFINITY);
-        if self.unclosed.values().any(|since| now > since + within) {
-            self.unclosed.clear();
-            self.breach("drain: connections left open".into());
+    fn check_connections_closed(&mut self, now: Time) {
+        let deadline = self.settings.connection_release_deadline.unwrap_or(f64::INFINITY);
+        if self.unclosed_since.values().any(|since| now > since + deadline) {
+            self.unclosed_since.clear();
+            self.add_violation("drain: connections left open".into());
         }
     }
 
-    fn action(&mut self, now: Time, action: &Action) {
+    fn record_action(&mut self, now: Time, action: &Action) {
         match action {
             Action::CloseIdleConnections(backend) => {
-                self.unclosed.remove(&backend.0);
+                self.unclosed_since.remove(&backend.0);
             }
             Action::Send { id, backend, timeout } => {
-                let Some(entry) = self.list.get(&backend.0).cloned() else {
-                    return self.breach(format!("sent to unknown {backend:?}"));
+                let Some(entry) = self.entries.get(&backend.0).cloned() else {
+                    return self.add_violation(format!("sent to unlisted {backend:?}"));
                 };
                 if entry.status != Status::InService {
-                    self.breach(format!("drain: sent to {backend:?}"));
+                    self.add_violation(format!("drain: sent to {backend:?}"));
                 }
                 if !timeout.is_finite() || *timeout <= 0.0 {
-                    self.breach(format!("time-out {timeout}"));
+                    self.add_violation(format!("timeout {timeout}"));
                 }
                 let settings = self.settings.clone();
-                if let Some(what) = self.out_of_order(now, id.0) {
-                    self.breach(what.into());
+                if let Some(violation) = self.order_violation(now, id.0) {
+                    self.add_violation(violation.into());
                 }
-                let Some(open) = self.open.get_mut(&id.0) else {
-                    return self.breach(format!("sent unknown {id:?}"));
+                let Some(request) = self.requests.get_mut(&id.0) else {
+                    return self.add_violation(format!("sent unknown request {id:?}"));
                 };
-                let mut what = Vec::new();
-                if open.over {
-                    what.push("sent after the end");
+                let mut violations = Vec::new();
+                if request.is_closed {
+                    violations.push("sent after the end");
                 }
-                if open.tries.len() >= settings.max_attempts {
-                    what.push("too many attempts");
+                if request.attempts.len() >= settings.max_attempts {
+                    violations.push("too many attempts");
                 }
-                if !settings.allow_concurrent_attempts && open.tries.iter().any(|t| t.outcome.is_none()) {
-                    what.push("two at once");
+                if !settings.allow_concurrent_attempts && request.attempts.iter().any(|t| t.outcome.is_none())
+                {
+                    violations.push("concurrent attempts");
                 }
-                if let Some(first) = open.tries.iter().find(|t| may_have_run(t)) {
-                    match settings.classes[open.class].effect {
+                if let Some(first) = request.attempts.iter().find(|t| may_have_run(t)) {
+                    match settings.classes[request.class].effect {
                         Effect::Safe => {}
-                        Effect::Unsafe => what.push("unsafe call twice"),
+                        Effect::Unsafe => violations.push("unsafe call repeated"),
                         Effect::Keyed { group, window } => {
-                            let inside = match group {
+                            let is_in_group = match group {
                                 DedupGroup::All => true,
                                 DedupGroup::Zone => first.zone == entry.zone,
                                 DedupGroup::Cell => first.cell == entry.cell,
                             };
-                            if !inside || now > first.sent + window {
-                                what.push("keyed call outside its group or window");
+                            if !is_in_group || now > first.sent_at + window {
+                                violations.push("keyed call repeated outside its group or window");
                             }
                         }
                     }
                 }
-                open.tries.push(Try {
+                request.attempts.push(SentAttempt {
                     cell: entry.cell,
                     zone: entry.zone,
-                    sent: now,
+                    sent_at: now,
                     outcome: None,
-                    ended: 0.0,
+                    ended_at: 0.0,
                 });
-                what.into_iter().for_each(|w| self.breaches.push(w.to_string()));
+                violations.into_iter().for_each(|v| self.violations.push(v.to_string()));
             }
             Action::Reject { id, .. } => {
-                let harmless = self.open.get(&id.0).is_some_and(|open| {
-                    let all = matches!(
-                        self.settings.classes[open.class].effect,
+                let is_harmless = self.requests.get(&id.0).is_some_and(|request| {
+                    let is_safe = matches!(
+                        self.settings.classes[request.class].effect,
                         Effect::Safe | Effect::Keyed { group: DedupGroup::All, .. }
                     );
-                    all || !open.tries.iter().any(may_have_run)
+                    is_safe || !request.attempts.iter().any(may_have_run)
                 });
-                if !harmless {
-                    self.breach(format!("refused {id:?}, which may have run"));
+                if !is_harmless {
+                    self.add_violation(format!("rejected {id:?}, which may have run"));
                 }
-                self.answer(now, id.0);
+                self.record_answer(now, id.0);
+            }
+            Action::Fail { id } => self.record_answer(now, id.0),
+            Action::Cancel { .. } if !self.settings.can_cancel => {
+                self.add_violation("cancelled although that is not allowed".into())
+            }
+            Action::Timer { at, .. } if !at.is_finite() => {
+                self.add_violation("timer at an infinite time".into())
             }
-            Action::Fail { id } => self.answer(now, id.0),
-            Action::Cancel { .. } if !self.settings.can_cancel => self.breach("cancel forbidden".into()),
-            Action::Timer { at, .. } if !at.is_finite() => self.breach("timer at no time".into()),
             _ => {}
         }
     }
 
-    fn answer(&mut self, now: Time, id: u64) {
-        match self.open.get_mut(&id) {
-            Some(open) if !open.over => {
-                open.over = true;
-                if now > open.deadline {
-                    self.breach(format!("{id} answered late"));
+    fn record_answer(&mut self, now: Time, id: u64) {
+        match self.requests.get_mut(&id) {
+            Some(request) if !request.is_closed => {
+                request.is_closed = true;
+                if now > request.deadline {
+                    self.add_violation(format!("{id} answered late"));
                 }
             }
-            _ => self.breach(format!("{id} answered twice or unasked")),
+            _ => self.add_violation(format!("{id} answered twice or never sent")),
         }
     }
 
     fn finish(&mut self) {
-        let lost: Vec<u64> = self.open.iter().filter(|(_, o)| !o.over).map(|(id, _)| *id).collect();
-        lost.into_iter().for_each(|id| self.breach(format!("{id} lost")));
+        let unanswered: Vec<u64> =
+            self.requests.iter().filter(|(_, o)| !o.is_closed).map(|(id, _)| *id).collect();
+        unanswered.into_iter().for_each(|id| self.add_violation(format!("{id} not answered")));
     }
 }
 
-fn may_have_run(t: &Try) -> bool {
+fn may_have_run(t: &SentAttempt) -> bool {
     !matches!(t.outcome, Some(Outcome::Rejected | Outcome::NoConnection | Outcome::NeverSent))
 }
 
@@ -189,26 +196,26 @@
 enum Step {
     Request { class: usize, tenant: usize, key: u64, budget: f64 },
     End { which: usize, outcome: usize },
-    Leave { which: usize },
+    Disconnect { which: usize },
     Wait(f64),
-    Change { which: u32, status: usize, restarted: bool },
-    Full { gone: u32 },
-    Refused,
+    ListChange { which: u32, status: usize, restarted: bool },
+    FullList { gone: u32 },
+    ListFailure,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..5usize, 0..2usize, 0..3u64, -0.1..2.0f64).prop_map(|(class, tenant, key, budget)| Step::Request { class, tenant, key, budget }),
         6 => (0..50usize, 0..8usize).prop_map(|(which, outcome)| Step::End { which, outcome }),
-        1 => (0..50usize).prop_map(|which| Step::Leave { which }),
+        1 => (0..50usize).prop_map(|which| Step::Disconnect { which }),
         8 => (0.0..0.3f64).prop_map(Step::Wait),
-        2 => (1..8u32, 0..3usize, any::<bool>()).prop_map(|(which, status, restarted)| Step::Change { which, status, restarted }),
-        1 => (1..8u32).prop_map(|gone| Step::Full { gone }),
-        1 => Just(Step::Refused),
+        2 => (1..8u32, 0..3usize, any::<bool>()).prop_map(|(which, status, restarted)| Step::ListChange { which, status, restarted }),
+        1 => (1..8u32).prop_map(|gone| Step::FullList { gone }),
+        1 => Just(Step::ListFailure),
     ]
 }
 
-fn settings(second_copies: bool, cancel: bool, tier: usize) -> Settings {
+fn settings(allow_concurrent_attempts: bool, can_cancel: bool, tier: usize) -> Settings {
     let class =
         |effect| Class { aim: 0.8, deadline: 2.0, late_worth: 0.0, worth: 1.0, effect, in_order: false };
     let keyed = |group, window| Effect::Keyed { group, window };
@@ -222,8 +229,8 @@
         ],
         quotas: vec![2.0, 100.0],
         over_share_worth: 0.1,
-        allow_concurrent_attempts: second_copies,
-        can_cancel: cancel,
+        allow_concurrent_attempts,
+        can_cancel,
         tier,
         max_attempts: 3,
         max_retry_after: 1.0,
@@ -234,7 +241,7 @@
     }
 }
 
-fn play(steps: &[Step], settings: Settings, seed: u64) -> Vec<String> {
+fn run(steps: &[Step], settings: Settings, seed: u64) -> Vec<String> {
     const OUTCOMES: [Outcome; 8] = [
         Outcome::Served,
         Outcome::Error,
@@ -245,58 +252,58 @@
         Outcome::Cancelled,
         Outcome::NeverSent,
     ];
-    let mut check = Checker::new(settings.clone());
+    let mut checker = Checker::new(settings.clone());
     let mut balancer = Balancer::new(0.0, seed, settings);
     let mut now = 0.0;
     let mut timers: Vec<(Time, u64)> = Vec::new();
-    let mut out: Vec<(u64, usize, u32)> = Vec::new();
+    let mut open_attempts: Vec<(u64, usize, u32)> = Vec::new();
     let mut list: Vec<BackendEntry> =
         (1..8).map(|i| BackendEntry { cell: i % 3, zone: i % 2, ..entry(i) }).collect();
-    let mut next = 0;
-    let mut all = vec![Step::Full { gone: 0 }];
-    all.extend_from_slice(steps);
-    all.push(Step::Wait(5.0));
-    for step in all {
-        let mut due: Vec<Event<'_>> = Vec::new();
-        let copy;
+    let mut last_id = 0;
+    let mut all_steps = vec![Step::FullList { gone: 0 }];
+    all_steps.extend_from_slice(steps);
+    all_steps.push(Step::Wait(5.0));
+    for step in all_steps {
+        let mut events: Vec<Event<'_>> = Vec::new();
+        let update;
         match step {
             Step::Request { class, tenant, key, budget } => {
-                next += 1;
+                last_id += 1;
                 let key = (key > 0).then_some(key);
                 let deadline = now + budget.max(0.0);
-                let open = Open { class, key, deadline, tries: vec![], over: false };
-                check.open.insert(next, open);
-                let id = RequestId(next);
-                due.push(Event::Request(Request { id, class, tenant: Some(tenant), key, budget }));
+                let request = RequestState { class, key, deadline, attempts: vec![], is_closed: false };
+                checker.requests.insert(last_id, request);
+                let id = RequestId(last_id);
+                events.push(Event::Request(Request { id, class, tenant: Some(tenant), key, budget }));
             }
-            Step::End { which, outcome } if !out.is_empty() => {
-                let (id, attempt, backend) = out.remove(which % out.len());
-                check.used(now, backend);
-                let open = check.open.get_mut(&id).unwrap();
-                open.tries[attempt].outcome = Some(OUTCOMES[outcome]);
-                open.tries[attempt].ended = now;
-                open.over |= OUTCOMES[outcome] == Outcome::Served;
-                let took = now - open.tries[attempt].sent;
-                let (id, backend, outcome, over) =
-                    (RequestId(id), BackendId(backend), OUTCOMES[outcome], open.over);
-                due.push(Event::Outcome(AttemptResult {
+            Step::End { which, outcome } if !open_attempts.is_empty() => {
+                let (id, attempt, backend) = open_attempts.remove(which % open_attempts.len());
+                checker.record_use(now, backend);
+                let request = checker.requests.get_mut(&id).unwrap();
+                request.attempts[attempt].outcome = Some(OUTCOMES[outcome]);
+                request.attempts[attempt].ended_at = now;
+                request.is_closed |= OUTCOMES[outcome] == Outcome::Served;
+                let duration = now - request.attempts[attempt].sent_at;
+                let (id, backend, outcome, is_final) =
+                    (RequestId(id), BackendId(backend), OUTCOMES[outcome], request.is_closed);
+                events.push(Event::Outcome(AttemptResult {
                     id,
                     backend,
                     attempt,
                     outcome,
-                    duration: took,
-                    is_final: over,
+                    duration,
+                    is_final,
                     report: None,
                 }));
             }
-            Step::Leave { which } if next > 0 => {
-                let id = 1 + which as u64 % next;
-                check.open.get_mut(&id).unwrap().over = true;
-                due.push(Event::ClientDisconnected(RequestId(id)));
+            Step::Disconnect { which } if last_id > 0 => {
+                let id = 1 + which as u64 % last_id;
+                checker.requests.get_mut(&id).unwrap().is_closed = true;
+                events.push(Event::ClientDisconnected(RequestId(id)));
             }
-            Step::End { .. } | Step::Leave { .. } => {}
-            Step::Wait(span) => {
-                let until = now + span;
+            Step::End { .. } | Step::Disconnect { .. } => {}
+            Step::Wait(duration) => {
+                let until = now + duration;
                 while let Some(i) = (0..timers.len())
                     .filter(|i| timers[*i].0 <= until)
                     .min_by(|a, b| timers[*a].0.total_cmp(&timers[*b].0))
@@ -305,59 +312,59 @@
                     now = at.max(now);
                     let mut actions = Vec::new();
                     balancer.handle(now, Event::Timer(token), &mut actions);
-                    take(&actions, now, &mut check, &mut timers, &mut out);
+                    record_actions(&actions, now, &mut checker, &mut timers, &mut open_attempts);
                 }
                 now = until;
             }
-            Step::Change { which, status, restarted } => {
+            Step::ListChange { which, status, restarted } => {
                 let e = &mut list[which as usize - 1];
                 e.status = [Status::InService, Status::Draining, Status::Gone][status];
                 e.started = restarted.then_some(now);
-                check.list.insert(which, e.clone());
-                check.used(now, which);
-                copy = vec![e.clone()];
-                due.push(Event::List(ListUpdate::Changes(&copy)));
+                checker.entries.insert(which, e.clone());
+                checker.record_use(now, which);
+                update = vec![e.clone()];
+                events.push(Event::List(ListUpdate::Changes(&update)));
             }
-            Step::Full { gone } => {
-                copy = list.iter().filter(|e| e.id.0 != gone).cloned().collect::<Vec<_>>();
-                check.list.values_mut().for_each(|e| e.status = Status::Gone);
-                check.unclosed.clear();
-                copy.iter().for_each(|e| {
-                    check.list.insert(e.id.0, e.clone());
-                    check.used(now, e.id.0);
+            Step::FullList { gone } => {
+                update = list.iter().filter(|e| e.id.0 != gone).cloned().collect::<Vec<_>>();
+                checker.entries.values_mut().for_each(|e| e.status = Status::Gone);
+                checker.unclosed_since.clear();
+                update.iter().for_each(|e| {
+                    checker.entries.insert(e.id.0, e.clone());
+                    checker.record_use(now, e.id.0);
                 });
-                due.push(Event::List(ListUpdate::Full(&copy)));
+                events.push(Event::List(ListUpdate::Full(&update)));
             }
-            Step::Refused => due.push(Event::List(ListUpdate::Failed)),
+            Step::ListFailure => events.push(Event::List(ListUpdate::Failed)),
         }
-        for event in due {
+        for event in events {
             let mut actions = Vec::new();
             balancer.handle(now, event, &mut actions);
-            take(&actions, now, &mut check, &mut timers, &mut out);
+            record_actions(&actions, now, &mut checker, &mut timers, &mut open_attempts);
         }
     }
-    check.finish();
+    checker.finish();
     if balancer.open_requests() > 0 {
-        check.breach("state of finished requests is kept".into());
+        checker.add_violation("state of completed requests is kept".into());
     }
-    check.breaches
+    checker.violations
 }
 
-fn take(
+fn record_actions(
     actions: &[Action],
     now: Time,
-    check: &mut Checker,
+    checker: &mut Checker,
     timers: &mut Vec<(Time, u64)>,
-    out: &mut Vec<(u64, usize, u32)>,
+    open_attempts: &mut Vec<(u64, usize, u32)>,
 ) {
-    check.check_closed(now);
+    checker.check_connections_closed(now);
     for action in actions {
-        check.action(now, action);
+        checker.record_action(now, action);
         match action {
             Action::Timer { at, token } => timers.push((*at, *token)),
             Action::Send { id, backend, .. } => {
-                let attempt = check.open.get(&id.0).map_or(0, |o| o.tries.len() - 1);
-                out.push((id.0, attempt, backend.0));
+                let attempt = checker.requests.get(&id.0).map_or(0, |o| o.attempts.len() - 1);
+                open_attempts.push((id.0, attempt, backend.0));
             }
             _ => {}
         }
@@ -365,73 +372,86 @@
 }
 
 #[test]
-fn the_rules_are_kept_on_random_days() {
+fn invariants_hold_on_random_event_sequences() {
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let days = (prop::collection::vec(step(), 1..150), any::<bool>(), any::<bool>(), 0..2usize, any::<u64>());
+    let cases =
+        (prop::collection::vec(step(), 1..150), any::<bool>(), any::<bool>(), 0..2usize, any::<u64>());
     runner
-        .run(&days, |(steps, copies, cancel, tier, seed)| {
-            let breaches = play(&steps, settings(copies, cancel, tier), seed);
-            prop_assert!(breaches.is_empty(), "{breaches:?}");
+        .run(&cases, |(steps, concurrent, can_cancel, tier, seed)| {
+            let violations = run(&steps, settings(concurrent, can_cancel, tier), seed);
+            prop_assert!(violations.is_empty(), "{violations:?}");
             Ok(())
         })
         .unwrap();
 }
 
 #[test]
-fn the_checker_catches_planted_breaches() {
-    let plant = |class: usize, then: &[(Time, Action)]| {
-        let mut check = Checker::new(settings(false, false, 0));
-        check.list.insert(1, BackendEntry { cell: 1, ..entry(1) });
-        check.list.insert(2, BackendEntry { cell: 2, ..entry(2) });
-        check.list.insert(3, BackendEntry { status: Status::Draining, ..entry(3) });
+fn checker_finds_planted_violations() {
+    let violations_of = |class: usize, actions: &[(Time, Action)]| {
+        let mut checker = Checker::new(settings(false, false, 0));
+        checker.entries.insert(1, BackendEntry { cell: 1, ..entry(1) });
+        checker.entries.insert(2, BackendEntry { cell: 2, ..entry(2) });
+        checker.entries.insert(3, BackendEntry { status: Status::Draining, ..entry(3) });
         for id in 1..3 {
-            check.open.insert(id, Open { class, key: Some(9), deadline: 1.0, tries: vec![], over: id == 2 });
+            checker.requests.insert(
+                id,
+                RequestState { class, key: Some(9), deadline: 1.0, attempts: vec![], is_closed: id == 2 },
+            );
         }
-        then.iter().for_each(|(now, action)| check.action(*now, action));
-        check.finish();
-        check.breaches
+        actions.iter().for_each(|(now, action)| checker.record_action(*now, action));
+        checker.finish();
+        checker.violations
     };
     let id = RequestId(1);
     let send = |to| Action::Send { id, backend: BackendId(to), timeout: 0.5 };
-    assert_eq!(plant(0, &[(0.0, send(1)), (0.5, Action::Reject { id, retry_after: None })]).len(), 0);
-    assert_eq!(plant(0, &[(0.0, send(1))]), ["1 lost"]);
-    assert_eq!(plant(0, &[(1.5, Action::Fail { id })]), ["1 answered late"]);
-    assert_eq!(plant(0, &[(0.1, Action::Fail { id }), (0.2, Action::Fail { id })]).len(), 1);
-    assert_eq!(plant(0, &[(0.1, Action::Fail { id }), (0.2, send(1))]), ["sent after the end"]);
-    assert!(plant(0, &[(0.1, send(3)), (0.2, Action::Fail { id })])[0].starts_with("drain"));
-    let twice = [(0.0, send(1)), (0.1, send(2)), (0.2, Action::Fail { id })];
-    assert_eq!(plant(1, &twice), ["two at once", "unsafe call twice"]);
-    assert_eq!(plant(4, &twice), ["two at once", "keyed call outside its group or window"]);
-    let late = [(0.0, send(1)), (0.5, send(1)), (0.6, Action::Fail { id })];
-    assert_eq!(plant(4, &late), ["two at once", "keyed call outside its group or window"]);
-    // Order: the second of a key while the first is open, has an attempt out, or just timed out.
-    let mut check = Checker::new(settings(true, true, 0));
-    check.list.insert(1, entry(1));
+    assert_eq!(violations_of(0, &[(0.0, send(1)), (0.5, Action::Reject { id, retry_after: None })]).len(), 0);
+    assert_eq!(violations_of(0, &[(0.0, send(1))]), ["1 not answered"]);
+    assert_eq!(violations_of(0, &[(1.5, Action::Fail { id })]), ["1 answered late"]);
+    assert_eq!(violations_of(0, &[(0.1, Action::Fail { id }), (0.2, Action::Fail { id })]).len(), 1);
+    assert_eq!(violations_of(0, &[(0.1, Action::Fail { id }), (0.2, send(1))]), ["sent after the end"]);
+    assert!(violations_of(0, &[(0.1, send(3)), (0.2, Action::Fail { id })])[0].starts_with("drain"));
+    let two_sends = [(0.0, send(1)), (0.1, send(2)), (0.2, Action::Fail { id })];
+    assert_eq!(violations_of(1, &two_sends), ["concurrent attempts", "unsafe call repeated"]);
+    assert_eq!(
+        violations_of(4, &two_sends),
+        ["concurrent attempts", "keyed call repeated outside its group or window"]
+    );
+    let late_send = [(0.0, send(1)), (0.5, send(1)), (0.6, Action::Fail { id })];
+    assert_eq!(
+        violations_of(4, &late_send),
+        ["concurrent attempts", "keyed call repeated outside its group or window"]
+    );
+    // Order: the second request of a key while the first is open, has an open attempt, or just timed out.
+    let mut checker = Checker::new(settings(true, true, 0));
+    checker.entries.insert(1, entry(1));
     for id in 1..3 {
-        check.open.insert(id, Open { class: 1, key: Some(9), deadline: 9.0, tries: vec![], over: false });
+        checker.requests.insert(
+            id,
+            RequestState { class: 1, key: Some(9), deadline: 9.0, attempts: vec![], is_closed: false },
+        );
     }
-    check.action(0.0, &send(1));
+    checker.record_action(0.0, &send(1));
     let second = Action::Send { id: RequestId(2), backend: BackendId(1), timeout: 0.5 };
-    assert_eq!(check.out_of_order(0.1, 2), Some("order: an earlier one is not over"));
-    check.action(0.2, &Action::Fail { id });
-    assert_eq!(check.out_of_order(0.2, 2), Some("order: an earlier one is not over"));
-    let first = &mut check.open.get_mut(&1).unwrap().tries[0];
-    (first.outcome, first.ended) = (Some(Outcome::Timeout), 0.3);
-    check.action(0.4, &second);
-    assert_eq!(check.breaches, ["order: the key has not rested"]);
-    assert_eq!(check.out_of_order(0.51, 2), None);
-    // Closing: a draining backend's connections left open, after the notice or a later outcome.
-    check.list.insert(1, BackendEntry { status: Status::Draining, ..entry(1) });
-    check.used(1.0, 1);
-    check.check_closed(1.05);
-    check.action(1.05, &Action::CloseIdleConnections(BackendId(1)));
-    check.check_closed(1.2);
-    assert_eq!(check.breaches.len(), 1);
-    check.used(1.3, 1);
-    check.check_closed(1.5);
-    assert_eq!(check.breaches[1], "drain: connections left open");
-    let refused = [(0.0, send(1)), (0.6, Action::Reject { id, retry_after: None })];
-    assert!(plant(1, &refused)[0].contains("which may have run"));
+    assert_eq!(checker.order_violation(0.1, 2), Some("order: an earlier request is not complete"));
+    checker.record_action(0.2, &Action::Fail { id });
+    assert_eq!(checker.order_violation(0.2, 2), Some("order: an earlier request is not complete"));
+    let first = &mut checker.requests.get_mut(&1).unwrap().attempts[0];
+    (first.outcome, first.ended_at) = (Some(Outcome::Timeout), 0.3);
+    checker.record_action(0.4, &second);
+    assert_eq!(checker.violations, ["order: the key has not settled"]);
+    assert_eq!(checker.order_violation(0.51, 2), None);
+    // Drain: connections are left open after the start of the drain or after a later outcome.
+    checker.entries.insert(1, BackendEntry { status: Status::Draining, ..entry(1) });
+    checker.record_use(1.0, 1);
+    checker.check_connections_closed(1.05);
+    checker.record_action(1.05, &Action::CloseIdleConnections(BackendId(1)));
+    checker.check_connections_closed(1.2);
+    assert_eq!(checker.violations.len(), 1);
+    checker.record_use(1.3, 1);
+    checker.check_connections_closed(1.5);
+    assert_eq!(checker.violations[1], "drain: connections left open");
+    let rejected = [(0.0, send(1)), (0.6, Action::Reject { id, retry_after: None })];
+    assert!(violations_of(1, &rejected)[0].contains("which may have run"));
 }
