--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1042,7 +1042,7 @@
             return;
         }
         let sample = if failed { FAILURE_SLOWNESS } else { duration / normal };
-        // A backend that fails at once is idle in between, and would be part again and again.
+        // A backend that fails at once is idle in between, and would be chosen again and again.
         let is_fast_failure = failed && duration < FAST_FAILURE_FRACTION * normal;
         let weight = if is_fast_failure { FAST_FAILURE_EWMA_WEIGHT } else { SLOWNESS_EWMA_WEIGHT };
         let known = self.observed_slowness(&self.backends[backend]);
