--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -1,7 +1,9 @@
 //! Runs the engine with clients that disconnect and attempts that end in random order with every outcome, and
 //! checks each request for one answer, no second effect and no send after its end. A failure names its seed.
 
-use gannetproxy::engine::{Answer, Attempt, Bounds, Done, Engine, Listed, News, Upstream};
+use gannetproxy::engine::{
+    Answer, Attempt, BackendListUpdate, Engine, EngineLimits, ListedBackend, Upstream, UpstreamResult,
+};
 use gannetproxy::{
     BackendEntry, BackendId, Class, DedupGroup, Effect, Outcome, Request, RequestId, Settings,
 };
@@ -92,17 +94,17 @@
     type Reply = ();
     type Endpoint = ();
 
-    fn endpoint(&self, _: SocketAddr) {}
-    fn moved(&self, (): &(), _: SocketAddr) {}
-    fn release(&self, (): &()) {}
-    fn sweep(&self, (): &()) {}
-    fn full(&self) -> bool {
+    fn create_endpoint(&self, _: SocketAddr) {}
+    fn set_address(&self, (): &(), _: SocketAddr) {}
+    fn release_connections(&self, (): &()) {}
+    fn close_expired(&self, (): &()) {}
+    fn is_full(&self) -> bool {
         false
     }
-    fn idle_since(&self, (): &()) -> Option<tokio::time::Instant> {
+    fn oldest_idle_since(&self, (): &()) -> Option<tokio::time::Instant> {
         None
     }
-    fn evict(&self, (): &()) {}
+    fn close_oldest_idle(&self, (): &()) {}
 
     // The attempt does not check whether its request is still open, so the engine has to abort it.
     fn attempt(
@@ -110,7 +112,7 @@
         _: Rc<()>,
         payload: Rc<Rc<RequestRecord>>,
         attempt: Attempt<()>,
-    ) -> impl Future<Output = Done<()>> + 'static {
+    ) -> impl Future<Output = UpstreamResult<()>> + 'static {
         let connect_time = self.draw(|rng| match rng.random_range(0..3) {
             0 => rng.random_range(CONNECT_TIME[0]..CONNECT_TIME[1]),
             _ => 0.0,
@@ -139,12 +141,12 @@
                 _ => std::future::pending().await,
             };
             payload.sent.borrow_mut()[index].2 = Some(outcome);
-            Done { outcome, served, fallback: None, report: None }
+            UpstreamResult { outcome, reply: served, fallback: None, report: None }
         }
     }
 
-    fn probe(&self, _: Rc<()>, _: Attempt<()>) -> impl Future<Output = Done<()>> + 'static {
-        std::future::ready(Done::without_answer(Outcome::Served))
+    fn probe(&self, _: Rc<()>, _: Attempt<()>) -> impl Future<Output = UpstreamResult<()>> + 'static {
+        std::future::ready(UpstreamResult::without_reply(Outcome::Served))
     }
 }
 
@@ -167,15 +169,15 @@
 async fn run_seed(seed: u64) -> Vec<String> {
     let rng = Rc::new(RefCell::new(SmallRng::seed_from_u64(seed)));
     let draw = |sample: &dyn Fn(&mut SmallRng) -> f64| sample(&mut rng.borrow_mut());
-    let bounds = Bounds { drain_grace: Duration::from_secs(1), max_open: 1000 };
+    let bounds = EngineLimits { drain_grace: Duration::from_secs(1), max_open_requests: 1000 };
     // Where attempts may not be cancelled, the engine still has to end those that were not sent yet.
     let engine =
         Engine::start(settings(seed.is_multiple_of(2)), bounds, seed, RandomBackends { rng: rng.clone() });
-    let listed = |id: u32| Listed {
+    let listed = |id: u32| ListedBackend {
         entry: BackendEntry { id: BackendId(id), cell: cell(id), ..BackendEntry::default() },
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
     };
-    engine.news(News::Full((0..BACKENDS).map(listed).collect()));
+    engine.update_list(BackendListUpdate::Full((0..BACKENDS).map(listed).collect()));
     let mut clients = Vec::new();
     for _ in 0..REQUESTS {
         sleep(Duration::from_secs_f64(draw(&|rng| rng.random_range(0.0..0.03)))).await;
@@ -185,7 +187,7 @@
             draw(&|rng| if rng.random_bool(0.4) { rng.random_range(0.0..BUDGET) } else { 9.0 });
         let request = Request { id: RequestId(0), class, budget: BUDGET, ..Request::default() };
         let started = Instant::now();
-        let Some((id, mut answer)) = engine.request(None, request, record.clone()) else { continue };
+        let Some((id, mut answer)) = engine.submit_request(None, request, record.clone()) else { continue };
         let (engine, client_record) = (engine.clone(), record.clone());
         let client = spawn_local(async move {
             let wait = Duration::from_secs_f64(disconnect_after);
@@ -196,7 +198,7 @@
             };
             client_record.closed.set(true);
             match answered {
-                None => engine.client_left(id),
+                None => engine.client_disconnected(id),
                 Some(Err(_)) => client_record.violations.borrow_mut().push("no final answer".into()),
                 Some(Ok(answer)) => {
                     if started.elapsed() > Duration::from_secs_f64(BUDGET) + SLACK {
@@ -206,7 +208,7 @@
                             .push(format!("answered after {:?}", started.elapsed()));
                     }
                     let ran = client_record.sent.borrow().iter().any(|(.., outcome)| may_have_run(*outcome));
-                    if matches!(answer, Answer::Refused(..)) && ran && client_record.class != SAFE {
+                    if matches!(answer, Answer::Rejected(..)) && ran && client_record.class != SAFE {
                         client_record
                             .violations
                             .borrow_mut()
@@ -222,7 +224,7 @@
     }
     // Open attempts and timers end within this time.
     sleep(Duration::from_secs_f64(BUDGET + CONNECT_TIME[1])).await;
-    assert!(!engine.owes_answers(), "seed {seed}: requests without an answer");
+    assert!(!engine.has_open_requests(), "seed {seed}: requests without an answer");
     let mut violations = Vec::new();
     for (_, record) in clients {
         if !record.closed.get() {
