--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1226,23 +1226,23 @@
         let (local, remote): (Vec<usize>, Vec<usize>) =
             self.in_service.iter().partition(|b| !self.is_remote(**b));
         let size = self.subset_size();
-        let mut part = self.assign_members(local, self.min_subset_size(), size);
-        part.extend(self.assign_members(
+        let mut assigned = self.assign_members(local, self.min_subset_size(), size);
+        assigned.extend(self.assign_members(
             remote,
             REMOTE_MEMBERS.max(self.min_subset_size() - REMOTE_MEMBERS),
             0,
         ));
-        let size = part.len();
+        let size = assigned.len();
         let in_service = &self.in_service;
         self.subset.retain(|b| in_service.binary_search(b).is_ok());
-        for &b in &part {
+        for &b in &assigned {
             let is_new = previous.binary_search(&b).is_err();
             if !self.subset.contains(&b) && (is_new || self.subset.len() < size) {
                 self.subset.push(b);
             }
         }
         while self.subset.len() > size {
-            let removed = self.subset.iter().position(|b| !part.contains(b)).unwrap_or(0);
+            let removed = self.subset.iter().position(|b| !assigned.contains(b)).unwrap_or(0);
             self.subset.remove(removed);
         }
     }
