--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,17 +1,17 @@
-//! Plans: which nodes a forwarder may use, as planners tell it.
+//! Distribution of plans: planners tell forwarders which nodes of the fleet they may use.
 //!
-//! A planner watches the membership of the fleet and hands every forwarder the same plan, or that part
-//! of it which is the forwarder's ([`Slice`]); which node a request goes to stays with the forwarder's own
-//! decision module, which takes it as its list. [`Follower`] and [`Standby`] are the forwarder's side, [`Announcer`] and [`Publisher`] the
-//! planner's; all are state machines without I/O or clock. [`wire`] turns what they say to each other into bytes and back,
-//! and [`io`] carries these over TCP.
+//! A planner watches the membership of the fleet and sends every forwarder the same plan, or the [`Slice`] of
+//! it that the forwarder uses. The forwarder's decision module takes the nodes of the plan as its backend
+//! list and picks a node for each request. [`Follower`] and [`Standby`] are the forwarder's side,
+//! [`Announcer`] and [`Publisher`] the planner's; all four are state machines without I/O or a clock.
+//! [`wire`] encodes and decodes the messages, and [`io`] carries them over TCP.
 //!
-//! What holds, whatever the network does:
+//! Invariants, for any behaviour of the network:
 //!
-//! - a follower never goes back to an older plan: versions only rise;
-//! - a drain that any planner has told of holds until a plan says that it has heard that very news:
-//!   two planners that disagree can drain a node, never un-drain it;
-//! - a lease counts from when the follower *asked* for it, so that late packets don't lengthen it.
+//! - A follower never returns to an older plan: versions only rise.
+//! - A drain announced by any planner holds until a plan acknowledges that announcement. Two planners that
+//!   disagree can drain a node, but cannot end its drain.
+//! - A lease counts from the moment the follower sent its heartbeat, so a delayed reply does not lengthen it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -19,9 +19,9 @@
 mod drains;
 mod follower;
 pub mod io;
-mod letters;
 mod loads;
 mod publisher;
+mod relay;
 mod slice;
 mod standby;
 pub mod wire;
@@ -29,180 +29,182 @@
 pub use announcer::Announcer;
 pub use drains::{DrainBound, DrainBoundError, lease_check_interval};
 pub use follower::{Follower, LeaseState, MessageEffect, MessageRejection};
-pub use letters::{
+pub use loads::Loads;
+pub use publisher::{Publisher, SentPlan};
+pub use relay::{
     MAX_MESSAGES_PER_RELAY, MAX_RELAYED_MESSAGE_BYTES, PlannerRotation, RelayCounts, RelayMailboxes,
     RelayedMessage,
 };
-pub use loads::Loads;
-pub use publisher::{Publisher, SentPlan};
 pub use slice::{CellIndex, Slice};
 pub use standby::{Standby, StandbySettings};
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Which plan is newer: by term, and within a term by generation.
+/// The version of a plan, ordered by term and within a term by generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
-    /// Goes up with each planner that takes the lead.
+    /// Rises with each change of leader among the planners.
     pub term: u64,
-    /// Goes up with each plan of a term.
+    /// Rises with each plan of a term.
     pub generation: u64,
 }
 
-/// News of one planner: the later of two has the higher mark. A planner that starts anew begins a
-/// higher epoch, so that its marks never come twice.
+/// The version of one planner's announcements. Of two announcements the later has the higher version. A
+/// restarted planner begins a higher epoch, so no version is used twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AnnouncementVersion {
-    /// Of this start of the planner.
+    /// Identifies one run of the planner process.
     pub epoch: u64,
-    /// Of this piece of news.
+    /// Number of the announcement within the epoch.
     pub sequence: u64,
 }
 
 /// A node of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Node {
-    /// Its name.
+    /// Name of the node.
     pub id: String,
-    /// Where it listens.
+    /// Address on which the node accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Its cell.
+    /// Cell of the node.
     pub cell: u32,
-    /// Its size beside the others'; above 0.
+    /// Capacity relative to the other nodes; above 0.
     pub weight: f64,
-    /// It completes what it has, and gets nothing new.
+    /// The node completes its open requests and gets no new ones.
     pub draining: bool,
-    /// How long ago it started, in milliseconds, where it may still be cold.
+    /// Milliseconds since the node started. None for a node that has run too long to be cold.
     pub age_ms: Option<u64>,
 }
 
-/// A whole plan.
+/// A complete plan.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Its version.
+    /// Version of this plan.
     pub version: Version,
-    /// Its nodes, by id.
+    /// Nodes, sorted by id.
     pub nodes: Vec<Node>,
-    /// Up to which mark the news of each planner is in it.
+    /// For each planner, the latest announcement that this plan takes into account.
     pub acknowledged: Vec<(u32, AnnouncementVersion)>,
 }
 
-/// What a plan changes of the one before.
+/// The difference between two plans.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Delta {
-    /// The version that it changes.
+    /// Version of the plan that the delta applies to.
     pub from: Version,
-    /// The version that comes of it.
+    /// Version of the plan that results.
     pub to: Version,
-    /// Nodes that are new or differ.
+    /// Nodes that are new or changed.
     pub set: Vec<Node>,
-    /// Nodes that are gone.
+    /// Ids of nodes that were removed.
     pub gone: Vec<String>,
-    /// As in a plan.
+    /// For each planner, the latest announcement that the resulting plan takes into account.
     pub acknowledged: Vec<(u32, AnnouncementVersion)>,
 }
 
-/// What a forwarder saw of a node since its last digest.
+/// What a forwarder counted for one node since its last digest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// The node.
+    /// Name of the node.
     pub id: String,
-    /// Attempts that are out now.
+    /// Attempts that are open now.
     pub in_flight: u32,
-    /// Attempts that were begun.
+    /// Attempts that were started.
     pub sent: u32,
-    /// Those that were served.
+    /// Attempts that were served.
     pub served: u32,
-    /// Those that ended otherwise, but for those that were cancelled or never left.
+    /// Attempts that failed. Cancelled attempts and attempts that never left the forwarder are not counted.
     pub failed: u32,
-    /// How long those that were served took together, in milliseconds.
+    /// Total duration of the served attempts, in milliseconds.
     pub served_ms: u64,
 }
 
-/// What a forwarder saw in a while.
+/// A forwarder's report of its attempts during one interval.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Digest {
-    /// How long that was, in milliseconds; at least 1.
+    /// Length of the interval in milliseconds; at least 1.
     pub interval_ms: u32,
-    /// By node: those that were sent most.
+    /// Counts of the nodes that were sent the most attempts.
     pub nodes: Vec<Counts>,
-    /// What the others served together.
+    /// Attempts served by all other nodes together.
     pub other_served: u32,
 }
 
-/// What planners say to followers.
+/// Messages from planners to followers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlannerMessage {
-    /// A whole plan.
+    /// A complete plan.
     Full(Plan),
-    /// A change.
+    /// A change to the previous plan.
     Delta(Delta),
-    /// A node drains or is gone, ahead of any plan.
+    /// Announces that a node drains or is gone, before any plan says so.
     Drain {
-        /// The planner's number,
+        /// Number of the planner that announces the drain.
         planner: u32,
-        /// the mark of its news,
+        /// Version of the announcement.
         announcement_version: AnnouncementVersion,
-        /// and the node.
+        /// Name of the node.
         id: String,
     },
-    /// An answer to a [`ForwarderMessage::Heartbeat`]: nothing that this planner was told before it got the question
-    /// is untold.
+    /// Answers a [`ForwarderMessage::Heartbeat`]. Everything that the planner knew when the heartbeat arrived
+    /// was sent on the same connection before this reply.
     HeartbeatReply {
-        /// The question's number.
+        /// Number of the heartbeat.
         number: u64,
-        /// The plan that holds.
+        /// Version of the planner's current plan.
         version: Version,
-        /// For how long from the question on the follower may go by it.
+        /// Length of the lease, in milliseconds from the moment the heartbeat was sent.
         lease_ms: u64,
-        /// The longest that this planner gives: what it lacks of that is how old its knowledge may be.
+        /// The longest lease that this planner grants, in milliseconds. The difference to `lease_ms` is the
+        /// possible age of the planner's knowledge.
         max_lease_ms: u64,
     },
-    /// What each of these cold nodes would usually be sent by this follower, in requests a second.
+    /// For each of these cold nodes, the rate that this follower would send to the node if it were warm, in
+    /// requests per second.
     Budgets(Vec<(String, f64)>),
-    /// What other forwarders have written to this one.
+    /// Messages that other forwarders sent to this one.
     Relayed(Vec<Vec<u8>>),
 }
 
-/// What followers say to planners.
+/// Messages from followers to planners.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForwarderMessage {
-    /// The first word: who it is, and which plan it has.
+    /// The first message on a connection.
     Hello {
-        /// Its name.
+        /// Name of the forwarder.
         name: String,
-        /// Its plan, if it has one.
+        /// Version of the forwarder's plan, if it has one.
         plan_version: Option<Version>,
-        /// How many nodes it wants of a plan: its [`Slice`]. None: the whole.
+        /// Size of the [`Slice`] that the forwarder uses; none for the whole plan.
         slice_size: Option<u32>,
     },
-    /// May I go on?
+    /// Asks the planner to renew the lease.
     Heartbeat {
-        /// Counts up.
+        /// Rises with each heartbeat.
         number: u64,
     },
-    /// A change did not fit: the whole plan, please.
+    /// Asks for the complete plan, because a delta did not apply.
     Resend,
-    /// What was seen lately.
+    /// Reports the attempts of the last interval.
     Digest(Digest),
-    /// To be handed on to other forwarders, from one of that number. The first word of it is what makes letters to it
-    /// come, so that one may be without letters.
+    /// Messages for other forwarders. The first one on a connection, which may be empty, also subscribes the
+    /// connection to messages for `sender`.
     Relay {
-        /// Who writes.
+        /// The number by which other forwarders know the sender.
         sender: u64,
-        /// What.
+        /// The messages to relay.
         messages: Vec<RelayedMessage>,
     },
 }
 
-/// Nodes that a plan may have.
+/// Maximum number of nodes in a plan.
 pub const MAX_NODES: usize = 20_000;
-/// The longest name of a node, a zone or a forwarder, in bytes.
+/// Maximum length of the name of a node, a zone or a forwarder, in bytes.
 pub const MAX_NAME_BYTES: usize = 253;
-/// Nodes that a digest names, and cold nodes that are budgeted at a time.
+/// Maximum number of nodes named in a digest, and of cold nodes with a budget at one time.
 pub const MAX_DIGEST_NODES: usize = 64;
-/// Planners that there may be.
+/// Maximum number of planners.
 pub const MAX_PLANNERS: usize = 16;
