--- a/crates/plan/src/loads.rs
+++ b/crates/plan/src/loads.rs
@@ -1,78 +1,78 @@
-//! What all forwarders send together, and what of it a cold node may get from each.
+//! Sums the load of all forwarders and divides the budget of each cold node among them.
 //!
-//! A node that has just started is sent a part of what it would usually be sent, that grows with its age;
-//! the decision module of each forwarder says which. What is usual it can only guess from its own
-//! requests, and with many forwarders the guesses need not add up. Planners hear all of them: what a node
-//! would usually be sent by all is their rate over the weights of the nodes that are warm, and that is
-//! dealt out here, so that the parts add up to it.
+//! A node that has just started is sent a fraction of its usual rate that grows with its age; the decision
+//! module of each forwarder computes the fraction. A single forwarder can only estimate the usual rate from
+//! its own requests, and the estimates of many forwarders need not add up. Planners receive the digests of
+//! all forwarders. They compute the usual rate of a node as the total rate times the node's fraction of the
+//! warm weight, and divide it so that the shares add up to it.
 
 use crate::{Digest, Node};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// A digest that is older does not count.
-const FRESH: Duration = Duration::from_secs(5);
-/// The part of what is usual for a cold node that is kept for forwarders that don't use it yet.
-const NEWCOMERS: f64 = 0.1;
-/// Rates are kept in millionths of a request a second: whole numbers, as sums that digests come into
-/// and go out of must not drift.
-const UNIT: f64 = 1e6;
+/// Digests older than this are ignored.
+const MAX_DIGEST_AGE: Duration = Duration::from_secs(5);
+/// Fraction of a cold node's usual rate that is reserved for forwarders that do not use the node yet.
+const NEW_USER_FRACTION: f64 = 0.1;
+/// Rates are stored as whole millionths of a request per second, so that adding and removing digests causes
+/// no rounding drift.
+const UNITS_PER_REQUEST: f64 = 1e6;
 
 #[derive(Debug)]
 struct Load {
-    at: Duration,
+    received_at: Duration,
     rate: u128,
-    /// The nodes that it has requests at or has sent some.
-    uses: Vec<String>,
+    /// The nodes that the forwarder sent requests to or has open requests at.
+    used_nodes: Vec<String>,
 }
 
-/// What those who use a node serve together, and how many they are.
+/// The total rate and the number of the forwarders that use a node.
 #[derive(Clone, Copy, Debug, Default)]
 struct Users {
     rate: u128,
     count: usize,
 }
 
-/// The last digest of each forwarder, by the number of its connection: there are as many as are let in.
+/// The latest digest of each forwarder, by the number of its connection.
 ///
-/// The sums that budgets come from are kept along, so that the cost of a digest grows with the nodes
-/// that it names and with the cold ones, not with the number of forwarders. Bound: the names of
-/// [`crate::MAX_DIGEST_NODES`] nodes for each forwarder that is let in.
+/// The sums for the budgets are updated with each digest, so the cost of a digest grows with the nodes that
+/// it names and with the cold nodes, not with the number of forwarders. Memory is bounded by
+/// [`crate::MAX_DIGEST_NODES`] names for each connected forwarder.
 #[derive(Debug, Default)]
 pub struct Loads {
     loads: HashMap<u64, Load>,
-    /// The same by when they came.
-    order: BTreeSet<(Duration, u64)>,
+    /// The same forwarders, ordered by the time of their digest.
+    by_time: BTreeSet<(Duration, u64)>,
     total: u128,
     users: HashMap<String, Users>,
 }
 
 impl Loads {
-    /// A forwarder sends a digest.
+    /// Replaces the digest of a forwarder.
     pub fn record_digest(&mut self, forwarder: u64, digest: Digest, now: Duration) {
         self.remove_forwarder(forwarder);
         let served: u64 = digest.nodes.iter().map(|n| u64::from(n.served)).sum();
         let served = u128::from(served + u64::from(digest.other_served));
-        let rate = served * 1000 * UNIT as u128 / u128::from(digest.interval_ms.max(1));
-        let used = digest.nodes.into_iter().filter(|n| n.sent > 0 || n.in_flight > 0).map(|n| n.id);
-        // Each once, whatever a digest says.
-        let uses: Vec<String> = used.collect::<BTreeSet<_>>().into_iter().collect();
-        for id in &uses {
+        let rate = served * 1000 * UNITS_PER_REQUEST as u128 / u128::from(digest.interval_ms.max(1));
+        let used_ids = digest.nodes.into_iter().filter(|n| n.sent > 0 || n.in_flight > 0).map(|n| n.id);
+        // A digest may name a node more than once.
+        let used_nodes: Vec<String> = used_ids.collect::<BTreeSet<_>>().into_iter().collect();
+        for id in &used_nodes {
             let users = self.users.entry(id.clone()).or_default();
             users.rate += rate;
             users.count += 1;
         }
         self.total += rate;
-        self.order.insert((now, forwarder));
-        self.loads.insert(forwarder, Load { at: now, rate, uses });
+        self.by_time.insert((now, forwarder));
+        self.loads.insert(forwarder, Load { received_at: now, rate, used_nodes });
     }
 
-    /// It is gone.
+    /// Removes a forwarder and its digest.
     pub fn remove_forwarder(&mut self, forwarder: u64) {
         let Some(load) = self.loads.remove(&forwarder) else { return };
-        self.order.remove(&(load.at, forwarder));
+        self.by_time.remove(&(load.received_at, forwarder));
         self.total -= load.rate;
-        for id in load.uses {
+        for id in load.used_nodes {
             let Some(users) = self.users.get_mut(&id) else { continue };
             users.rate -= load.rate;
             users.count -= 1;
@@ -82,40 +82,41 @@
         }
     }
 
-    /// Forgets digests that are too old.
-    fn age(&mut self, now: Duration) {
-        while let Some(&(at, forwarder)) = self.order.first()
-            && now.saturating_sub(at) > FRESH
+    /// Removes digests that are too old.
+    fn remove_expired(&mut self, now: Duration) {
+        while let Some(&(at, forwarder)) = self.by_time.first()
+            && now.saturating_sub(at) > MAX_DIGEST_AGE
         {
             self.remove_forwarder(forwarder);
         }
     }
 
-    /// What all of them serve, in requests a second.
+    /// The rate that all forwarders together serve, in requests per second.
     pub fn total_rate(&mut self, now: Duration) -> f64 {
-        self.age(now);
-        self.total as f64 / UNIT
+        self.remove_expired(now);
+        self.total as f64 / UNITS_PER_REQUEST
     }
 
-    /// What that forwarder would usually send a cold node, in requests a second. `warm` is the weight of all
-    /// nodes that are warm. The parts of all forwarders add up to the node's part of what all serve, but for
-    /// a forwarder that has sent no digest lately: it gets none of it.
-    pub fn usual_rate(&mut self, forwarder: u64, node: &Node, warm: f64, now: Duration) -> f64 {
-        // Where no node is warm there is nothing to go by but what is served.
-        let all = self.total_rate(now) * node.weight / if warm > 0.0 { warm } else { node.weight };
+    /// The usual rate of one forwarder to a cold node, in requests per second. `warm_weight` is the total
+    /// weight of all warm nodes. The rates of all forwarders add up to the node's fraction of the total rate.
+    /// A forwarder without a recent digest has no share.
+    pub fn usual_rate(&mut self, forwarder: u64, node: &Node, warm_weight: f64, now: Duration) -> f64 {
+        // Without warm nodes only the total rate is known.
+        let node_rate =
+            self.total_rate(now) * node.weight / if warm_weight > 0.0 { warm_weight } else { node.weight };
         let Some(own) = self.loads.get(&forwarder) else {
             return 0.0;
         };
         let users = self.users.get(&node.id).copied().unwrap_or_default();
-        let uses = own.uses.binary_search(&node.id).is_ok();
+        let is_user = own.used_nodes.binary_search(&node.id).is_ok();
         let mixed = users.count > 0 && users.count < self.loads.len();
-        let alike = if uses { users.rate } else { self.total - users.rate };
-        let part = match (mixed, uses) {
+        let group_rate = if is_user { users.rate } else { self.total - users.rate };
+        let fraction = match (mixed, is_user) {
             (false, _) => 1.0,
-            (true, true) => 1.0 - NEWCOMERS,
-            (true, false) => NEWCOMERS,
+            (true, true) => 1.0 - NEW_USER_FRACTION,
+            (true, false) => NEW_USER_FRACTION,
         };
-        if alike > 0 { all * part * own.rate as f64 / alike as f64 } else { 0.0 }
+        if group_rate > 0 { node_rate * fraction * own.rate as f64 / group_rate as f64 } else { 0.0 }
     }
 }
 
@@ -143,7 +144,7 @@
     }
 
     #[test]
-    fn the_parts_of_all_add_up_to_what_is_usual() {
+    fn shares_of_all_forwarders_add_up_to_the_usual_rate() {
         let (mut loads, now) = (Loads::default(), Duration::from_secs(10));
         loads.record_digest(1, digest(&[("a", 100), ("b", 100)]), now);
         loads.record_digest(2, digest(&[("a", 50), ("c", 50)]), now);
@@ -152,7 +153,7 @@
         let sum = |loads: &mut Loads, node: &Node| -> f64 {
             (1..=3).map(|f| loads.usual_rate(f, node, 4.0, now)).sum()
         };
-        // Nobody uses it yet, one does, all do: a node twice as large as one of four.
+        // The node is used by no forwarder yet, by one, and by all. Its weight is 2 of a warm weight of 4.
         let cold = node("new", 2.0);
         assert_eq!((sum(&mut loads, &cold), loads.usual_rate(1, &cold, 4.0, now)), (400.0, 200.0));
         loads.record_digest(2, digest(&[("a", 50), ("new", 50)]), now);
@@ -160,7 +161,7 @@
         loads.record_digest(1, digest(&[("new", 200)]), now);
         loads.record_digest(3, digest(&[("new", 100)]), now);
         assert_eq!((sum(&mut loads, &cold), loads.usual_rate(2, &cold, 4.0, now)), (400.0, 100.0));
-        // One that is gone or silent has no part, and the others have it.
+        // A forwarder that is gone or silent has no share; the others divide it.
         loads.remove_forwarder(1);
         let later = now + Duration::from_secs(6);
         loads.record_digest(3, digest(&[("new", 100)]), later);
@@ -168,7 +169,7 @@
             (loads.usual_rate(2, &cold, 4.0, later), loads.usual_rate(3, &cold, 4.0, later)),
             (0.0, 100.0)
         );
-        assert_eq!(loads.usual_rate(9, &cold, 4.0, later), 0.0, "a stranger");
+        assert_eq!(loads.usual_rate(9, &cold, 4.0, later), 0.0, "unknown forwarder");
         assert_eq!(loads.usual_rate(3, &cold, 0.0, later), 200.0, "no node is warm");
     }
 }
