--- a/crates/plan/src/follower.rs
+++ b/crates/plan/src/follower.rs
@@ -1,5 +1,5 @@
-//! The forwarder's side: which plan it goes by, which drains it knows ahead of any plan, and how
-//! long it may go by what it has.
+//! The forwarder's view of its planners: the current plan, the drains announced ahead of it, and the lease
+//! under which both may be used.
 
 use crate::{
     AnnouncementVersion, Delta, DrainBound, ForwarderMessage, MAX_NODES, MAX_PLANNERS, Node, Plan,
@@ -9,237 +9,240 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Beats without an answer that are remembered, for each planner.
-const MOST_BEATS: usize = 16;
-/// The longest lease that a planner may give: one that is told of a longer one holds it for so long.
-pub const MOST_LEASE: Duration = Duration::from_secs(10);
+/// Maximum number of unanswered heartbeats remembered for each planner.
+const MAX_OPEN_HEARTBEATS: usize = 16;
+/// The longest accepted lease; longer ones are shortened to this.
+pub const MAX_LEASE: Duration = Duration::from_secs(10);
 
-/// Rounds of questions in a row, each after the one before was given its time, in which no planner has
-/// vouched for what is here, until all of them count as silent. Questions and not time, as a process
-/// that stood still for a minute has asked nothing meanwhile: what it then hears first must come
-/// before what it sends.
-pub const SILENT_AFTER: u32 = 3;
+/// Number of unanswered rounds of heartbeats in a row after which the planners count as silent. Rounds are
+/// counted instead of time, because a process that was suspended has sent no heartbeats and must first hear
+/// from its planners.
+pub const SILENT_AFTER_ROUNDS: u32 = 3;
 
-/// Why a message changes nothing. Each kind is counted.
+/// Why a message was rejected. Each reason is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Error)]
 pub enum MessageRejection {
-    /// It is no newer than the plan that holds: a replay, a late packet, or a planner left behind.
+    /// The message is no newer than the current plan: a replay, a late packet, or a planner that is behind.
     #[error("it is no newer than the plan that holds")]
     Outdated,
-    /// It changes a plan that is not here; the whole one is asked for.
+    /// A delta applies to a plan that is not here; the complete plan is requested.
     #[error("it changes a plan that is not here")]
     BaseMismatch,
-    /// It answers a question that was not asked, or was asked long ago.
+    /// A reply to a heartbeat that was not sent, or was sent too long ago.
     #[error("it answers nothing that was asked")]
     Unsolicited,
-    /// More planners or nodes than there may be.
+    /// More planners or nodes than allowed.
     #[error("it is more than there may be")]
     LimitExceeded,
-    /// The planner answers, and can't vouch for what it says: it may not know of all news.
+    /// The planner grants no lease, because it may lack announcements.
     #[error("the planner can't vouch for it")]
     NoLease,
-    /// It is no message, or one over a bound.
+    /// The message cannot be decoded or is too long.
     #[error("it can't be read")]
     Unreadable,
 }
 
-/// What came of a message.
+/// What a message changed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MessageEffect {
-    /// The nodes to go by have changed: ask [`Follower::nodes`].
+    /// The nodes have changed: see [`Follower::nodes`].
     NodesChanged,
-    /// What cold nodes may be sent has changed: ask [`Follower::budgets`].
+    /// The budgets of cold nodes have changed: see [`Follower::budgets`].
     BudgetsChanged,
-    /// Nothing to do.
+    /// The message was accepted and requires no action.
     Accepted,
-    /// Nothing was taken.
+    /// The message was rejected and changed nothing.
     Rejected(MessageRejection),
-    /// Nothing was taken, and that planner is to be asked.
+    /// The message changed nothing; this request must be sent to the planner.
     Request(ForwarderMessage),
 }
 
-/// How far what it has can be relied on.
+/// Whether the plan is covered by a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
-    /// There is no plan yet.
+    /// No plan was received yet.
     NoPlan,
-    /// A planner has vouched for the plan, and its word still holds.
+    /// A planner has granted a lease that still holds.
     Leased,
-    /// No planner has for too long. It goes on by what it has: see the design note.
+    /// The last lease has ended. The follower keeps the plan.
     Expired,
 }
 
-/// Questions to one planner that are open: their numbers and when they were asked.
-type Beats = VecDeque<(u64, Duration)>;
+/// Open heartbeats to one planner: number and send time.
+type OpenHeartbeats = VecDeque<(u64, Duration)>;
 
-/// A follower of several planners.
+/// Follows several planners. A state machine without I/O or a clock.
 #[derive(Debug, Default)]
 pub struct Follower {
-    /// The part of a plan that it keeps, if not all.
+    /// The slice of each plan that is kept; none for the whole plan.
     slice: Option<Slice>,
-    /// The longest lease by which it keeps its bound on drains, if it has one of its own.
-    longest: Option<Duration>,
+    /// The longest lease allowed by the follower's drain bound, if one is set.
+    max_lease: Option<Duration>,
     plan: Option<Plan>,
-    /// Drains that were told ahead of a plan, by node: the news of each planner that no plan has
-    /// heard yet.
+    /// Announced drains by node: the announcements of each planner that no plan acknowledges yet.
     drains: HashMap<String, Vec<(u32, AnnouncementVersion)>>,
-    /// For each planner, by its place among the addresses.
-    beats: HashMap<usize, Beats>,
-    asked: u64,
-    until: Option<Duration>,
-    /// Rounds of questions since one was answered.
-    unanswered: u32,
-    /// Rounds in a row that were answered.
-    steady: u32,
-    refused: HashMap<MessageRejection, u64>,
-    /// What each planner said last of cold nodes.
+    /// Open heartbeats of each planner, by its index among the addresses.
+    open_heartbeats: HashMap<usize, OpenHeartbeats>,
+    last_heartbeat: u64,
+    lease_end: Option<Duration>,
+    /// Rounds of heartbeats since the last one that was answered.
+    unanswered_rounds: u32,
+    /// Answered rounds in a row.
+    answered_rounds: u32,
+    rejections: HashMap<MessageRejection, u64>,
+    /// The latest budgets from each planner.
     budgets: HashMap<usize, Vec<(String, f64)>>,
 }
 
 impl Follower {
-    /// One that keeps that part of every plan; with none the whole. Planners that know of parts tell it no
-    /// more than its own. Those of an older release tell all, of which it keeps its part: so memory is
-    /// bounded by the part either way.
+    /// Creates a follower that keeps the slice of every plan, or the whole plan if `slice` is none. Planners
+    /// that support slices send only the slice; from planners of an older release the follower keeps its
+    /// slice of the whole plan.
     pub fn with_slice(slice: Option<Slice>) -> Self {
         Self { slice, ..Self::default() }
     }
 
-    /// With that bound on drains: a planner that keeps a longer one answers for what it knew longer ago, and
-    /// the difference is taken off its leases.
+    /// Sets the drain bound. If a planner has a longer bound, its knowledge may be older by the difference,
+    /// which is subtracted from its leases.
     pub fn with_drain_bound(self, bound: DrainBound) -> Self {
-        Self { longest: Some(bound.max_lease()), ..self }
+        Self { max_lease: Some(bound.max_lease()), ..self }
     }
 
-    /// The part of plans that it keeps.
+    /// The slice that the follower keeps; none for the whole plan.
     pub fn slice(&self) -> Option<Slice> {
         self.slice
     }
 
-    /// The version of the plan that holds.
+    /// Version of the current plan.
     pub fn version(&self) -> Option<Version> {
         self.plan.as_ref().map(|p| p.version)
     }
 
-    /// The nodes to go by: those of the plan, with what is known to drain draining.
+    /// The nodes to use: those of the plan, with announced drains applied.
     pub fn nodes(&self) -> Vec<Node> {
         let nodes = self.plan.iter().flat_map(|p| &p.nodes);
         nodes.map(|n| Node { draining: n.draining || self.drains.contains_key(&n.id), ..n.clone() }).collect()
     }
 
-    /// The nodes of the plan as it was told.
+    /// The nodes of the plan as received.
     pub fn planned_nodes(&self) -> &[Node] {
         self.plan.as_ref().map_or(&[], |plan| &plan.nodes)
     }
 
-    /// The nodes that drain by word ahead of a plan.
+    /// Nodes with an announced drain that the plan does not acknowledge.
     pub fn announced_drains(&self) -> impl Iterator<Item = &String> {
         self.drains.keys()
     }
 
-    /// How far these can be relied on at `now`.
+    /// The state of the lease at `now`.
     pub fn lease_state(&self, now: Duration) -> LeaseState {
-        match (&self.plan, self.until) {
+        match (&self.plan, self.lease_end) {
             (None, _) => LeaseState::NoPlan,
             (Some(_), Some(until)) if now < until => LeaseState::Leased,
             _ => LeaseState::Expired,
         }
     }
 
-    /// Until when planners have vouched for what is here.
+    /// The time at which the last lease ends.
     pub fn lease_end(&self) -> Duration {
-        self.until.unwrap_or_default()
+        self.lease_end.unwrap_or_default()
     }
 
-    /// Each planner has been asked [`SILENT_AFTER`] times, and none has vouched for what is here.
+    /// Whether no planner has granted a lease in the last `SILENT_AFTER_ROUNDS` rounds of heartbeats.
     pub fn is_silent(&self) -> bool {
-        self.unanswered >= SILENT_AFTER
+        self.unanswered_rounds >= SILENT_AFTER_ROUNDS
     }
 
-    /// How many rounds of questions in a row were answered.
+    /// The number of answered rounds in a row.
     pub fn answered_rounds(&self) -> u32 {
-        self.steady
+        self.answered_rounds
     }
 
-    /// A round of questions begins: the one before was given its time.
+    /// Begins a round of heartbeats; the previous round has had its time.
     pub fn begin_round(&mut self) {
-        self.steady = if self.unanswered == 0 { self.steady.saturating_add(1) } else { 0 };
-        self.unanswered = self.unanswered.saturating_add(1);
+        self.answered_rounds =
+            if self.unanswered_rounds == 0 { self.answered_rounds.saturating_add(1) } else { 0 };
+        self.unanswered_rounds = self.unanswered_rounds.saturating_add(1);
     }
 
-    /// How often each kind of message was refused.
+    /// Number of rejected messages by reason.
     pub fn rejections(&self) -> &HashMap<MessageRejection, u64> {
-        &self.refused
+        &self.rejections
     }
 
-    /// A planner said what can't be read: nothing of it is taken, and its connection ends.
+    /// Counts a message that cannot be decoded. The connection must be closed.
     pub fn record_unreadable(&mut self) {
-        *self.refused.entry(MessageRejection::Unreadable).or_default() += 1;
+        *self.rejections.entry(MessageRejection::Unreadable).or_default() += 1;
     }
 
-    /// The question to put to a planner at `now`. A lease counts from here.
+    /// The heartbeat to send to a planner at `now`. A lease counts from this time.
     pub fn next_heartbeat(&mut self, planner: usize, now: Duration) -> ForwarderMessage {
-        self.asked += 1;
-        let number = self.asked;
-        let beats = self.beats.entry(planner).or_default();
-        if beats.len() >= MOST_BEATS {
-            beats.pop_front();
+        self.last_heartbeat += 1;
+        let number = self.last_heartbeat;
+        let open = self.open_heartbeats.entry(planner).or_default();
+        if open.len() >= MAX_OPEN_HEARTBEATS {
+            open.pop_front();
         }
-        beats.push_back((number, now));
+        open.push_back((number, now));
         ForwarderMessage::Heartbeat { number }
     }
 
-    /// The connection to a planner is gone, and with it the answers to what was asked there.
+    /// Forgets the open heartbeats and the budgets of a planner whose connection has closed.
     pub fn remove_connection(&mut self, planner: usize) {
-        self.beats.remove(&planner);
+        self.open_heartbeats.remove(&planner);
         self.budgets.remove(&planner);
     }
 
-    /// What cold nodes would usually be sent by this follower, in requests a second: where planners
-    /// differ, as they hear digests at different moments, the least of it.
+    /// Usual rates of cold nodes from this follower, in requests per second. Where planners differ, because
+    /// they receive digests at different times, the lowest rate counts.
     pub fn budgets(&self) -> HashMap<String, f64> {
-        let mut least: HashMap<String, f64> = HashMap::new();
-        for (id, usual) in self.budgets.values().flatten() {
-            least.entry(id.clone()).and_modify(|known| *known = known.min(*usual)).or_insert(*usual);
+        let mut lowest: HashMap<String, f64> = HashMap::new();
+        for (id, usual_rate) in self.budgets.values().flatten() {
+            lowest
+                .entry(id.clone())
+                .and_modify(|known| *known = known.min(*usual_rate))
+                .or_insert(*usual_rate);
         }
-        least
+        lowest
     }
 
-    /// Takes in what the planner at that place says.
-    pub fn receive(&mut self, planner: usize, told: PlannerMessage) -> MessageEffect {
-        let heard = match told {
-            PlannerMessage::Full(plan) => self.full(plan),
-            PlannerMessage::Delta(delta) => self.delta(delta),
-            PlannerMessage::Drain { planner, announcement_version: mark, id } => {
-                self.drain(planner, mark, id)
+    /// Processes a message from the planner with the given index.
+    pub fn receive(&mut self, planner: usize, message: PlannerMessage) -> MessageEffect {
+        let effect = match message {
+            PlannerMessage::Full(plan) => self.receive_plan(plan),
+            PlannerMessage::Delta(delta) => self.receive_delta(delta),
+            PlannerMessage::Drain { planner, announcement_version, id } => {
+                self.receive_drain(planner, announcement_version, id)
             }
             PlannerMessage::HeartbeatReply { number, version, lease_ms, max_lease_ms } => {
-                let lease = self.lease(Duration::from_millis(lease_ms), Duration::from_millis(max_lease_ms));
-                self.beat(planner, number, version, lease)
+                let lease =
+                    self.usable_lease(Duration::from_millis(lease_ms), Duration::from_millis(max_lease_ms));
+                self.receive_heartbeat_reply(planner, number, version, lease)
             }
-            // They are for whoever carries them.
+            // Relayed messages are delivered by the connection.
             PlannerMessage::Relayed(_) => MessageEffect::Accepted,
             PlannerMessage::Budgets(budgets) => {
                 self.budgets.insert(planner, budgets);
                 MessageEffect::BudgetsChanged
             }
         };
-        if let MessageEffect::Rejected(why) = &heard {
-            *self.refused.entry(*why).or_default() += 1;
+        if let MessageEffect::Rejected(reason) = &effect {
+            *self.rejections.entry(*reason).or_default() += 1;
         }
-        heard
+        effect
     }
 
-    fn full(&mut self, plan: Plan) -> MessageEffect {
-        if plan.version.generation == 0 || self.version().is_some_and(|has| plan.version <= has) {
+    fn receive_plan(&mut self, plan: Plan) -> MessageEffect {
+        if plan.version.generation == 0 || self.version().is_some_and(|current| plan.version <= current) {
             return MessageEffect::Rejected(MessageRejection::Outdated);
         }
         if plan.nodes.len() > MAX_NODES {
             return MessageEffect::Rejected(MessageRejection::LimitExceeded);
         }
-        self.take(plan)
+        self.set_plan(plan)
     }
 
-    fn delta(&mut self, delta: Delta) -> MessageEffect {
+    fn receive_delta(&mut self, delta: Delta) -> MessageEffect {
         let Some(plan) = &self.plan else {
             return MessageEffect::Request(ForwarderMessage::Resend);
         };
@@ -251,91 +254,106 @@
         }
         let changed = delta.gone.iter().chain(delta.set.iter().map(|n| &n.id));
         let changed: HashSet<&String> = changed.collect();
-        let kept = plan.nodes.iter().filter(|n| !changed.contains(&n.id)).cloned();
-        let mut nodes: Vec<Node> = kept.chain(delta.set.iter().cloned()).collect();
+        let unchanged = plan.nodes.iter().filter(|n| !changed.contains(&n.id)).cloned();
+        let mut nodes: Vec<Node> = unchanged.chain(delta.set.iter().cloned()).collect();
         if nodes.len() > MAX_NODES {
             return MessageEffect::Rejected(MessageRejection::LimitExceeded);
         }
         nodes.sort_by(|a, b| a.id.cmp(&b.id));
-        // What the planners have heard only grows.
-        let mut heard: HashMap<u32, AnnouncementVersion> = plan.acknowledged.iter().copied().collect();
-        for (planner, mark) in delta.acknowledged {
-            let known = heard.entry(planner).or_default();
-            *known = mark.max(*known);
+        // Acknowledged versions only rise.
+        let mut acknowledged: HashMap<u32, AnnouncementVersion> = plan.acknowledged.iter().copied().collect();
+        for (planner, version) in delta.acknowledged {
+            let known = acknowledged.entry(planner).or_default();
+            *known = version.max(*known);
         }
-        if heard.len() > MAX_PLANNERS {
+        if acknowledged.len() > MAX_PLANNERS {
             return MessageEffect::Rejected(MessageRejection::LimitExceeded);
         }
-        self.take(Plan { version: delta.to, nodes, acknowledged: heard.into_iter().collect() })
+        self.set_plan(Plan { version: delta.to, nodes, acknowledged: acknowledged.into_iter().collect() })
     }
 
-    fn take(&mut self, mut plan: Plan) -> MessageEffect {
+    fn set_plan(&mut self, mut plan: Plan) -> MessageEffect {
         if let Some(slice) = self.slice {
             plan.nodes = slice.select_owned(plan.nodes);
         }
-        // A drain that was told ahead gives way to a plan only if that plan has heard of it: a
-        // planner that has not may not bring the node back.
-        let heard: HashMap<u32, AnnouncementVersion> = plan.acknowledged.iter().copied().collect();
-        let unheard = |(planner, mark): &(u32, AnnouncementVersion)| {
-            heard.get(planner).is_none_or(|known| known < mark)
+        // An announced drain ends only with a plan that acknowledges it. A planner that does not know of the
+        // drain cannot end it.
+        let acknowledged: HashMap<u32, AnnouncementVersion> = plan.acknowledged.iter().copied().collect();
+        let is_unacknowledged = |(planner, version): &(u32, AnnouncementVersion)| {
+            acknowledged.get(planner).is_none_or(|known| known < version)
         };
-        self.drains.retain(|_, news| {
-            news.retain(unheard);
-            !news.is_empty()
+        self.drains.retain(|_, announcements| {
+            announcements.retain(is_unacknowledged);
+            !announcements.is_empty()
         });
         self.plan = Some(plan);
         MessageEffect::NodesChanged
     }
 
-    fn drain(&mut self, planner: u32, mark: AnnouncementVersion, id: String) -> MessageEffect {
-        let heard =
-            self.plan.iter().flat_map(|p| &p.acknowledged).any(|(p, known)| *p == planner && *known >= mark);
-        if heard {
+    fn receive_drain(
+        &mut self,
+        planner: u32,
+        announcement_version: AnnouncementVersion,
+        id: String,
+    ) -> MessageEffect {
+        let acknowledged = self
+            .plan
+            .iter()
+            .flat_map(|p| &p.acknowledged)
+            .any(|(p, known)| *p == planner && *known >= announcement_version);
+        if acknowledged {
             return MessageEffect::Rejected(MessageRejection::Outdated);
         }
-        // Also of nodes that no plan names yet: one that has not heard may bring them.
+        // Drains of nodes that no plan names yet are kept too: a planner that does not know of the drain may
+        // add the node.
         if self.drains.len() >= MAX_NODES && !self.drains.contains_key(&id) {
             return MessageEffect::Rejected(MessageRejection::LimitExceeded);
         }
-        let news = self.drains.entry(id).or_default();
-        match news.iter().position(|(p, _)| *p == planner) {
-            Some(known) if news[known].1 >= mark => {
+        let announcements = self.drains.entry(id).or_default();
+        match announcements.iter().position(|(p, _)| *p == planner) {
+            Some(known) if announcements[known].1 >= announcement_version => {
                 return MessageEffect::Rejected(MessageRejection::Outdated);
             }
-            Some(known) => news[known].1 = mark,
-            None if news.len() >= MAX_PLANNERS => {
+            Some(known) => announcements[known].1 = announcement_version,
+            None if announcements.len() >= MAX_PLANNERS => {
                 return MessageEffect::Rejected(MessageRejection::LimitExceeded);
             }
-            None => news.push((planner, mark)),
+            None => announcements.push((planner, announcement_version)),
         }
         MessageEffect::NodesChanged
     }
 
-    /// What is left here of a lease, where its planner's longest is `full`.
-    fn lease(&self, lease: Duration, full: Duration) -> Duration {
-        let longest = self.longest.unwrap_or(MOST_LEASE);
-        lease.saturating_sub(full.saturating_sub(longest)).min(longest)
+    /// The usable part of a lease from a planner whose longest lease is `planner_max`.
+    fn usable_lease(&self, lease: Duration, planner_max: Duration) -> Duration {
+        let max_lease = self.max_lease.unwrap_or(MAX_LEASE);
+        lease.saturating_sub(planner_max.saturating_sub(max_lease)).min(max_lease)
     }
 
-    fn beat(&mut self, planner: usize, number: u64, version: Version, lease: Duration) -> MessageEffect {
-        let Some(beats) = self.beats.get_mut(&planner) else {
+    fn receive_heartbeat_reply(
+        &mut self,
+        planner: usize,
+        number: u64,
+        version: Version,
+        lease: Duration,
+    ) -> MessageEffect {
+        let Some(open) = self.open_heartbeats.get_mut(&planner) else {
             return MessageEffect::Rejected(MessageRejection::Unsolicited);
         };
-        let Some(place) = beats.iter().position(|(n, _)| *n == number) else {
+        let Some(index) = open.iter().position(|(n, _)| *n == number) else {
             return MessageEffect::Rejected(MessageRejection::Unsolicited);
         };
-        let (_, asked) = beats[place];
-        beats.drain(..=place); // an answer is given once
+        let (_, sent_at) = open[index];
+        open.drain(..=index); // each reply counts once
         match self.version() {
-            // It vouches for a plan that is not here: the word does not hold for this one.
-            has if has < Some(version) => MessageEffect::Request(ForwarderMessage::Resend),
-            // A planner that is behind has nothing to say of this plan.
-            has if has > Some(version) => MessageEffect::Rejected(MessageRejection::Outdated),
+            // The lease is for a newer plan and does not cover this one.
+            current if current < Some(version) => MessageEffect::Request(ForwarderMessage::Resend),
+            // A planner that is behind cannot grant a lease for this plan.
+            current if current > Some(version) => MessageEffect::Rejected(MessageRejection::Outdated),
             _ if lease.is_zero() => MessageEffect::Rejected(MessageRejection::NoLease),
             _ => {
-                let until = asked + lease;
-                self.until = Some(self.until.map_or(until, |known| known.max(until)));
-                self.unanswered = 0;
+                let until = sent_at + lease;
+                self.lease_end = Some(self.lease_end.map_or(until, |known| known.max(until)));
+                self.unanswered_rounds = 0;
                 MessageEffect::Accepted
             }
         }
--- a/crates/plan/src/standby.rs
+++ b/crates/plan/src/standby.rs
@@ -1,205 +1,221 @@
-//! What a forwarder goes by when its planners fall silent, and how it goes back to them.
+//! Decides which list a forwarder uses while its planners are silent, and when it returns to their plan.
 //!
-//! While a planner vouches for it, the plan holds for as long as it is lent. When all are silent the
-//! forwarder turns to a watch of its own on membership, after a wait drawn for each forwarder, so that
-//! a fleet of them does not ask at one moment. Between the end of the lease and the first list of its
-//! own nothing new is sent: a drain that a planner was told of may be in that list. Where that list
-//! does not come, or there is no watch, the last plan serves on: a request that is refused is certain
-//! harm, a drain that nothing could tell of is a possible one.
+//! A plan may be used while a planner grants a lease for it. When all planners are silent, the forwarder
+//! turns to its own watch of membership after a random wait, so that the forwarders of a fleet do not all
+//! read membership at once. Between the end of the lease and the first list of its own watch the forwarder
+//! sends nothing new, because that list may contain a drain that only a planner knew of. If the list does not
+//! arrive, or there is no watch, the forwarder continues with the last plan: rejecting requests is certain
+//! harm, while an unknown drain is only possible.
 //!
-//! What was known to drain stays so over each change of source until the new source itself has shown
-//! it draining or gone, or has held for long enough to have heard.
+//! A node known to drain stays draining over each change of source, until the new source itself shows the
+//! node draining or gone, or has been in use long enough to know of the drain.
 
-use crate::follower::SILENT_AFTER;
+use crate::follower::SILENT_AFTER_ROUNDS;
 use crate::{Follower, Node};
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// After so many rounds of questions in a row that were answered the planners are followed again:
-/// one that comes and goes doesn't make a forwarder turn to and fro.
-const BACK_AFTER: u32 = 3;
-/// For how long after that the drains hold that the forwarder's own watch knew of: any planner that
-/// vouches has looked at membership within its lease, and leases are at most this long in practice.
-const KEPT: Duration = Duration::from_secs(2);
-/// A first list of its own is waited for as long as this after the wait that was drawn; then the last
-/// plan serves on.
-const LIST_WITHIN: Duration = Duration::from_secs(1);
-
-/// How a forwarder behaves when planners are silent.
+/// Answered rounds of heartbeats in a row after which the forwarder returns to its planners. Keeps a flapping
+/// planner from making the forwarder switch repeatedly.
+const RETURN_AFTER_ROUNDS: u32 = 3;
+/// After the return to the planners, nodes that were not serving in the forwarder's own list stay draining
+/// for this long. By then every planner that grants leases has read membership, as leases are shorter.
+const OWN_DRAINS_KEPT_FOR: Duration = Duration::from_secs(2);
+/// Time after the random wait within which the first list of the own watch must arrive; then the last plan is
+/// used.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// How a forwarder behaves while its planners are silent.
 #[derive(Clone, Copy, Debug)]
 pub struct StandbySettings {
-    /// It has a watch of its own to turn to.
+    /// Whether the forwarder has its own watch of membership.
     pub own_watch: bool,
-    /// The longest wait before it does. With n forwarders membership is asked n times within it.
+    /// The longest random wait before the own watch begins. With n forwarders, membership is read n times
+    /// within this duration.
     pub spread: Duration,
-    /// A list of its own watch may be gone by for so long after a look that found nothing newer began: as for
-    /// planners' leases, so that a process that stood still sends nothing by what it knew before.
+    /// How long a list of the own watch may be used after the start of the last membership read that found
+    /// nothing newer. As with planners' leases, a suspended process sends nothing based on an outdated list.
     pub lease: Duration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// By the plan.
-    Planned,
-    /// Silence was found at `from`; the forwarder's own watch begins at `at`.
-    Spread { from: Duration, at: Duration },
-    /// That watch has begun, and has brought no list yet.
+    /// Uses the plan.
+    Plan,
+    /// Silence was detected at `from`; the own watch begins at `at`.
+    Waiting { from: Duration, at: Duration },
+    /// The own watch has begun, and has delivered no list yet.
     AwaitingList { from: Duration },
-    /// By the list of its own watch.
-    Own,
+    /// Uses the list of the own watch.
+    OwnList,
 }
 
-/// Which list a forwarder goes by. No I/O and no clock.
+/// Selects the list that a forwarder uses. A state machine without I/O or a clock.
 #[derive(Debug)]
 pub struct Standby {
-    rules: StandbySettings,
+    settings: StandbySettings,
     phase: Phase,
-    /// The last list of its own watch; of a forwarder that uses a part of the fleet that part.
-    own: Vec<Node>,
-    /// What that watch has shown draining or gone since it took over: it may bring it back.
-    shown: HashSet<String>,
-    /// What its own watch had serving when the planners came back: nothing else is until then, as the
-    /// planners may have heard less, and a part may come to name what it did not.
-    kept: Option<(HashSet<String>, Duration)>,
-    failed: bool,
-    /// When the last look of its own watch began that found nothing newer, and how often it was asked to
-    /// look since.
-    looked: Duration,
-    unlooked: u32,
+    /// The last list of the own watch, reduced to the slice if the forwarder uses one.
+    own_list: Vec<Node>,
+    /// Nodes that the own watch has shown draining or gone since it took over. A later list of the watch may
+    /// end their drain.
+    shown_draining: HashSet<String>,
+    /// The nodes that were serving in the own list when the planners returned, and the time until which all
+    /// others count as draining. The planners may know of fewer drains, and their slice may contain other
+    /// nodes.
+    served_by_own_list: Option<(HashSet<String>, Duration)>,
+    own_list_failed: bool,
+    /// Start of the last membership read that found nothing newer, and the number of reads requested since.
+    last_read: Duration,
+    unanswered_reads: u32,
 }
 
 impl Standby {
-    /// At first it goes by what planners say.
-    pub fn new(rules: StandbySettings) -> Self {
+    /// Creates the state of a forwarder that uses its planners' plan.
+    pub fn new(settings: StandbySettings) -> Self {
         Self {
-            rules,
-            phase: Phase::Planned,
-            own: Vec::new(),
-            shown: HashSet::new(),
-            kept: None,
-            failed: false,
-            looked: Duration::ZERO,
-            unlooked: 0,
+            settings,
+            phase: Phase::Plan,
+            own_list: Vec::new(),
+            shown_draining: HashSet::new(),
+            served_by_own_list: None,
+            own_list_failed: false,
+            last_read: Duration::ZERO,
+            unanswered_reads: 0,
         }
     }
 
-    /// Takes in how things stand at `now`; to be called after all that the follower hears or asks.
-    /// `lot` is drawn anew for each call, from 0 to 1. True where the nodes to go by may have changed.
-    pub fn update(&mut self, follower: &Follower, now: Duration, lot: f64) -> bool {
-        let kept = self.kept.as_ref().is_some_and(|(_, until)| now >= *until);
-        if kept {
-            self.kept = None;
+    /// Updates the state at time `now`; to be called after each event of the follower. `random_fraction` is a
+    /// new random number from 0 to 1 for each call. Returns true if the nodes to use may have changed.
+    pub fn update(&mut self, follower: &Follower, now: Duration, random_fraction: f64) -> bool {
+        let hold_ended = self.served_by_own_list.as_ref().is_some_and(|(_, until)| now >= *until);
+        if hold_ended {
+            self.served_by_own_list = None;
         }
         let before = self.phase;
         self.phase = match before {
-            Phase::Planned if follower.is_silent() && self.rules.own_watch => {
-                self.failed = false;
-                Phase::Spread { from: now, at: now + self.rules.spread.mul_f64(lot.clamp(0.0, 1.0)) }
+            Phase::Plan if follower.is_silent() && self.settings.own_watch => {
+                self.own_list_failed = false;
+                Phase::Waiting {
+                    from: now,
+                    at: now + self.settings.spread.mul_f64(random_fraction.clamp(0.0, 1.0)),
+                }
             }
-            Phase::Spread { .. } | Phase::AwaitingList { .. } if !follower.is_silent() => Phase::Planned,
-            Phase::Spread { from, at } if now >= at => {
-                (self.looked, self.unlooked) = (now, 0);
+            Phase::Waiting { .. } | Phase::AwaitingList { .. } if !follower.is_silent() => Phase::Plan,
+            Phase::Waiting { from, at } if now >= at => {
+                (self.last_read, self.unanswered_reads) = (now, 0);
                 Phase::AwaitingList { from }
             }
-            Phase::Own if follower.answered_rounds() >= BACK_AFTER && now < follower.lease_end() => {
-                self.back(now);
-                Phase::Planned
+            Phase::OwnList
+                if follower.answered_rounds() >= RETURN_AFTER_ROUNDS && now < follower.lease_end() =>
+            {
+                self.return_to_plan(now);
+                Phase::Plan
             }
-            same => same,
+            unchanged => unchanged,
         };
-        kept || (before == Phase::Own) != (self.phase == Phase::Own)
+        hold_ended || (before == Phase::OwnList) != (self.phase == Phase::OwnList)
     }
 
-    /// The forwarder's own watch is to be open.
+    /// Whether the forwarder's own watch must be open.
     pub fn is_watching(&self) -> bool {
-        matches!(self.phase, Phase::AwaitingList { .. } | Phase::Own)
+        matches!(self.phase, Phase::AwaitingList { .. } | Phase::OwnList)
     }
 
-    /// It goes by its own watch.
+    /// Whether the forwarder uses the list of its own watch.
     pub fn uses_own_list(&self) -> bool {
-        self.phase == Phase::Own
+        self.phase == Phase::OwnList
     }
 
-    /// Its own watch brings a list, of the whole fleet. True where the nodes to go by have changed. Of a
-    /// follower that keeps a part the same part is kept, so that nothing moves where both sources agree.
+    /// Receives a list of the whole fleet from the own watch. Returns true if the nodes to use have changed.
+    /// If the follower uses a slice, the same slice is selected from the list, so that nothing changes where
+    /// both sources agree.
     pub fn receive_own_list(&mut self, follower: &Follower, mut list: Vec<Node>) -> bool {
         if !self.is_watching() {
-            return false; // the planners were quicker
+            return false; // the planners answered first
         }
         let serving: HashSet<&String> = list.iter().filter(|n| !n.draining).map(|n| &n.id).collect();
-        let known = self.own.iter().map(|n| &n.id).chain(follower.planned_nodes().iter().map(|n| &n.id));
-        self.shown.extend(known.filter(|id| !serving.contains(id)).cloned());
-        // Names come and go for ever: what neither side lists any more need not be known.
+        let known = self.own_list.iter().map(|n| &n.id).chain(follower.planned_nodes().iter().map(|n| &n.id));
+        self.shown_draining.extend(known.filter(|id| !serving.contains(id)).cloned());
+        // Forgets names that neither source lists any more, which bounds the memory.
         let listed: HashSet<&String> = list
             .iter()
             .chain(follower.planned_nodes())
             .map(|n| &n.id)
             .chain(follower.announced_drains())
             .collect();
-        self.shown.retain(|id| listed.contains(id));
+        self.shown_draining.retain(|id| listed.contains(id));
         if let Some(slice) = follower.slice() {
-            // What is held drained needs somebody to stand in for it, too.
-            let drained = self.held(follower);
+            // Nodes that stay draining are replaced in the slice.
+            let drained = self.held_draining(follower);
             list.iter_mut().for_each(|n| n.draining |= drained.contains(&n.id));
             list = slice.select_owned(list);
         }
-        self.own = list;
-        self.phase = Phase::Own;
+        self.own_list = list;
+        self.phase = Phase::OwnList;
         true
     }
 
-    /// Its own watch can't bring one.
+    /// Records that the own watch cannot deliver a list.
     pub fn record_own_list_failure(&mut self) {
-        self.failed = true;
+        self.own_list_failed = true;
     }
 
-    /// Its own watch is asked to look; the question before was given its time.
+    /// Records that the own watch was asked for a membership read, and that the previous read had its time.
     pub fn record_read_request(&mut self) {
-        self.unlooked = self.unlooked.saturating_add(1);
+        self.unanswered_reads = self.unanswered_reads.saturating_add(1);
     }
 
-    /// A look of its own watch, begun then, found nothing but what [`Standby::own`] was told.
+    /// Records a membership read of the own watch, started at `began`, that found nothing newer than the last
+    /// list passed to [`Standby::receive_own_list`].
     pub fn record_read(&mut self, began: Duration) {
-        if began > self.looked {
-            (self.looked, self.unlooked) = (began, 0);
+        if began > self.last_read {
+            (self.last_read, self.unanswered_reads) = (began, 0);
         }
     }
 
-    fn back(&mut self, now: Duration) {
-        let serving = std::mem::take(&mut self.own).into_iter().filter(|n| !n.draining).map(|n| n.id);
-        self.kept = Some((serving.collect(), now + KEPT));
-        self.shown.clear();
+    fn return_to_plan(&mut self, now: Duration) {
+        let serving = std::mem::take(&mut self.own_list).into_iter().filter(|n| !n.draining).map(|n| n.id);
+        self.served_by_own_list = Some((serving.collect(), now + OWN_DRAINS_KEPT_FOR));
+        self.shown_draining.clear();
     }
 
-    /// The nodes to go by.
+    /// The nodes to use.
     pub fn nodes(&self, follower: &Follower) -> Vec<Node> {
-        if self.phase != Phase::Own {
-            let waits = |id: &String| self.kept.as_ref().is_some_and(|(serving, _)| !serving.contains(id));
-            let kept = |n: Node| Node { draining: n.draining || waits(&n.id), ..n };
-            return follower.nodes().into_iter().map(kept).collect();
+        if self.phase != Phase::OwnList {
+            let is_held = |id: &String| {
+                self.served_by_own_list.as_ref().is_some_and(|(serving, _)| !serving.contains(id))
+            };
+            let hold = |n: Node| Node { draining: n.draining || is_held(&n.id), ..n };
+            return follower.nodes().into_iter().map(hold).collect();
         }
-        let held = self.held(follower);
-        self.own.iter().map(|n| Node { draining: n.draining || held.contains(&n.id), ..n.clone() }).collect()
+        let held = self.held_draining(follower);
+        self.own_list
+            .iter()
+            .map(|n| Node { draining: n.draining || held.contains(&n.id), ..n.clone() })
+            .collect()
     }
 
-    /// What is known to drain by planners, and its own watch has not shown so.
-    fn held(&self, follower: &Follower) -> HashSet<String> {
+    /// Nodes that drain according to planners, and that the own watch has not shown draining or gone.
+    fn held_draining(&self, follower: &Follower) -> HashSet<String> {
         let planned = follower.planned_nodes().iter().filter(|n| n.draining).map(|n| &n.id);
-        let drained = planned.chain(follower.announced_drains()).filter(|id| !self.shown.contains(*id));
+        let drained =
+            planned.chain(follower.announced_drains()).filter(|id| !self.shown_draining.contains(*id));
         drained.cloned().collect()
     }
 
-    /// Until when something new may be sent by them at all. None: for good, or for as long as nobody
-    /// can say otherwise.
+    /// The time until which new requests may be sent to the current nodes. None: without limit, or until some
+    /// source answers again.
     pub fn send_deadline(&self, follower: &Follower, now: Duration) -> Option<Duration> {
-        let waits = |from: Duration| !self.failed && now < from + self.rules.spread + LIST_WITHIN;
+        let awaits_list =
+            |from: Duration| !self.own_list_failed && now < from + self.settings.spread + FIRST_LIST_TIMEOUT;
         match self.phase {
-            // Its watch was asked time and again and says nothing: what it said last serves on.
-            Phase::Own if self.unlooked >= SILENT_AFTER => None,
-            Phase::Own => Some(self.looked + self.rules.lease),
+            // The own watch does not answer repeated reads; its last list stays in use.
+            Phase::OwnList if self.unanswered_reads >= SILENT_AFTER_ROUNDS => None,
+            Phase::OwnList => Some(self.last_read + self.settings.lease),
             _ if follower.version().is_none() => Some(Duration::ZERO),
-            Phase::Planned if follower.is_silent() && !self.rules.own_watch => None,
-            Phase::Spread { from, .. } | Phase::AwaitingList { from } if !waits(from) => None,
+            Phase::Plan if follower.is_silent() && !self.settings.own_watch => None,
+            Phase::Waiting { from, .. } | Phase::AwaitingList { from } if !awaits_list(from) => None,
             _ => Some(follower.lease_end()),
         }
     }
