--- a/crates/dewpier/benches/day.rs
+++ b/crates/dewpier/benches/day.rs
@@ -213,7 +213,7 @@
             Way::Alone => (0..FORWARDERS).for_each(|f| world.forwarders[f].take(0, &nodes, &mut actions)),
             Way::Planned | Way::Parts => {
                 for f in 0..FORWARDERS {
-                    let (part, _) = world.planner.publisher.initial_messages(slice(f), None, Duration::ZERO);
+                    let (part, _) = world.planner.publisher.start_follower(slice(f), None, Duration::ZERO);
                     world.planner.parts.insert(f, part);
                     world.at(f as u64 * 100 * MS, What::Digest(f));
                 }
--- a/crates/dewpier/tests/levels/world.rs
+++ b/crates/dewpier/tests/levels/world.rs
@@ -636,7 +636,7 @@
                         ForwarderMessage::Hello { plan_version: has, name, slice_size: nodes } => {
                             planner.highest = planner.highest.max(has.map_or(0, |v| v.term));
                             let slice = nodes.map(|nodes| Slice::new(&name, nodes as usize));
-                            let (part, told) = planner.publisher.initial_messages(slice, has, now);
+                            let (part, told) = planner.publisher.start_follower(slice, has, now);
                             planner.parts.insert(f, part);
                             told
                         }
--- a/crates/plan/src/io/planner.rs
+++ b/crates/plan/src/io/planner.rs
@@ -202,7 +202,7 @@
         let slice = nodes.map(|nodes| Slice::new(&name, usize::try_from(nodes).unwrap_or(usize::MAX)));
         let (mut news, (mut part, behind)) = {
             let publisher = self.publisher();
-            (self.news.subscribe(), publisher.initial_messages(slice, has, self.start.elapsed()))
+            (self.news.subscribe(), publisher.start_follower(slice, has, self.start.elapsed()))
         };
         for told in behind {
             frame::write(&mut writer, &write_planner_message(&told)).await?;
--- a/crates/plan/src/publisher.rs
+++ b/crates/plan/src/publisher.rs
@@ -1,5 +1,5 @@
-//! What a planner tells followers: the plan that holds, the drains that no plan has heard of yet, and
-//! what brings a follower up to both.
+//! Computes the messages that a planner sends to its followers: the current plan, the drains that no plan
+//! acknowledges yet, and the changes that bring a follower up to date.
 
 use crate::{
     AnnouncementVersion, CellIndex, Delta, DrainBound, MAX_NODES, Node, Plan, PlannerMessage, Slice, Version,
@@ -7,14 +7,14 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Changes that are kept for followers that are behind; one that is further behind gets the whole
+/// Number of past changes kept for followers that are behind; a follower further behind gets the complete
 /// plan.
-const KEPT: usize = 64;
-/// A node that started longer ago than this is not cold by any setting.
-const OLD: Duration = Duration::from_secs(600);
+const MAX_KEPT_CHANGES: usize = 64;
+/// Nodes older than this are not cold under any setting.
+const MAX_COLD_AGE: Duration = Duration::from_secs(600);
 
-/// What of the plan one follower has been told, so that it is told no more than what changes of it. Of
-/// one that uses the whole nothing is kept; of a part that part, which is its bound.
+/// The part of the plan that was sent to one follower, so that the follower gets only later changes to it.
+/// Holds the nodes of the follower's slice; for a follower of the whole plan it holds none.
 #[derive(Debug, Default)]
 pub struct SentPlan {
     slice: Option<Slice>,
@@ -23,253 +23,263 @@
 }
 
 impl SentPlan {
-    /// It uses the whole plan.
+    /// Whether the follower uses the whole plan.
     pub fn is_whole(&self) -> bool {
         self.slice.is_none()
     }
 
-    /// That node is in what it uses.
+    /// Whether the follower uses the node.
     pub fn contains(&self, id: &str) -> bool {
-        self.is_whole() || place(&self.nodes, id).is_some()
+        self.is_whole() || index_of(&self.nodes, id).is_some()
     }
 }
 
-fn drain((planner, mark, id): &(u32, AnnouncementVersion, String)) -> PlannerMessage {
-    PlannerMessage::Drain { planner: *planner, announcement_version: *mark, id: id.clone() }
+fn drain_message((planner, version, id): &(u32, AnnouncementVersion, String)) -> PlannerMessage {
+    PlannerMessage::Drain { planner: *planner, announcement_version: *version, id: id.clone() }
 }
 
-/// Where a list that is sorted by id has it.
-fn place(nodes: &[Node], id: &str) -> Option<usize> {
+/// Index of a node in a list sorted by id.
+fn index_of(nodes: &[Node], id: &str) -> Option<usize> {
     nodes.binary_search_by(|n| n.id.as_str().cmp(id)).ok()
 }
 
-/// What is new or differs in a list that is sorted by id, and what is gone from it.
-fn changes(old: &[Node], new: &[Node]) -> (Vec<Node>, Vec<String>) {
-    let set = new.iter().filter(|n| place(old, &n.id).map(|at| &old[at]) != Some(n)).cloned().collect();
-    let gone = old.iter().filter(|n| place(new, &n.id).is_none()).map(|n| n.id.clone()).collect();
+/// The nodes that are new or changed, and the ids that were removed, between two lists sorted by id.
+fn diff(old: &[Node], new: &[Node]) -> (Vec<Node>, Vec<String>) {
+    let set = new.iter().filter(|n| index_of(old, &n.id).map(|at| &old[at]) != Some(n)).cloned().collect();
+    let gone = old.iter().filter(|n| index_of(new, &n.id).is_none()).map(|n| n.id.clone()).collect();
     (set, gone)
 }
 
-/// A plan and what led to it.
+/// The current plan and the changes that led to it.
 #[derive(Debug)]
 pub struct Publisher {
-    /// The longest lease that is given, in milliseconds.
-    full_ms: u64,
+    /// The longest lease that the planner grants, in milliseconds.
+    max_lease_ms: u64,
     plan: Plan,
-    /// Its nodes by cell, for those who use a part of it.
+    /// Cell index of the plan's nodes, for followers that use a slice.
     cells: CellIndex,
-    /// The changes that led to it, the last one at the end.
+    /// The latest changes, oldest first.
     changes: VecDeque<Delta>,
-    /// Drains that the plan has not heard of.
-    unheard: Vec<(u32, AnnouncementVersion, String)>,
-    /// When nodes that may be cold started, in this planner's time.
-    born: HashMap<String, Duration>,
+    /// Drains that the plan does not acknowledge: planner, announcement and node.
+    unacknowledged: Vec<(u32, AnnouncementVersion, String)>,
+    /// Start times of the nodes that may be cold, on this planner's clock.
+    started_at: HashMap<String, Duration>,
 }
 
 impl Default for Publisher {
-    /// With leases for the default bound on drains.
+    /// A publisher with the longest lease of the default drain bound.
     fn default() -> Self {
         Self::with_max_lease(DrainBound::default().max_lease())
     }
 }
 
 impl Publisher {
-    /// One that gives leases up to that one.
-    pub fn with_max_lease(lease: Duration) -> Self {
+    /// Creates a publisher without a plan. `max_lease` is the longest lease that the planner grants.
+    pub fn with_max_lease(max_lease: Duration) -> Self {
         Self {
-            full_ms: u64::try_from(lease.as_millis()).unwrap_or(u64::MAX),
+            max_lease_ms: u64::try_from(max_lease.as_millis()).unwrap_or(u64::MAX),
             plan: Plan::default(),
             cells: CellIndex::default(),
             changes: VecDeque::new(),
-            unheard: Vec::new(),
-            born: HashMap::new(),
+            unacknowledged: Vec::new(),
+            started_at: HashMap::new(),
         }
     }
 
-    /// The plan that holds. One of generation 0 is none.
+    /// The current plan. A plan of generation 0 is no plan.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// Takes in drains that any planner tells of. Returns those that followers are to be told now. More
-    /// than there may be nodes are not kept for followers that come later.
-    pub fn add_drains(&mut self, told: Vec<PlannerMessage>) -> Vec<PlannerMessage> {
-        let mut news = Vec::with_capacity(told.len());
-        for told in told {
-            let PlannerMessage::Drain { planner, announcement_version: mark, id } = &told else { continue };
-            let heard = self.plan.acknowledged.iter().any(|(p, known)| p == planner && known >= mark);
-            let known = self.unheard.iter().any(|(p, m, _)| p == planner && m == mark);
-            if heard || known {
+    /// Adds drains announced by any planner. Returns the new ones, which must be sent to all followers now.
+    /// Beyond [`MAX_NODES`], drains are not kept for followers that connect later.
+    pub fn add_drains(&mut self, drains: Vec<PlannerMessage>) -> Vec<PlannerMessage> {
+        let mut new_drains = Vec::with_capacity(drains.len());
+        for drain in drains {
+            let PlannerMessage::Drain { planner, announcement_version, id } = &drain else { continue };
+            let acknowledged =
+                self.plan.acknowledged.iter().any(|(p, known)| p == planner && known >= announcement_version);
+            let known = self.unacknowledged.iter().any(|(p, v, _)| p == planner && v == announcement_version);
+            if acknowledged || known {
                 continue;
             }
-            if self.unheard.len() < MAX_NODES {
-                self.unheard.push((*planner, *mark, id.clone()));
+            if self.unacknowledged.len() < MAX_NODES {
+                self.unacknowledged.push((*planner, *announcement_version, id.clone()));
             }
-            news.push(told);
+            new_drains.push(drain);
         }
-        news
+        new_drains
     }
 
-    /// Takes in a plan at `now`, if it is newer. Returns what followers are to be told.
+    /// Sets the plan at time `now`, if it is newer. Returns the message for followers of the whole plan.
     pub fn publish(&mut self, mut plan: Plan, now: Duration) -> Option<PlannerMessage> {
         if plan.version.generation == 0 || plan.version <= self.plan.version {
             return None;
         }
         plan.nodes.sort_by(|a, b| a.id.cmp(&b.id));
-        let heard: HashMap<u32, AnnouncementVersion> = plan.acknowledged.iter().copied().collect();
-        self.unheard.retain(|(planner, mark, _)| heard.get(planner).is_none_or(|known| known < mark));
+        let acknowledged: HashMap<u32, AnnouncementVersion> = plan.acknowledged.iter().copied().collect();
+        self.unacknowledged
+            .retain(|(planner, version, _)| acknowledged.get(planner).is_none_or(|known| known < version));
         let old: HashMap<&str, &Node> = self.plan.nodes.iter().map(|n| (n.id.as_str(), n)).collect();
         let new: HashMap<&str, &Node> = plan.nodes.iter().map(|n| (n.id.as_str(), n)).collect();
-        let mut born = HashMap::new();
+        let mut started_at = HashMap::new();
         for (id, node) in &new {
             let Some(age) = node.age_ms.map(Duration::from_millis) else { continue };
-            let stays = |o: &&&Node| (o.age_ms, o.address) == (node.age_ms, node.address);
-            let known = old.get(id).filter(stays).and_then(|_| self.born.get(*id));
-            born.insert(id.to_string(), known.copied().unwrap_or(now.saturating_sub(age)));
+            let is_same_start = |o: &&&Node| (o.age_ms, o.address) == (node.age_ms, node.address);
+            let known = old.get(id).filter(is_same_start).and_then(|_| self.started_at.get(*id));
+            started_at.insert(id.to_string(), known.copied().unwrap_or(now.saturating_sub(age)));
         }
         let from = self.plan.version;
-        let (set, gone) = changes(&self.plan.nodes, &plan.nodes);
+        let (set, gone) = diff(&self.plan.nodes, &plan.nodes);
         let delta = Delta { from, to: plan.version, set, gone, acknowledged: plan.acknowledged.clone() };
-        (self.cells, self.plan, self.born) = (CellIndex::new(&plan.nodes), plan, born);
+        (self.cells, self.plan, self.started_at) = (CellIndex::new(&plan.nodes), plan, started_at);
         if from.generation == 0 {
-            return Some(self.aged(PlannerMessage::Full(self.plan.clone()), now));
+            return Some(self.with_current_ages(PlannerMessage::Full(self.plan.clone()), now));
         }
-        if self.changes.len() == KEPT {
+        if self.changes.len() == MAX_KEPT_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back(delta.clone());
-        Some(self.aged(PlannerMessage::Delta(delta), now))
+        Some(self.with_current_ages(PlannerMessage::Delta(delta), now))
     }
 
-    /// With the ages of nodes as they are at `now`.
-    fn aged(&self, mut told: PlannerMessage, now: Duration) -> PlannerMessage {
-        let nodes = match &mut told {
+    /// Sets the ages of the nodes in a message to their values at `now`.
+    fn with_current_ages(&self, mut message: PlannerMessage, now: Duration) -> PlannerMessage {
+        let nodes = match &mut message {
             PlannerMessage::Full(plan) => &mut plan.nodes,
             PlannerMessage::Delta(delta) => &mut delta.set,
-            _ => return told,
+            _ => return message,
         };
         for node in nodes.iter_mut().filter(|n| n.age_ms.is_some()) {
-            let age = self.born.get(&node.id).map(|born| now.saturating_sub(*born)).filter(|age| *age < OLD);
+            let age = self
+                .started_at
+                .get(&node.id)
+                .map(|start| now.saturating_sub(*start))
+                .filter(|age| *age < MAX_COLD_AGE);
             node.age_ms = age.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX));
         }
-        told
+        message
     }
 
-    /// The nodes that take requests and started less than `within` ago.
+    /// Nodes that take requests and started less than `within` ago.
     pub fn cold_nodes(&self, within: Duration, now: Duration) -> impl Iterator<Item = &Node> {
-        let young =
-            move |n: &&Node| self.born.get(&n.id).is_some_and(|born| now.saturating_sub(*born) < within);
-        self.plan.nodes.iter().filter(|n| !n.draining && n.age_ms.is_some()).filter(young)
+        let started_recently = move |n: &&Node| {
+            self.started_at.get(&n.id).is_some_and(|start| now.saturating_sub(*start) < within)
+        };
+        self.plan.nodes.iter().filter(|n| !n.draining && n.age_ms.is_some()).filter(started_recently)
     }
 
-    /// What brings a follower with that plan up to what holds at `now`.
-    pub fn catch_up(&self, has: Option<Version>, now: Duration) -> Vec<PlannerMessage> {
-        let mut told = Vec::new();
-        if self.plan.version.generation > 0 && has != Some(self.plan.version) {
-            match has.and_then(|has| self.changes.iter().position(|c| c.from == has)) {
+    /// The messages that bring a follower of the whole plan from `known_version` up to date at `now`.
+    pub fn catch_up(&self, known_version: Option<Version>, now: Duration) -> Vec<PlannerMessage> {
+        let mut messages = Vec::new();
+        if self.plan.version.generation > 0 && known_version != Some(self.plan.version) {
+            match known_version.and_then(|known| self.changes.iter().position(|c| c.from == known)) {
                 Some(first) => {
-                    told.extend(self.changes.iter().skip(first).cloned().map(PlannerMessage::Delta))
+                    messages.extend(self.changes.iter().skip(first).cloned().map(PlannerMessage::Delta))
                 }
-                None => told.push(PlannerMessage::Full(self.plan.clone())),
+                None => messages.push(PlannerMessage::Full(self.plan.clone())),
             }
         }
-        told.extend(self.unheard.iter().map(drain));
-        told.into_iter().map(|told| self.aged(told, now)).collect()
+        messages.extend(self.unacknowledged.iter().map(drain_message));
+        messages.into_iter().map(|message| self.with_current_ages(message, now)).collect()
     }
 
-    /// A follower comes that uses that part, or the whole, and has that version. Returns what is kept of
-    /// it, and what it is to be told.
-    pub fn initial_messages(
+    /// Starts a follower of the slice, or of the whole plan, that has `known_version`. Returns the state to
+    /// keep for the follower and the messages to send.
+    pub fn start_follower(
         &self,
         slice: Option<Slice>,
-        has: Option<Version>,
+        known_version: Option<Version>,
         now: Duration,
     ) -> (SentPlan, Vec<PlannerMessage>) {
-        let mut part = SentPlan { slice, ..SentPlan::default() };
+        let mut sent = SentPlan { slice, ..SentPlan::default() };
         if slice.is_none() {
-            return (part, self.catch_up(has, now));
+            return (sent, self.catch_up(known_version, now));
         }
-        if self.plan.version.generation > 0 && has == Some(self.plan.version) {
-            // Its part of that version is what anybody comes to.
-            (part.version, part.nodes) = (self.plan.version, self.cut(&part));
-            return (part, self.unheard.iter().map(drain).collect());
+        if self.plan.version.generation > 0 && known_version == Some(self.plan.version) {
+            // Every planner and forwarder computes the same slice of this version.
+            (sent.version, sent.nodes) = (self.plan.version, self.select_nodes(&sent));
+            return (sent, self.unacknowledged.iter().map(drain_message).collect());
         }
-        let told = self.full_update(&mut part, now);
-        (part, told)
+        let messages = self.full_update(&mut sent, now);
+        (sent, messages)
     }
 
-    /// All that holds, for a follower that can't fit a change, or is too far behind.
-    pub fn full_update(&self, part: &mut SentPlan, now: Duration) -> Vec<PlannerMessage> {
-        if part.slice.is_none() {
+    /// The complete current state, for a follower that cannot apply a change or is too far behind.
+    pub fn full_update(&self, sent: &mut SentPlan, now: Duration) -> Vec<PlannerMessage> {
+        if sent.slice.is_none() {
             return self.catch_up(None, now);
         }
-        let drains = self.unheard.iter().map(drain);
+        let drains = self.unacknowledged.iter().map(drain_message);
         if self.plan.version.generation == 0 {
             return drains.collect();
         }
-        part.version = self.plan.version;
-        part.nodes = self.cut(part);
-        let plan = Plan { nodes: part.nodes.clone(), ..self.head() };
-        std::iter::once(self.aged(PlannerMessage::Full(plan), now)).chain(drains).collect()
+        sent.version = self.plan.version;
+        sent.nodes = self.select_nodes(sent);
+        let plan = Plan { nodes: sent.nodes.clone(), ..self.without_nodes() };
+        std::iter::once(self.with_current_ages(PlannerMessage::Full(plan), now)).chain(drains).collect()
     }
 
-    /// What a follower is to be told where all are told this.
+    /// The message for one follower where `message` is sent to followers of the whole plan.
     pub fn message_for(
         &self,
-        part: &mut SentPlan,
-        told: &PlannerMessage,
+        sent: &mut SentPlan,
+        message: &PlannerMessage,
         now: Duration,
     ) -> Option<PlannerMessage> {
-        let of_plan = matches!(told, PlannerMessage::Full(_) | PlannerMessage::Delta(_));
-        if part.is_whole() || !of_plan { Some(told.clone()) } else { self.update_for(part, now) }
+        let is_plan = matches!(message, PlannerMessage::Full(_) | PlannerMessage::Delta(_));
+        if sent.is_whole() || !is_plan { Some(message.clone()) } else { self.update_for(sent, now) }
     }
 
-    /// What brings a follower of a part to the plan that holds, over all that came between. None where
-    /// it was told of that already.
-    pub fn update_for(&self, part: &mut SentPlan, now: Duration) -> Option<PlannerMessage> {
-        let from = part.version;
+    /// The message that brings a follower of a slice to the current plan. None if the follower has that plan.
+    pub fn update_for(&self, sent: &mut SentPlan, now: Duration) -> Option<PlannerMessage> {
+        let from = sent.version;
         if from >= self.plan.version {
             return None;
         }
-        let nodes = self.cut(part);
-        let (set, gone) = changes(&part.nodes, &nodes);
-        let before = std::mem::replace(&mut part.nodes, nodes);
-        part.version = self.plan.version;
-        let Plan { version: to, acknowledged: heard, .. } = self.head();
+        let nodes = self.select_nodes(sent);
+        let (set, gone) = diff(&sent.nodes, &nodes);
+        let previous = std::mem::replace(&mut sent.nodes, nodes);
+        sent.version = self.plan.version;
+        let Plan { version: to, acknowledged, .. } = self.without_nodes();
         if from.generation == 0 {
-            return Some(self.aged(
-                PlannerMessage::Full(Plan { version: to, nodes: part.nodes.clone(), acknowledged: heard }),
+            return Some(self.with_current_ages(
+                PlannerMessage::Full(Plan { version: to, nodes: sent.nodes.clone(), acknowledged }),
                 now,
             ));
         }
-        let mut told =
-            self.aged(PlannerMessage::Delta(Delta { from, to, set, gone, acknowledged: heard }), now);
-        // What comes into a part need not be new to the fleet. What has no age has been known to this planner
-        // for as long as it runs: it is at least as old, and no colder than that.
-        if let PlannerMessage::Delta(delta) = &mut told {
-            let comes = |n: &&mut Node| n.age_ms.is_none() && place(&before, &n.id).is_none();
-            delta.set.iter_mut().filter(comes).for_each(|n| n.age_ms = u64::try_from(now.as_millis()).ok());
+        let mut message =
+            self.with_current_ages(PlannerMessage::Delta(Delta { from, to, set, gone, acknowledged }), now);
+        // A node that enters a slice need not be new to the fleet. A node without an age has been known for
+        // as long as this planner runs, so it is at least that old.
+        if let PlannerMessage::Delta(delta) = &mut message {
+            let enters_slice = |n: &&mut Node| n.age_ms.is_none() && index_of(&previous, &n.id).is_none();
+            delta
+                .set
+                .iter_mut()
+                .filter(enters_slice)
+                .for_each(|n| n.age_ms = u64::try_from(now.as_millis()).ok());
         }
-        Some(told)
+        Some(message)
     }
 
     /// The plan without its nodes.
-    fn head(&self) -> Plan {
+    fn without_nodes(&self) -> Plan {
         Plan { version: self.plan.version, nodes: Vec::new(), acknowledged: self.plan.acknowledged.clone() }
     }
 
-    fn cut(&self, part: &SentPlan) -> Vec<Node> {
-        let Some(slice) = part.slice else { return self.plan.nodes.clone() };
+    fn select_nodes(&self, sent: &SentPlan) -> Vec<Node> {
+        let Some(slice) = sent.slice else { return self.plan.nodes.clone() };
         slice.select(&self.plan.nodes, &self.cells).into_iter().cloned().collect()
     }
 
-    /// The answer to a beat.
+    /// The reply to a heartbeat.
     pub fn heartbeat_reply(&self, number: u64, lease_ms: u64) -> PlannerMessage {
         PlannerMessage::HeartbeatReply {
             number,
             version: self.plan.version,
             lease_ms,
-            max_lease_ms: self.full_ms,
+            max_lease_ms: self.max_lease_ms,
         }
     }
 }
