--- a/crates/plan/src/io/follow.rs
+++ b/crates/plan/src/io/follow.rs
@@ -1,4 +1,4 @@
-//! A forwarder's side: a connection to each planner, all the time.
+//! The forwarder's side: keeps a connection to each planner and feeds a [`Follower`].
 
 use super::frame;
 use super::security::{Role, Security};
@@ -15,246 +15,251 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 
-/// A planner must take a connection within this.
-const CONNECT_WITHIN: Duration = Duration::from_millis(500);
-/// The waits between two tries, doubled from the one to the other.
-const BACKOFF: [Duration; 2] = [Duration::from_millis(50), Duration::from_secs(1)];
-/// A planner that has said nothing for so many beats is connected to anew.
-const BEATS_SILENT: u32 = 20;
-/// Messages that wait to be taken in.
-const WAITING: usize = 16;
+/// Time limit for connecting to a planner.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The shortest wait between two connection attempts; doubled after each failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest wait between two connection attempts.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// A connection is closed after this many heartbeat intervals without a message from the planner.
+const MAX_SILENT_HEARTBEATS: u32 = 20;
+/// Capacity of the queues of events, and of messages to one planner.
+const QUEUE_CAPACITY: usize = 16;
 
-/// How planners are followed.
+/// How a forwarder follows its planners.
 #[derive(Clone, Debug)]
 pub struct FollowSettings {
-    /// Where the planners are.
+    /// Addresses of the planners.
     pub planners: Vec<SocketAddr>,
-    /// The forwarder's name.
+    /// Name of the forwarder.
     pub name: String,
-    /// How often each planner is asked.
+    /// Interval of heartbeats to each planner.
     pub heartbeat_interval: Duration,
-    /// From when the follower's time counts.
+    /// Start of the follower's clock.
     pub start: Instant,
-    /// How planners are told from strangers.
+    /// How the connections are secured.
     pub security: Security,
 }
 
-/// What has changed with what was heard.
+/// What an event of the follower has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowEvent {
-    /// Nothing but how long the nodes may be gone by.
+    /// Only the lease, if anything.
     LeaseChanged,
-    /// The nodes to go by.
+    /// The nodes to use.
     NodesChanged,
-    /// What cold nodes may be sent.
+    /// The budgets of cold nodes.
     BudgetsChanged,
 }
 
-/// Letters of a forwarder: those that it writes, and where those go that come for it. What finds no room on the way is
-/// lost, as datagrams are.
+/// Connects a forwarder to the relay of the planners. Messages that exceed the capacity of a queue are lost,
+/// as datagrams are.
 #[derive(Debug)]
 pub struct RelayChannel {
-    /// The number that others know it by.
+    /// The number by which other forwarders know this one.
     pub sender: u64,
-    /// One round of letters after another.
+    /// Rounds of messages to send.
     pub outgoing: mpsc::Receiver<Vec<RelayedMessage>>,
-    /// Those that came.
+    /// Messages received from other forwarders.
     pub incoming: mpsc::Sender<Vec<u8>>,
 }
 
-/// The next round of letters, if there are to be any.
-async fn written(mail: &mut Option<RelayChannel>) -> Vec<RelayedMessage> {
-    let next = match mail {
-        Some(mail) => mail.outgoing.recv().await,
+/// The next round of messages to relay; pending forever without a relay channel.
+async fn next_round(relay: &mut Option<RelayChannel>) -> Vec<RelayedMessage> {
+    let next = match relay {
+        Some(relay) => relay.outgoing.recv().await,
         None => None,
     };
     match next {
-        Some(letters) => letters,
+        Some(messages) => messages,
         None => std::future::pending().await,
     }
 }
 
-/// Hands a round of letters to the planner whose turn it is, or to the next that takes them.
-fn post(
-    from: u64,
-    letters: &[RelayedMessage],
-    turns: &mut PlannerRotation,
+/// Sends a round of messages to the planner whose turn it is, or to the next one whose queue has space.
+fn send_round(
+    sender: u64,
+    messages: &[RelayedMessage],
+    rotation: &mut PlannerRotation,
     writers: &[Option<mpsc::Sender<ForwarderMessage>>],
 ) {
-    let order: Vec<usize> = turns.next_order(writers.len()).collect();
-    for some in letters.chunks(MAX_MESSAGES_PER_RELAY) {
+    let order: Vec<usize> = rotation.next_order(writers.len()).collect();
+    for batch in messages.chunks(MAX_MESSAGES_PER_RELAY) {
         let mut open = order.iter().filter_map(|planner| writers[*planner].as_ref());
         let _ = open.any(|writer| {
-            writer.try_send(ForwarderMessage::Relay { sender: from, messages: some.to_vec() }).is_ok()
+            writer.try_send(ForwarderMessage::Relay { sender, messages: batch.to_vec() }).is_ok()
         });
     }
 }
 
-/// Follows all planners until it is dropped. `seen` is called after all that it hears or asks, and told
-/// what has changed. Each digest that `digests` brings goes to all planners, each round of letters to one. Runs on one
-/// thread.
+/// Follows all planners until the future is dropped. `on_event` is called after each event with what has
+/// changed. Each digest goes to all planners, each round of relayed messages to one. Runs on one thread.
 pub async fn follow(
-    following: FollowSettings,
+    settings: FollowSettings,
     follower: Rc<RefCell<Follower>>,
     mut digests: watch::Receiver<Digest>,
-    mut mail: Option<RelayChannel>,
-    seen: impl Fn(&Follower, FollowEvent),
+    mut relay: Option<RelayChannel>,
+    on_event: impl Fn(&Follower, FollowEvent),
 ) {
-    let mut turns = PlannerRotation::default();
-    let (told, mut heard) = mpsc::channel::<(usize, Word)>(WAITING);
+    let mut rotation = PlannerRotation::default();
+    let (event_sender, mut events) = mpsc::channel::<(usize, ConnectionEvent)>(QUEUE_CAPACITY);
     let mut tasks = tokio::task::JoinSet::new();
-    let mut writers: Vec<Option<mpsc::Sender<ForwarderMessage>>> = vec![None; following.planners.len()];
-    for (planner, address) in following.planners.iter().enumerate() {
-        tasks.spawn(connected(planner, *address, following.clone(), told.clone()));
+    let mut writers: Vec<Option<mpsc::Sender<ForwarderMessage>>> = vec![None; settings.planners.len()];
+    for (planner, address) in settings.planners.iter().enumerate() {
+        tasks.spawn(stay_connected(planner, *address, settings.clone(), event_sender.clone()));
     }
-    let mut beats = tokio::time::interval(following.heartbeat_interval);
-    // After a pause one round of questions is enough, and the next is given its time.
-    beats.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut ticks = tokio::time::interval(settings.heartbeat_interval);
+    // After a pause only one round of heartbeats is sent, and the next one follows after a full interval.
+    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        let (planner, word) = tokio::select! {
-            // What has come is taken in before anything is asked: an answer that waits is one.
+        let (planner, event) = tokio::select! {
+            // Received messages are processed before the next round, so that a waiting reply counts as
+            // answered.
             biased;
-            word = heard.recv() => match word {
-                Some(word) => word,
+            event = events.recv() => match event {
+                Some(event) => event,
                 None => return,
             },
             Ok(()) = digests.changed() => {
                 let digest = ForwarderMessage::Digest(digests.borrow_and_update().clone());
                 for writer in writers.iter().flatten() {
-                    let _ = writer.try_send(digest.clone()); // the next one tells as much
+                    let _ = writer.try_send(digest.clone()); // the next digest replaces it
                 }
                 continue;
             }
-            letters = written(&mut mail) => {
-                let from = mail.as_ref().map_or(0, |mail| mail.sender);
-                post(from, &letters, &mut turns, &writers);
+            messages = next_round(&mut relay) => {
+                let sender = relay.as_ref().map_or(0, |relay| relay.sender);
+                send_round(sender, &messages, &mut rotation, &writers);
                 continue;
             }
-            _ = beats.tick() => {
+            _ = ticks.tick() => {
                 let mut follower = follower.borrow_mut();
                 follower.begin_round();
                 for (planner, writer) in writers.iter().enumerate() {
-                    let question = follower.next_heartbeat(planner, following.start.elapsed());
-                    // A connection that takes no questions gets none, and its lease ends.
-                    writer.iter().for_each(|w| drop(w.try_send(question.clone())));
+                    let heartbeat = follower.next_heartbeat(planner, settings.start.elapsed());
+                    // A planner whose queue is full gets no heartbeat, and its lease ends.
+                    writer.iter().for_each(|w| drop(w.try_send(heartbeat.clone())));
                 }
-                seen(&follower, FollowEvent::LeaseChanged);
+                on_event(&follower, FollowEvent::LeaseChanged);
                 continue;
             }
         };
         let mut follower = follower.borrow_mut();
         let mut changed = FollowEvent::LeaseChanged;
-        match word {
-            Word::Up(writer) => {
-                let has = follower.version();
-                let nodes = follower.slice().and_then(|slice| u32::try_from(slice.size()).ok());
+        match event {
+            ConnectionEvent::Connected(writer) => {
+                let plan_version = follower.version();
+                let slice_size = follower.slice().and_then(|slice| u32::try_from(slice.size()).ok());
                 let _ = writer.try_send(ForwarderMessage::Hello {
-                    name: following.name.clone(),
-                    plan_version: has,
-                    slice_size: nodes,
+                    name: settings.name.clone(),
+                    plan_version,
+                    slice_size,
                 });
                 writers[planner] = Some(writer);
             }
-            Word::Unreadable => follower.record_unreadable(),
-            Word::Down => {
+            ConnectionEvent::Unreadable => follower.record_unreadable(),
+            ConnectionEvent::Disconnected => {
                 writers[planner] = None;
                 follower.remove_connection(planner);
             }
-            Word::Received(PlannerMessage::Relayed(letters)) => {
-                if let Some(mail) = &mail {
-                    letters.into_iter().for_each(|letter| drop(mail.incoming.try_send(letter)));
+            ConnectionEvent::Received(PlannerMessage::Relayed(messages)) => {
+                if let Some(relay) = &relay {
+                    messages.into_iter().for_each(|message| drop(relay.incoming.try_send(message)));
                 }
                 continue;
             }
-            Word::Received(told) => match follower.receive(planner, told) {
+            ConnectionEvent::Received(message) => match follower.receive(planner, message) {
                 MessageEffect::NodesChanged => {
                     changed = FollowEvent::NodesChanged;
-                    // Whoever told of a plan can vouch for it: there is no waiting for the next round.
-                    let question = follower.next_heartbeat(planner, following.start.elapsed());
-                    writers[planner].iter().for_each(|w| drop(w.try_send(question.clone())));
+                    // The planner that sent the plan can grant a lease for it at once.
+                    let heartbeat = follower.next_heartbeat(planner, settings.start.elapsed());
+                    writers[planner].iter().for_each(|w| drop(w.try_send(heartbeat.clone())));
                 }
-                MessageEffect::Request(question) => {
-                    writers[planner].iter().for_each(|w| drop(w.try_send(question.clone())));
+                MessageEffect::Request(request) => {
+                    writers[planner].iter().for_each(|w| drop(w.try_send(request.clone())));
                 }
                 MessageEffect::BudgetsChanged => changed = FollowEvent::BudgetsChanged,
                 MessageEffect::Accepted | MessageEffect::Rejected(_) => {}
             },
         }
-        seen(&follower, changed);
+        on_event(&follower, changed);
     }
 }
 
-enum Word {
-    Up(mpsc::Sender<ForwarderMessage>),
-    /// It said what can't be read; `Down` follows.
+enum ConnectionEvent {
+    Connected(mpsc::Sender<ForwarderMessage>),
+    /// The planner sent a message that cannot be decoded; `Disconnected` follows.
     Unreadable,
-    Down,
+    Disconnected,
     Received(PlannerMessage),
 }
 
-/// Keeps a connection to one planner, and hands on what it says and when it is to be asked.
-async fn connected(
+/// Keeps a connection to one planner and forwards its events.
+async fn stay_connected(
     planner: usize,
     address: SocketAddr,
-    following: FollowSettings,
-    told: mpsc::Sender<(usize, Word)>,
+    settings: FollowSettings,
+    events: mpsc::Sender<(usize, ConnectionEvent)>,
 ) {
-    let mut backoff = BACKOFF[0];
+    let mut backoff = MIN_BACKOFF;
     loop {
-        let up = Instant::now();
-        if let Err(error) = connection(planner, address, &following, &told).await
+        let attempt_start = Instant::now();
+        if let Err(error) = run_connection(planner, address, &settings, &events).await
             && error.kind() == io::ErrorKind::InvalidData
         {
             eprintln!("forwarder: planner {address}: {error}");
-            if told.send((planner, Word::Unreadable)).await.is_err() {
+            if events.send((planner, ConnectionEvent::Unreadable)).await.is_err() {
                 return;
             }
         }
-        if told.send((planner, Word::Down)).await.is_err() {
+        if events.send((planner, ConnectionEvent::Disconnected)).await.is_err() {
             return;
         }
-        // One that held for a while begins again at the shortest wait.
-        backoff = if up.elapsed() > BACKOFF[1] { BACKOFF[0] } else { (2 * backoff).min(BACKOFF[1]) };
+        // A connection that lasted for a while starts again at the shortest wait.
+        backoff =
+            if attempt_start.elapsed() > MAX_BACKOFF { MIN_BACKOFF } else { (2 * backoff).min(MAX_BACKOFF) };
         tokio::time::sleep(backoff).await;
     }
 }
 
-async fn connection(
+async fn run_connection(
     planner: usize,
     address: SocketAddr,
-    following: &FollowSettings,
-    told: &mpsc::Sender<(usize, Word)>,
+    settings: &FollowSettings,
+    events: &mpsc::Sender<(usize, ConnectionEvent)>,
 ) -> io::Result<()> {
-    let gone = |_| io::Error::from(io::ErrorKind::BrokenPipe);
-    let stream = tokio::time::timeout(CONNECT_WITHIN, TcpStream::connect(address)).await??;
-    let stream = following.security.connect(stream, Role::Planner).await?;
+    let closed = |_| io::Error::from(io::ErrorKind::BrokenPipe);
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
+    let stream = settings.security.connect(stream, Role::Planner).await?;
     let (mut reader, mut writer) = tokio::io::split(stream);
-    let (questions, mut asked) = mpsc::channel(WAITING);
-    told.send((planner, Word::Up(questions))).await.map_err(gone)?;
+    let (requests, mut queue) = mpsc::channel(QUEUE_CAPACITY);
+    events.send((planner, ConnectionEvent::Connected(requests))).await.map_err(closed)?;
     let reading = async {
         loop {
             let bytes = frame::read(
                 &mut reader,
                 MAX_PLANNER_MESSAGE_BYTES,
-                BEATS_SILENT * following.heartbeat_interval,
+                MAX_SILENT_HEARTBEATS * settings.heartbeat_interval,
             )
             .await?;
             match read_planner_message(&bytes) {
-                Ok(word) => told.send((planner, Word::Received(word))).await.map_err(gone)?,
-                // A newer planner may say what this release does not know.
+                Ok(message) => {
+                    events.send((planner, ConnectionEvent::Received(message))).await.map_err(closed)?
+                }
+                // Newer planners may send kinds of messages that this release does not know.
                 Err(WireError::Unknown) => {}
                 Err(error) => return Err(io::Error::new(io::ErrorKind::InvalidData, error.to_string())),
             }
         }
     };
     let writing = async {
-        while let Some(question) = asked.recv().await {
-            frame::write(&mut writer, &write_forwarder_message(&question)).await?;
+        while let Some(request) = queue.recv().await {
+            frame::write(&mut writer, &write_forwarder_message(&request)).await?;
         }
         Ok(())
     };
     tokio::select! {
-        ended = reading => ended,
-        ended = writing => ended,
+        result = reading => result,
+        result = writing => result,
     }
 }
--- a/crates/plan/src/io/mod.rs
+++ b/crates/plan/src/io/mod.rs
@@ -1,6 +1,8 @@
-//! Plans over TCP: a planner that tells, and a forwarder that follows several planners at once.
+//! Carries the messages between planners and forwarders over TCP: a planner serves many followers, and a
+//! forwarder follows several planners at once.
 //!
-//! Both ends show certificates of one authority, each for its part; plain connections are for loopback.
+//! Both sides present certificates of one authority, each for its role; plain connections are for loopback
+//! only.
 
 mod follow;
 pub mod frame;
--- a/crates/plan/src/io/planner.rs
+++ b/crates/plan/src/io/planner.rs
@@ -1,4 +1,4 @@
-//! A planner's side of the connections.
+//! The planner's side: serves plans, drains, leases and budgets to connected followers.
 
 use super::frame;
 use super::security::{self, Security, Stream};
@@ -17,91 +17,92 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, broadcast, mpsc};
 
-/// A follower must say who it is within this,
-const HELLO_WITHIN: Duration = Duration::from_secs(2);
-/// and ask something this often.
-const SILENT: Duration = Duration::from_secs(10);
-/// News that wait for a follower that is slow; one that is further behind gets the whole plan.
-const WAITING: usize = 256;
-/// Questions of one follower that wait.
-const QUESTIONS: usize = 16;
+/// Time limit for the first message of a follower.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
+/// A connection is closed after this time without a message from the follower.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Capacity of the broadcast queue; a follower further behind gets the complete state.
+const BROADCAST_CAPACITY: usize = 256;
+/// Capacity of the queue of messages from one follower.
+const REQUEST_QUEUE_CAPACITY: usize = 16;
 
-/// For how long the planner may vouch now for what it tells.
+/// Returns the lease that the planner can grant now.
 pub type LeaseSource = dyn Fn() -> Duration + Send + Sync;
 
-/// What all followers are told.
-struct News {
-    /// It is of a plan: those who use a part of it are told what changes of that.
-    plan: bool,
+/// A message broadcast to all followers.
+struct Broadcast {
+    /// Whether the message contains a plan or a delta. Followers of a slice get the change of their slice
+    /// instead.
+    is_plan: bool,
     frame: Vec<u8>,
 }
 
-/// Tells followers of plans.
+/// Serves followers.
 pub struct Planner {
     publisher: Mutex<Publisher>,
-    news: broadcast::Sender<Arc<News>>,
+    broadcasts: broadcast::Sender<Arc<Broadcast>>,
     lease: Box<LeaseSource>,
-    highest: Mutex<Version>,
+    highest_version: Mutex<Version>,
     loads: Mutex<Loads>,
-    post: Mutex<RelayMailboxes>,
-    /// Whom to wake where letters wait: connections that have asked for some.
-    awaiting: Mutex<HashMap<u64, Arc<Notify>>>,
-    connections: AtomicU64,
+    mailboxes: Mutex<RelayMailboxes>,
+    /// Wakes the connections that have subscribed to relayed messages.
+    relay_wakers: Mutex<HashMap<u64, Arc<Notify>>>,
+    next_connection: AtomicU64,
     start: Instant,
-    most: usize,
-    followers: AtomicUsize,
-    refused: AtomicU64,
+    max_followers: usize,
+    follower_count: AtomicUsize,
+    rejected_connections: AtomicU64,
 }
 
-/// A frame to one follower, or to all of them.
-enum Framed {
+/// A frame for one follower, or one shared by all.
+enum OutgoingFrame {
     Own(Vec<u8>),
-    Shared(Arc<News>),
+    Shared(Arc<Broadcast>),
 }
 
-impl Framed {
+impl OutgoingFrame {
     fn bytes(&self) -> &[u8] {
         match self {
             Self::Own(frame) => frame,
-            Self::Shared(news) => &news.frame,
+            Self::Shared(broadcast) => &broadcast.frame,
         }
     }
 }
 
-/// Gives a place back when a connection ends.
-struct Place<'a>(&'a Planner, u64);
+/// Removes the state of a connection when it ends.
+struct ConnectionGuard<'a>(&'a Planner, u64);
 
-impl Drop for Place<'_> {
+impl Drop for ConnectionGuard<'_> {
     fn drop(&mut self) {
-        self.0.followers.fetch_sub(1, Ordering::Relaxed);
+        self.0.follower_count.fetch_sub(1, Ordering::Relaxed);
         self.0.loads().remove_forwarder(self.1);
-        self.0.post().remove_connection(self.1);
-        self.0.awaiting().remove(&self.1);
+        self.0.mailboxes().remove_connection(self.1);
+        self.0.relay_wakers().remove(&self.1);
     }
 }
 
-/// A node that started less long ago than this is budgeted.
-const COLD: Duration = Duration::from_secs(60);
+/// Nodes younger than this get budgets.
+const MAX_BUDGETED_AGE: Duration = Duration::from_secs(60);
 
 impl Planner {
-    /// A planner that gives the leases that it is told of whenever it is asked for one, none of which is
-    /// longer than `full`, to so many followers at most; more are not let in.
-    pub fn new(lease: Box<LeaseSource>, full: Duration, most: usize) -> Arc<Self> {
-        let news = broadcast::Sender::new(WAITING);
-        let (followers, refused) = (AtomicUsize::new(0), AtomicU64::new(0));
+    /// Creates a planner that serves up to `max_followers` followers; further connections are closed. `lease`
+    /// is called for each heartbeat; `max_lease` is the longest lease that it returns.
+    pub fn new(lease: Box<LeaseSource>, max_lease: Duration, max_followers: usize) -> Arc<Self> {
+        let broadcasts = broadcast::Sender::new(BROADCAST_CAPACITY);
+        let (follower_count, rejected_connections) = (AtomicUsize::new(0), AtomicU64::new(0));
         Arc::new(Self {
-            publisher: Mutex::new(Publisher::with_max_lease(full)),
-            news,
+            publisher: Mutex::new(Publisher::with_max_lease(max_lease)),
+            broadcasts,
             lease,
-            highest: Mutex::default(),
+            highest_version: Mutex::default(),
             loads: Mutex::default(),
-            post: Mutex::default(),
-            awaiting: Mutex::default(),
-            connections: AtomicU64::new(0),
+            mailboxes: Mutex::default(),
+            relay_wakers: Mutex::default(),
+            next_connection: AtomicU64::new(0),
             start: Instant::now(),
-            most,
-            followers,
-            refused,
+            max_followers,
+            follower_count,
+            rejected_connections,
         })
     }
 
@@ -109,72 +110,74 @@
         self.publisher.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells all followers of a plan, if it is newer than the one that holds.
+    /// Sends a plan to all followers, if it is newer than the current one.
     pub fn publish(&self, plan: Plan) {
-        // Under the lock, so that a follower that comes meanwhile misses nothing and hears nothing
-        // twice.
+        // The lock is held while sending, so that a follower that connects at this moment misses no message
+        // and gets none twice.
         let mut publisher = self.publisher();
-        let told = publisher.publish(plan, self.start.elapsed());
-        self.tell(told);
+        let message = publisher.publish(plan, self.start.elapsed());
+        self.broadcast(message);
     }
 
-    /// Tells all followers of drains, ahead of any plan.
+    /// Sends announced drains to all followers, ahead of any plan.
     pub fn announce_drains(&self, drains: Vec<PlannerMessage>) {
         let mut publisher = self.publisher();
-        let told = publisher.add_drains(drains);
-        self.tell(told);
+        let new_drains = publisher.add_drains(drains);
+        self.broadcast(new_drains);
     }
 
-    fn tell(&self, told: impl IntoIterator<Item = PlannerMessage>) {
-        for told in told {
-            let plan = matches!(told, PlannerMessage::Full(_) | PlannerMessage::Delta(_));
-            let _ = self.news.send(Arc::new(News { plan, frame: write_planner_message(&told) })); // nobody may be there
+    fn broadcast(&self, messages: impl IntoIterator<Item = PlannerMessage>) {
+        for message in messages {
+            let is_plan = matches!(message, PlannerMessage::Full(_) | PlannerMessage::Delta(_));
+            // There may be no receivers.
+            let _ =
+                self.broadcasts.send(Arc::new(Broadcast { is_plan, frame: write_planner_message(&message) }));
         }
     }
 
-    /// The version that it tells of.
+    /// Version of the current plan.
     pub fn version(&self) -> Version {
         self.publisher().plan().version
     }
 
-    /// The highest version that a follower has had when it came.
+    /// The highest plan version that any follower had when it connected.
     pub fn highest_version(&self) -> Version {
-        *self.highest.lock().unwrap_or_else(PoisonError::into_inner)
+        *self.highest_version.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How many followers there are.
+    /// Number of connected followers.
     pub fn follower_count(&self) -> usize {
-        self.followers.load(Ordering::Relaxed)
+        self.follower_count.load(Ordering::Relaxed)
     }
 
-    /// How many connections were ended for what they said.
+    /// Number of connections closed because of invalid messages.
     pub fn rejected_connections(&self) -> u64 {
-        self.refused.load(Ordering::Relaxed)
+        self.rejected_connections.load(Ordering::Relaxed)
     }
 
-    /// Lets followers in, for good.
+    /// Accepts followers; never returns.
     pub async fn serve(self: Arc<Self>, listener: TcpListener, security: Security) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) if self.follower_count() < self.most => {
-                    self.followers.fetch_add(1, Ordering::Relaxed);
+                Ok((stream, _)) if self.follower_count() < self.max_followers => {
+                    self.follower_count.fetch_add(1, Ordering::Relaxed);
                     let (this, security) = (self.clone(), security.clone());
                     tokio::spawn(async move {
-                        let number = this.connections.fetch_add(1, Ordering::Relaxed);
-                        let _place = Place(&this, number);
-                        let let_in = async {
+                        let connection = this.next_connection.fetch_add(1, Ordering::Relaxed);
+                        let _guard = ConnectionGuard(&this, connection);
+                        let serving = async {
                             let stream = security.accept(stream, security::Role::Forwarder).await?;
-                            this.follower(number, stream).await
+                            this.serve_follower(connection, stream).await
                         };
-                        if let Err(error) = let_in.await
+                        if let Err(error) = serving.await
                             && error.kind() == io::ErrorKind::InvalidData
                         {
-                            this.refused.fetch_add(1, Ordering::Relaxed);
+                            this.rejected_connections.fetch_add(1, Ordering::Relaxed);
                             eprintln!("planner: a follower is refused: {error}");
                         }
                     });
                 }
-                Ok(_) => {} // dropped: there is no room
+                Ok(_) => {} // over the limit: the connection is closed
                 Err(error) => {
                     eprintln!("planner: accept: {error}");
                     tokio::time::sleep(Duration::from_millis(10)).await;
@@ -183,42 +186,44 @@
         }
     }
 
-    async fn follower(&self, number: u64, stream: Stream) -> io::Result<()> {
+    async fn serve_follower(&self, connection: u64, stream: Stream) -> io::Result<()> {
         let (mut reader, mut writer) = tokio::io::split(stream);
-        let asked = |bytes: &[u8]| match read_forwarder_message(bytes) {
-            Ok(asked) => Ok(Some(asked)),
-            // A newer follower may ask what this release does not know.
+        let decode = |bytes: &[u8]| match read_forwarder_message(bytes) {
+            Ok(message) => Ok(Some(message)),
+            // Newer followers may send kinds of messages that this release does not know.
             Err(WireError::Unknown) => Ok(None),
             Err(error) => Err(io::Error::new(io::ErrorKind::InvalidData, error.to_string())),
         };
-        let first = asked(&frame::read(&mut reader, MAX_FORWARDER_MESSAGE_BYTES, HELLO_WITHIN).await?)?;
-        let Some(ForwarderMessage::Hello { plan_version: has, name, slice_size: nodes }) = first else {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "expected a hello first"));
+        let first = decode(&frame::read(&mut reader, MAX_FORWARDER_MESSAGE_BYTES, HELLO_TIMEOUT).await?)?;
+        let Some(ForwarderMessage::Hello { plan_version, name, slice_size }) = first else {
+            return Err(io::Error::new(io::ErrorKind::InvalidData, "expected a hello as the first message"));
         };
-        if let Some(has) = has {
-            let mut highest = self.highest.lock().unwrap_or_else(PoisonError::into_inner);
-            *highest = has.max(*highest);
+        if let Some(version) = plan_version {
+            let mut highest = self.highest_version.lock().unwrap_or_else(PoisonError::into_inner);
+            *highest = version.max(*highest);
         }
-        let slice = nodes.map(|nodes| Slice::new(&name, usize::try_from(nodes).unwrap_or(usize::MAX)));
-        let (mut news, (mut part, behind)) = {
+        let slice = slice_size.map(|size| Slice::new(&name, usize::try_from(size).unwrap_or(usize::MAX)));
+        let (mut broadcasts, (mut sent, messages)) = {
             let publisher = self.publisher();
-            (self.news.subscribe(), publisher.start_follower(slice, has, self.start.elapsed()))
+            (self.broadcasts.subscribe(), publisher.start_follower(slice, plan_version, self.start.elapsed()))
         };
-        for told in behind {
-            frame::write(&mut writer, &write_planner_message(&told)).await?;
+        for message in messages {
+            frame::write(&mut writer, &write_planner_message(&message)).await?;
         }
-        let letters = Arc::new(Notify::new());
-        self.awaiting().insert(number, letters.clone());
-        // Reading is a task of its own, as half a frame must not be lost when news come first.
-        let (questions, mut heard) = mpsc::channel(QUESTIONS);
+        let relay_waker = Arc::new(Notify::new());
+        self.relay_wakers().insert(connection, relay_waker.clone());
+        // Frames are read in a separate future, because a partially read frame must not be lost when another
+        // branch is ready first.
+        let (requests, mut received) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
         let reading = async move {
             loop {
-                let question = match frame::read(&mut reader, MAX_FORWARDER_MESSAGE_BYTES, SILENT).await {
-                    Ok(bytes) => asked(&bytes),
+                let request = match frame::read(&mut reader, MAX_FORWARDER_MESSAGE_BYTES, IDLE_TIMEOUT).await
+                {
+                    Ok(bytes) => decode(&bytes),
                     Err(error) => Err(error),
                 };
-                let last = question.is_err();
-                if questions.send(question).await.is_err() || last {
+                let is_last = request.is_err();
+                if requests.send(request).await.is_err() || is_last {
                     return Ok::<(), io::Error>(());
                 }
             }
@@ -226,133 +231,143 @@
         let writing = async {
             loop {
                 let frame = tokio::select! {
-                    // What is new goes out before any word that vouches for what is known.
+                    // Broadcasts are sent before a heartbeat reply, which grants a lease for all that is
+                    // known.
                     biased;
-                    told = news.recv() => match told {
-                        Ok(news) if news.plan && !part.is_whole() => {
-                            let told = self.publisher().update_for(&mut part, self.start.elapsed());
-                            match told {
-                                Some(told) => Framed::Own(write_planner_message(&told)),
+                    broadcast = broadcasts.recv() => match broadcast {
+                        Ok(broadcast) if broadcast.is_plan && !sent.is_whole() => {
+                            let update = self.publisher().update_for(&mut sent, self.start.elapsed());
+                            match update {
+                                Some(message) => OutgoingFrame::Own(write_planner_message(&message)),
                                 None => continue,
                             }
                         }
-                        Ok(news) => Framed::Shared(news),
+                        Ok(broadcast) => OutgoingFrame::Shared(broadcast),
                         Err(broadcast::error::RecvError::Lagged(_)) => {
-                            self.all(&mut part, &mut writer).await?;
+                            self.send_full_update(&mut sent, &mut writer).await?;
                             continue;
                         }
                         Err(broadcast::error::RecvError::Closed) => return Ok(()),
                     },
-                    question = heard.recv() => match question {
+                    request = received.recv() => match request {
                         Some(Ok(Some(ForwarderMessage::Heartbeat { number }))) => {
                             let lease = u64::try_from((self.lease)().as_millis()).unwrap_or(u64::MAX);
-                            let told = {
+                            let reply = {
                                 let publisher = self.publisher();
-                                // News of this very moment: the follower is to ask again.
-                                publisher.heartbeat_reply(number, if news.is_empty() { lease } else { 0 })
+                                // With messages still queued no lease is granted; the follower asks again.
+                                publisher.heartbeat_reply(number, if broadcasts.is_empty() { lease } else { 0 })
                             };
-                            Framed::Own(write_planner_message(&told))
+                            OutgoingFrame::Own(write_planner_message(&reply))
                         }
                         Some(Ok(Some(ForwarderMessage::Resend))) => {
-                            self.all(&mut part, &mut writer).await?;
+                            self.send_full_update(&mut sent, &mut writer).await?;
                             continue;
                         }
                         Some(Ok(None)) => continue,
-                        Some(Ok(Some(ForwarderMessage::Digest(digest)))) => match self.digest(number, &part, digest) {
-                            Some(budgets) => Framed::Own(write_planner_message(&budgets)),
-                            None => continue,
-                        },
-                        Some(Ok(Some(ForwarderMessage::Relay { sender: from, messages: letters }))) => {
-                            self.take(number, from, letters);
+                        Some(Ok(Some(ForwarderMessage::Digest(digest)))) => {
+                            match self.record_digest(connection, &sent, digest) {
+                                Some(budgets) => OutgoingFrame::Own(write_planner_message(&budgets)),
+                                None => continue,
+                            }
+                        }
+                        Some(Ok(Some(ForwarderMessage::Relay { sender, messages }))) => {
+                            self.queue_relayed(connection, sender, messages);
                             continue;
                         }
                         Some(Ok(Some(ForwarderMessage::Hello { .. }))) => {
-                            return Err(io::Error::new(io::ErrorKind::InvalidData, "expected one hello"));
+                            return Err(io::Error::new(io::ErrorKind::InvalidData, "expected one hello, found two"));
                         }
                         Some(Err(error)) => return Err(error),
                         None => return Ok(()),
                     },
-                    // They come last: what vouches for a plan waits for none of them but the message under way.
-                    () = letters.notified() => match self.fetch(number, &letters) {
-                        Some(told) => Framed::Own(write_planner_message(&told)),
+                    // Relayed messages come last and delay a heartbeat reply by at most one message.
+                    () = relay_waker.notified() => match self.next_relayed(connection, &relay_waker) {
+                        Some(message) => OutgoingFrame::Own(write_planner_message(&message)),
                         None => continue,
                     },
                 };
                 frame::write(&mut writer, frame.bytes()).await?;
             }
         };
-        // Neither is polled again once the other has ended: the connection goes with both.
+        // Once either future has ended, the other is not polled again and the connection closes.
         tokio::pin!(reading, writing);
-        let mut read = false;
+        let mut reading_ended = false;
         loop {
             tokio::select! {
-                ended = &mut writing => return ended,
-                _ = &mut reading, if !read => read = true, // what it has said is still to be answered
+                result = &mut writing => return result,
+                // Messages already read are still answered.
+                _ = &mut reading, if !reading_ended => reading_ended = true,
             }
         }
     }
 
-    fn post(&self) -> MutexGuard<'_, RelayMailboxes> {
-        self.post.lock().unwrap_or_else(PoisonError::into_inner)
+    fn mailboxes(&self) -> MutexGuard<'_, RelayMailboxes> {
+        self.mailboxes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn awaiting(&self) -> MutexGuard<'_, HashMap<u64, Arc<Notify>>> {
-        self.awaiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn relay_wakers(&self) -> MutexGuard<'_, HashMap<u64, Arc<Notify>>> {
+        self.relay_wakers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What became of letters so far.
+    /// Counts of relayed messages.
     pub fn relay_counts(&self) -> RelayCounts {
-        self.post().counts
+        self.mailboxes().counts
     }
 
-    /// Takes letters in, and wakes those that they are for.
-    fn take(&self, number: u64, from: u64, letters: Vec<RelayedMessage>) {
-        let woken = self.post().accept(number, from, letters, self.start.elapsed());
-        let awaiting = self.awaiting();
-        woken.iter().filter_map(|to| awaiting.get(to)).for_each(|to| to.notify_one());
+    /// Queues relayed messages and wakes the connections of their recipients.
+    fn queue_relayed(&self, connection: u64, sender: u64, messages: Vec<RelayedMessage>) {
+        let recipients = self.mailboxes().accept(connection, sender, messages, self.start.elapsed());
+        let relay_wakers = self.relay_wakers();
+        recipients.iter().filter_map(|to| relay_wakers.get(to)).for_each(|waker| waker.notify_one());
     }
 
-    /// Letters that wait for a connection, and another turn for those that are too many for one message.
-    fn fetch(&self, number: u64, more: &Notify) -> Option<PlannerMessage> {
-        let letters = self.post().take_waiting(number);
-        if letters.is_empty() {
+    /// The next batch of relayed messages for a connection. Notifies `more` so that the rest follows.
+    fn next_relayed(&self, connection: u64, more: &Notify) -> Option<PlannerMessage> {
+        let messages = self.mailboxes().take_waiting(connection);
+        if messages.is_empty() {
             return None;
         }
         more.notify_one();
-        Some(PlannerMessage::Relayed(letters))
+        Some(PlannerMessage::Relayed(messages))
     }
 
     fn loads(&self) -> MutexGuard<'_, Loads> {
         self.loads.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What all forwarders serve, in requests a second, by their digests.
+    /// The rate that all forwarders serve, in requests per second, according to their digests.
     pub fn total_rate(&self) -> f64 {
         self.loads().total_rate(self.start.elapsed())
     }
 
-    /// Takes in a digest, and says what cold nodes may be sent for it, if there are any.
-    fn digest(&self, number: u64, part: &SentPlan, digest: Digest) -> Option<PlannerMessage> {
+    /// Records a digest, and returns the budgets of cold nodes for the forwarder, if there are any.
+    fn record_digest(&self, connection: u64, sent: &SentPlan, digest: Digest) -> Option<PlannerMessage> {
         let now = self.start.elapsed();
         let publisher = self.publisher();
         let mut loads = self.loads();
-        loads.record_digest(number, digest, now);
-        let cold: Vec<&crate::Node> = publisher.cold_nodes(COLD, now).take(MAX_DIGEST_NODES).collect();
+        loads.record_digest(connection, digest, now);
+        let cold: Vec<&crate::Node> =
+            publisher.cold_nodes(MAX_BUDGETED_AGE, now).take(MAX_DIGEST_NODES).collect();
         if cold.is_empty() {
             return None;
         }
         let serving = publisher.plan().nodes.iter().filter(|n| !n.draining).map(|n| n.weight).sum::<f64>();
         let warm = serving - cold.iter().map(|n| n.weight).sum::<f64>();
-        let its = cold.iter().filter(|n| part.contains(&n.id));
-        let usual: Vec<_> = its.map(|n| (n.id.clone(), loads.usual_rate(number, n, warm, now))).collect();
-        (!usual.is_empty()).then_some(PlannerMessage::Budgets(usual))
+        let used = cold.iter().filter(|n| sent.contains(&n.id));
+        let budgets: Vec<_> =
+            used.map(|n| (n.id.clone(), loads.usual_rate(connection, n, warm, now))).collect();
+        (!budgets.is_empty()).then_some(PlannerMessage::Budgets(budgets))
     }
 
-    /// All that holds.
-    async fn all(&self, part: &mut SentPlan, writer: &mut (impl AsyncWrite + Unpin)) -> io::Result<()> {
-        let told = self.publisher().full_update(part, self.start.elapsed());
-        for told in told {
-            frame::write(writer, &write_planner_message(&told)).await?;
+    /// Sends the complete current state.
+    async fn send_full_update(
+        &self,
+        sent: &mut SentPlan,
+        writer: &mut (impl AsyncWrite + Unpin),
+    ) -> io::Result<()> {
+        let messages = self.publisher().full_update(sent, self.start.elapsed());
+        for message in messages {
+            frame::write(writer, &write_planner_message(&message)).await?;
         }
         Ok(())
     }
--- a/crates/plan/src/io/security.rs
+++ b/crates/plan/src/io/security.rs
@@ -1,7 +1,8 @@
-//! Who may talk to whom: TLS 1.3 by rustls, with certificates on both sides, or plain on loopback.
+//! Secures connections between planners and forwarders: TLS 1.3 by rustls with certificates on both sides, or
+//! plain connections on loopback.
 //!
-//! One authority signs the certificates of an installation. The part that the owner of one plays is in its
-//! DNS name: a forwarder can't pass for a planner, and a stranger is neither.
+//! One authority signs the certificates of an installation. The DNS name in a certificate states the role of
+//! its owner, so that a forwarder cannot act as a planner.
 
 use rustls_pki_types::pem::PemObject;
 use rustls_pki_types::{CertificateDer, PrivateKeyDer, ServerName};
@@ -18,10 +19,10 @@
 use tokio_rustls::rustls::{ClientConfig, RootCertStore, ServerConfig, crypto::ring, version::TLS13};
 use tokio_rustls::{TlsAcceptor, TlsConnector};
 
-/// Both sides must have shown who they are within this.
-const SHAKEN_WITHIN: Duration = Duration::from_secs(2);
+/// Time limit for the TLS handshake.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The part that one plays, as its certificate must say.
+/// The role of a process, as stated in its certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// `planner.dewpier.internal`
@@ -31,7 +32,7 @@
 }
 
 impl Role {
-    /// The DNS name that the certificate must be for.
+    /// The DNS name that the certificate must contain.
     pub fn name(self) -> &'static str {
         match self {
             Self::Planner => "planner.dewpier.internal",
@@ -44,60 +45,60 @@
     }
 }
 
-/// Files in PEM form.
+/// Paths of the PEM files for TLS.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CertificateFiles {
-    /// The certificate of the authority.
+    /// Certificate of the authority.
     pub authority: PathBuf,
-    /// Our certificate, and those between it and the authority's.
+    /// Certificate of this process, followed by intermediate certificates.
     pub certificate: PathBuf,
-    /// Its private key.
+    /// Private key of the certificate.
     pub key: PathBuf,
 }
 
-/// Why files can't be used.
+/// Why the certificate files cannot be used.
 #[derive(Debug, Error)]
 pub enum SecurityError {
-    /// One can't be read, or has none of what it should have.
-    #[error("{path}: expected {expected} in PEM form: {why}")]
+    /// A file cannot be read or lacks the expected content.
+    #[error("{path}: expected {expected} in PEM form: {reason}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What should be in it.
+        /// Description of the expected content.
         expected: &'static str,
-        /// What is wrong.
-        why: String,
+        /// Description of the error.
+        reason: String,
     },
-    /// They don't fit together.
-    #[error("{path}: cannot be used: {why}")]
+    /// The files do not match each other.
+    #[error("{path}: cannot be used: {reason}")]
     Mismatched {
-        /// The certificate.
+        /// Path of the certificate.
         path: String,
-        /// What is wrong.
-        why: String,
+        /// Description of the error.
+        reason: String,
     },
 }
 
-/// A connection, encrypted or not.
-pub type Stream = Box<dyn Io>;
+/// A connection, encrypted or plain.
+pub type Stream = Box<dyn ByteStream>;
 
-/// What a connection can do.
-pub trait Io: AsyncRead + AsyncWrite + Unpin + Send + Sync {}
+/// The operations of a connection.
+pub trait ByteStream: AsyncRead + AsyncWrite + Unpin + Send + Sync {}
 
-impl<T: AsyncRead + AsyncWrite + Unpin + Send + Sync> Io for T {}
+impl<T: AsyncRead + AsyncWrite + Unpin + Send + Sync> ByteStream for T {}
 
 #[derive(Clone)]
-struct Live {
+struct TlsConfig {
     acceptor: TlsAcceptor,
     connector: TlsConnector,
 }
 
 struct Tls {
     files: CertificateFiles,
-    live: RwLock<Live>,
+    config: RwLock<TlsConfig>,
 }
 
-/// How connections are secured.
+/// How connections are secured. Clones share the certificates.
 #[derive(Clone, Default)]
 pub struct Security(Option<Arc<Tls>>);
 
@@ -108,94 +109,96 @@
 }
 
 impl Security {
-    /// Not at all: for loopback alone.
+    /// Plain connections, for loopback only.
     pub fn plain() -> Self {
         Self(None)
     }
 
-    /// By these files.
+    /// TLS with the certificates in `files`.
     pub fn read(files: CertificateFiles) -> Result<Self, SecurityError> {
-        let live = RwLock::new(live(&files)?);
-        Ok(Self(Some(Arc::new(Tls { files, live }))))
+        let config = RwLock::new(load_config(&files)?);
+        Ok(Self(Some(Arc::new(Tls { files, config }))))
     }
 
-    /// Reads the files again, for connections to come. Where they can't be used all stays as it is.
+    /// Reads the files again for new connections. On an error the current certificates stay in use.
     pub fn reload(&self) -> Result<(), SecurityError> {
         if let Some(tls) = &self.0 {
-            let new = live(&tls.files)?;
-            *tls.live.write().unwrap_or_else(PoisonError::into_inner) = new;
+            let new_config = load_config(&tls.files)?;
+            *tls.config.write().unwrap_or_else(PoisonError::into_inner) = new_config;
         }
         Ok(())
     }
 
-    fn live(&self) -> Option<Live> {
+    fn config(&self) -> Option<TlsConfig> {
         let tls = self.0.as_ref()?;
-        Some(tls.live.read().unwrap_or_else(PoisonError::into_inner).clone())
+        Some(tls.config.read().unwrap_or_else(PoisonError::into_inner).clone())
     }
 
-    /// Lets in one who must play that part.
-    pub async fn accept(&self, stream: TcpStream, part: Role) -> io::Result<Stream> {
+    /// Performs the server side of the handshake. Fails unless the peer has a certificate for `role`.
+    pub async fn accept(&self, stream: TcpStream, role: Role) -> io::Result<Stream> {
         stream.set_nodelay(true)?;
-        let Some(live) = self.live() else { return Ok(Box::new(stream)) };
-        let stream = tokio::time::timeout(SHAKEN_WITHIN, live.acceptor.accept(stream)).await??;
-        // That it is of our authority the verifier has seen; not which part it may play.
-        let shown = stream.get_ref().1.peer_certificates().and_then(|chain| chain.first());
-        let shown = shown.and_then(|certificate| ParsedCertificate::try_from(certificate).ok());
-        let name = part.server_name()?;
-        if shown.is_none_or(|certificate| verify_server_name(&certificate, &name).is_err()) {
-            let expected = format!("expected a certificate for {}, found another", part.name());
-            return Err(io::Error::new(io::ErrorKind::InvalidData, expected));
+        let Some(config) = self.config() else { return Ok(Box::new(stream)) };
+        let stream = tokio::time::timeout(HANDSHAKE_TIMEOUT, config.acceptor.accept(stream)).await??;
+        // The verifier has checked that the authority signed the certificate, but not the role.
+        let certificate = stream.get_ref().1.peer_certificates().and_then(|chain| chain.first());
+        let certificate = certificate.and_then(|certificate| ParsedCertificate::try_from(certificate).ok());
+        let name = role.server_name()?;
+        if certificate.is_none_or(|certificate| verify_server_name(&certificate, &name).is_err()) {
+            let message = format!("expected a certificate for {}, found another", role.name());
+            return Err(io::Error::new(io::ErrorKind::InvalidData, message));
         }
         Ok(Box::new(stream))
     }
 
-    /// Goes to one who must play that part.
-    pub async fn connect(&self, stream: TcpStream, part: Role) -> io::Result<Stream> {
+    /// Performs the client side of the handshake. Fails unless the peer has a certificate for `role`.
+    pub async fn connect(&self, stream: TcpStream, role: Role) -> io::Result<Stream> {
         stream.set_nodelay(true)?;
-        let Some(live) = self.live() else { return Ok(Box::new(stream)) };
-        let connecting = live.connector.connect(part.server_name()?, stream);
-        Ok(Box::new(tokio::time::timeout(SHAKEN_WITHIN, connecting).await??))
+        let Some(config) = self.config() else { return Ok(Box::new(stream)) };
+        let connecting = config.connector.connect(role.server_name()?, stream);
+        Ok(Box::new(tokio::time::timeout(HANDSHAKE_TIMEOUT, connecting).await??))
     }
 }
 
-fn live(files: &CertificateFiles) -> Result<Live, SecurityError> {
-    let bad = |path: &PathBuf, expected: &'static str, why: String| SecurityError::File {
+fn load_config(files: &CertificateFiles) -> Result<TlsConfig, SecurityError> {
+    let file_error = |path: &PathBuf, expected: &'static str, reason: String| SecurityError::File {
         path: path.display().to_string(),
         expected,
-        why,
+        reason,
     };
-    let certificates = |path: &PathBuf| {
+    let read_certificates = |path: &PathBuf| {
         let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect::<Result<Vec<_>, _>>);
-        let read = read.map_err(|error| bad(path, "certificates", error.to_string()))?;
-        if read.is_empty() { Err(bad(path, "certificates", "found none".into())) } else { Ok(read) }
+        let read = read.map_err(|error| file_error(path, "certificates", error.to_string()))?;
+        if read.is_empty() { Err(file_error(path, "certificates", "found none".into())) } else { Ok(read) }
     };
-    let unfit =
-        |why: String| SecurityError::Mismatched { path: files.certificate.display().to_string(), why };
+    let mismatch =
+        |reason: String| SecurityError::Mismatched { path: files.certificate.display().to_string(), reason };
     let mut roots = RootCertStore::empty();
-    for certificate in certificates(&files.authority)? {
-        roots.add(certificate).map_err(|error| bad(&files.authority, "an authority", error.to_string()))?;
+    for certificate in read_certificates(&files.authority)? {
+        roots
+            .add(certificate)
+            .map_err(|error| file_error(&files.authority, "an authority", error.to_string()))?;
     }
     let roots = Arc::new(roots);
-    let chain = certificates(&files.certificate)?;
+    let chain = read_certificates(&files.certificate)?;
     let key = PrivateKeyDer::from_pem_file(&files.key)
-        .map_err(|error| bad(&files.key, "a private key", error.to_string()))?;
+        .map_err(|error| file_error(&files.key, "a private key", error.to_string()))?;
     let provider = Arc::new(ring::default_provider());
     let verifier = WebPkiClientVerifier::builder_with_provider(roots.clone(), provider.clone())
         .build()
-        .map_err(|error| unfit(error.to_string()))?;
+        .map_err(|error| mismatch(error.to_string()))?;
     let server = ServerConfig::builder_with_provider(provider.clone())
         .with_protocol_versions(&[&TLS13])
-        .map_err(|error| unfit(error.to_string()))?
+        .map_err(|error| mismatch(error.to_string()))?
         .with_client_cert_verifier(verifier)
         .with_single_cert(chain.clone(), key.clone_key())
-        .map_err(|error| unfit(error.to_string()))?;
+        .map_err(|error| mismatch(error.to_string()))?;
     let client = ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&TLS13])
-        .map_err(|error| unfit(error.to_string()))?
+        .map_err(|error| mismatch(error.to_string()))?
         .with_root_certificates(roots)
         .with_client_auth_cert(chain, key)
-        .map_err(|error| unfit(error.to_string()))?;
-    Ok(Live {
+        .map_err(|error| mismatch(error.to_string()))?;
+    Ok(TlsConfig {
         acceptor: TlsAcceptor::from(Arc::new(server)),
         connector: TlsConnector::from(Arc::new(client)),
     })
