--- a/crates/cluster/src/cluster.rs
+++ b/crates/cluster/src/cluster.rs
@@ -1,11 +1,14 @@
-//! One planner among others, over TCP.
+//! Runs one planner of a cluster over TCP.
 
 use crate::fleet::{Command, Fleet};
-use crate::join::{Join, Standing, Step, identity, number};
+use crate::join::{GroupMembership, GroupState, Step, member_id, planner_number};
 use crate::lease_grantor::LeaseGrantor;
-use crate::link::{Answered, Link, MOST_BYTES, Message, Question, Reply, Status, ToMember, read, write};
+use crate::link::{
+    Link, MAX_MESSAGE_BYTES, PlannerReply, PlannerRequest, PlannerStatus, RaftMessage, RaftReply,
+    RaftRequest, read, write,
+};
 use crate::missing_nodes::drain_missing_nodes;
-use crate::raft::{self, Applied, Log, Machine, Network, Raft};
+use crate::raft::{self, Applied, FleetStateMachine, LogStore, Network, Raft};
 use dewpier_plan::io::{Planner, Role, Security, frame};
 use dewpier_plan::{AnnouncementVersion, Announcer, Node, PlannerMessage, lease_check_interval};
 use openraft::{EmptyNode, ServerState};
@@ -20,99 +23,99 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, watch};
 
-/// It must answer within this.
-const ANSWER_WITHIN: Duration = Duration::from_millis(500);
-/// A proposal must be agreed within this, or is made anew.
-const AGREE_WITHIN: Duration = Duration::from_secs(3);
-/// How often it is seen whether anything is to be proposed or changed.
-const LOOK: Duration = Duration::from_millis(100);
-/// A leader that has heard no majority for so long is none.
-const QUORUM_WITHIN: u64 = 1500;
-/// A member that has heard no leader for so long has none.
-const LEADER_WITHIN: Duration = Duration::from_millis(1500);
-/// Connections of other planners that are held at once: a few for each, and as many that die.
-const MOST_CONNECTIONS: usize = 256;
-/// One of them that says nothing for so long is closed.
-const SILENT: Duration = Duration::from_secs(30);
-/// A follower that claims a plan of a term further ahead of the clock, in milliseconds, is not believed.
-const AHEAD: u64 = 24 * 3600 * 1000;
-
-/// How a planner is set.
+/// Time limit for a reply of another planner to a status request.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time limit for the agreement on a proposal; after it the proposal is made again.
+const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval of checks for proposals and changes of group membership.
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
+/// A leader without contact to a majority for this time does not count as a leader.
+const QUORUM_TIMEOUT_MS: u64 = 1500;
+/// A member without contact to a leader for this time counts as leaderless.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum number of open connections from other planners.
+const MAX_CONNECTIONS: usize = 256;
+/// A connection from another planner is closed after this time without a message.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Terms reported by followers are ignored if they are further ahead of the clock than this, in milliseconds.
+const MAX_TERM_AHEAD_MS: u64 = 24 * 3600 * 1000;
+
+/// Settings of a planner.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its number.
+    /// Number of this planner.
     pub number: u32,
-    /// Where each planner listens for the others, its own place included, by number.
+    /// Addresses on which the planners listen for each other, by number, including this one.
     pub planners: BTreeMap<u32, SocketAddr>,
-    /// For how long a forwarder may go by a planner's word.
+    /// The longest lease granted to a forwarder.
     pub lease: Duration,
-    /// The view of a planner that was silent for so long no longer counts.
+    /// The view of a planner that was silent for this time is removed.
     pub expel_after: Duration,
-    /// Forwarders that are let in.
+    /// Maximum number of connected forwarders.
     pub max_forwarders: usize,
     /// How connections are secured.
     pub security: Security,
 }
 
-/// Its place in a group.
-struct Seat {
-    id: u64,
+/// This process as a Raft member, and its group if it is in one.
+struct LocalMember {
+    member_id: u64,
     group: Option<(u64, Raft)>,
 }
 
-/// What is known here alone.
-struct Known {
+/// State that the planners do not agree on.
+struct LocalState {
     announcer: Announcer,
-    vouch: LeaseGrantor,
-    join: Join,
-    /// Up to where the news of each other planner are known.
-    heard: BTreeMap<u32, AnnouncementVersion>,
+    grantor: LeaseGrantor,
+    membership: GroupMembership,
+    /// For each other planner, the latest of its announcements that this planner knows.
+    acknowledged: BTreeMap<u32, AnnouncementVersion>,
     /// The highest term that any planner has seen with a follower.
-    term: u64,
+    highest_term: u64,
 }
 
-/// One planner.
+/// One planner of the cluster.
 pub struct Cluster {
     settings: Settings,
     planner: Arc<Planner>,
     start: Instant,
-    known: Mutex<Known>,
-    seat: tokio::sync::Mutex<Seat>,
-    told: watch::Sender<Arc<Fleet>>,
-    /// When the leader was heard last, in milliseconds from the start, one added.
-    led: AtomicU64,
-    changing: AtomicBool,
-    wake: Notify,
-    connections: AtomicUsize,
-    refused: AtomicU64,
+    local_state: Mutex<LocalState>,
+    member: tokio::sync::Mutex<LocalMember>,
+    fleet: watch::Sender<Arc<Fleet>>,
+    /// Time of the last contact with the leader, in milliseconds since the start, plus one; 0 for none.
+    leader_contact_ms: AtomicU64,
+    membership_changing: AtomicBool,
+    step_due: Notify,
+    open_connections: AtomicUsize,
+    rejected_connections: AtomicU64,
 }
 
-/// A term from which those of a group count: the time, and 16 random bits behind it. Two groups must not
-/// give one version to two plans, also where a clock was set back between them.
-fn base(clock: u64) -> u64 {
-    // The keys of the standard hasher are random; no more is needed.
-    let lot = RandomState::new().build_hasher().finish() & 0xffff;
-    clock << 16 | lot
+/// A base for the terms of a group: the time, followed by 16 random bits. Two groups must not use the same
+/// version for different plans, even if a clock was set back between them.
+fn new_term_base(unix_millis: u64) -> u64 {
+    // The keys of the standard hasher are random, which suffices here.
+    let random_bits = RandomState::new().build_hasher().finish() & 0xffff;
+    unix_millis << 16 | random_bits
 }
 
-/// Milliseconds since 1970. Only for numbers that are to be higher at a later start.
-fn clock() -> u64 {
+/// Milliseconds since 1970. Used only for numbers that must rise with each start.
+fn unix_millis_now() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
     u64::try_from(now).unwrap_or(u64::MAX)
 }
 
 impl Cluster {
-    /// A planner that has seen nothing yet.
+    /// Creates a planner that has not read membership yet.
     pub fn new(settings: Settings) -> Arc<Self> {
-        let epoch = clock();
-        let me = settings.number;
-        let others = settings.planners.keys().copied().filter(|n| *n != me);
-        let known = Known {
-            announcer: Announcer::new(me, epoch),
-            vouch: LeaseGrantor::new(others, settings.lease),
-            join: Join::new(settings.planners.keys().copied().collect()),
-            heard: BTreeMap::new(),
-            term: 0,
+        let epoch = unix_millis_now();
+        let own_number = settings.number;
+        let others = settings.planners.keys().copied().filter(|n| *n != own_number);
+        let local_state = LocalState {
+            announcer: Announcer::new(own_number, epoch),
+            grantor: LeaseGrantor::new(others, settings.lease),
+            membership: GroupMembership::new(settings.planners.keys().copied().collect()),
+            acknowledged: BTreeMap::new(),
+            highest_term: 0,
         };
         Arc::new_cyclic(|this: &Weak<Self>| {
             let this = this.clone();
@@ -121,35 +124,38 @@
                 planner: Planner::new(Box::new(lease), settings.lease, settings.max_forwarders),
                 settings,
                 start: Instant::now(),
-                known: Mutex::new(known),
-                seat: tokio::sync::Mutex::new(Seat { id: identity(epoch, me), group: None }),
-                told: watch::Sender::new(Arc::default()),
-                led: AtomicU64::new(0),
-                changing: AtomicBool::new(false),
-                wake: Notify::new(),
-                connections: AtomicUsize::new(0),
-                refused: AtomicU64::new(0),
+                local_state: Mutex::new(local_state),
+                member: tokio::sync::Mutex::new(LocalMember {
+                    member_id: member_id(epoch, own_number),
+                    group: None,
+                }),
+                fleet: watch::Sender::new(Arc::default()),
+                leader_contact_ms: AtomicU64::new(0),
+                membership_changing: AtomicBool::new(false),
+                step_due: Notify::new(),
+                open_connections: AtomicUsize::new(0),
+                rejected_connections: AtomicU64::new(0),
             }
         })
     }
 
-    /// Its side that forwarders connect to.
+    /// The planner's side of connections to forwarders.
     pub fn planner(&self) -> &Arc<Planner> {
         &self.planner
     }
 
-    /// What is agreed, and whenever that changes.
+    /// The agreed state; notifies of each change.
     pub fn fleet(&self) -> watch::Receiver<Arc<Fleet>> {
-        self.told.subscribe()
+        self.fleet.subscribe()
     }
 
-    /// How many connections of other planners were ended for what they said.
+    /// Number of connections from other planners that were closed because of invalid messages.
     pub fn rejected_connections(&self) -> u64 {
-        self.refused.load(Ordering::Relaxed)
+        self.rejected_connections.load(Ordering::Relaxed)
     }
 
-    fn known(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn local_state(&self) -> MutexGuard<'_, LocalState> {
+        self.local_state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn now(&self) -> Duration {
@@ -157,34 +163,35 @@
     }
 
     fn lease(&self) -> Duration {
-        self.known().vouch.grantable_lease(self.now())
+        self.local_state().grantor.grantable_lease(self.now())
     }
 
-    /// Membership as it sees it now. Drains go out at once.
+    /// Updates this planner's view of membership. Drains are announced at once.
     pub fn observe(&self, nodes: Vec<Node>) {
-        let drains = self.known().announcer.observe(nodes);
+        let drains = self.local_state().announcer.observe(nodes);
         self.planner.announce_drains(drains);
-        self.beside(&self.told.borrow().clone());
-        self.wake.notify_one();
+        self.announce_missing_nodes(&self.fleet.borrow().clone());
+        self.step_due.notify_one();
     }
 
-    /// A look at membership that began then found nothing but what was told to [`Cluster::observe`].
+    /// Records a membership read, started at `began`, that found nothing newer than the last call of
+    /// [`Cluster::observe`].
     pub fn record_membership_read(&self, began: Instant) {
-        self.known().vouch.record_membership_read(began.saturating_duration_since(self.start));
+        self.local_state().grantor.record_membership_read(began.saturating_duration_since(self.start));
     }
 
-    /// Membership is to be looked at now: another planner is silent, and may have been told of what this
-    /// one must know.
+    /// Whether membership must be read now, because another planner is silent and may know of drains that
+    /// this one does not.
     pub fn needs_membership_read(&self) -> bool {
-        self.known().vouch.needs_membership_read(self.now())
+        self.local_state().grantor.needs_membership_read(self.now())
     }
 
-    /// Runs it for good, with the others let in by `listener`.
+    /// Runs the planner. Other planners connect to `listener`. Never returns.
     pub async fn run(self: Arc<Self>, listener: Option<TcpListener>) {
         let mut tasks = tokio::task::JoinSet::new();
         for (number, address) in &self.settings.planners {
             if *number != self.settings.number {
-                tasks.spawn(self.clone().asks(*number, *address));
+                tasks.spawn(self.clone().poll_planner(*number, *address));
             }
         }
         if let Some(listener) = listener {
@@ -192,57 +199,61 @@
         }
         tasks.spawn(self.clone().publish());
         loop {
-            self.see().await;
+            self.run_step().await;
             tokio::select! {
-                () = tokio::time::sleep(LOOK) => {}
-                () = self.wake.notified() => {}
+                () = tokio::time::sleep(STEP_INTERVAL) => {}
+                () = self.step_due.notified() => {}
             }
         }
     }
 
-    /// Tells forwarders of the plan that is agreed.
+    /// Publishes each agreed plan to forwarders.
     async fn publish(self: Arc<Self>) {
-        let mut told = self.told.subscribe();
-        while told.changed().await.is_ok() {
-            let fleet = told.borrow_and_update().clone();
-            self.beside(&fleet);
+        let mut updates = self.fleet.subscribe();
+        while updates.changed().await.is_ok() {
+            let fleet = updates.borrow_and_update().clone();
+            self.announce_missing_nodes(&fleet);
             self.planner.publish(fleet.plan());
-            self.wake.notify_one();
+            self.step_due.notify_one();
         }
     }
 
-    /// Tells what the others list and it does not, while its own view is not among theirs.
-    fn beside(&self, fleet: &Fleet) {
-        let (drains, turned) = {
-            let mut known = self.known();
-            let Known { announcer, vouch, .. } = &mut *known;
-            let before = vouch.is_suspended();
-            let drains = drain_missing_nodes(fleet, self.settings.number, announcer, vouch);
-            (drains, (vouch.is_suspended() != before).then(|| vouch.is_suspended()))
+    /// Announces the drain of nodes that other planners list and this one does not, until its own view is
+    /// part of the agreed state.
+    fn announce_missing_nodes(&self, fleet: &Fleet) {
+        let (drains, suspension_change) = {
+            let mut state = self.local_state();
+            let LocalState { announcer, grantor, .. } = &mut *state;
+            let before = grantor.is_suspended();
+            let drains = drain_missing_nodes(fleet, self.settings.number, announcer, grantor);
+            (drains, (grantor.is_suspended() != before).then(|| grantor.is_suspended()))
         };
-        let me = self.settings.number;
-        match turned {
+        let own_number = self.settings.number;
+        match suspension_change {
             Some(true) => eprintln!(
-                "planner {me}: it lacks more than half of the nodes that others list, and stands back"
+                "planner {own_number}: more than half of the listed nodes are missing here: leases suspended"
             ),
-            Some(false) => eprintln!("planner {me}: it lists what others do again"),
+            Some(false) => {
+                eprintln!("planner {own_number}: the listed nodes are no longer missing: leases resumed")
+            }
             None => {}
         }
         self.planner.announce_drains(drains);
     }
 
-    // ---- Its place among the planners ----
+    // ---- Group membership ----
 
-    /// Does what is due.
-    async fn see(self: &Arc<Self>) {
-        let mut seat = self.seat.lock().await;
-        let me = self.standing(&seat);
-        let step = self.known().join.step(me, self.now());
+    /// Performs the next step of group membership, proposes the own view, and performs the duties of a
+    /// leader.
+    async fn run_step(self: &Arc<Self>) {
+        let mut member = self.member.lock().await;
+        let own_state = self.group_state(&member);
+        let step = self.local_state().membership.next_step(own_state, self.now());
         match step {
             Step::Wait => {}
             Step::Found(members) => {
-                let group = seat.id;
-                match self.sit(&mut seat, group).await {
+                let group = member.member_id;
+                match self.join_group(&mut member, group).await {
                     Ok(raft) => {
                         let members: BTreeMap<u64, EmptyNode> =
                             members.into_iter().map(|id| (id, EmptyNode {})).collect();
@@ -255,235 +266,276 @@
                 }
             }
             Step::Leave => {
-                if let Some((group, raft)) = seat.group.take() {
+                if let Some((group, raft)) = member.group.take() {
                     eprintln!("planner {}: leaves group {group}, which has no leader", self.settings.number);
-                    let _ = raft.shutdown().await; // it is not asked any more either way
+                    let _ = raft.shutdown().await; // the result does not matter, as the group is abandoned
                 }
-                seat.id = identity(clock().max((seat.id >> 4) + 1), self.settings.number);
-                self.told.send_replace(Arc::default());
+                member.member_id =
+                    member_id(unix_millis_now().max((member.member_id >> 4) + 1), self.settings.number);
+                self.fleet.send_replace(Arc::default());
             }
         }
-        let Some((_, raft)) = seat.group.clone() else { return };
-        drop(seat);
+        let Some((_, raft)) = member.group.clone() else { return };
+        drop(member);
         let leader = raft.metrics().borrow().current_leader;
         self.propose_view(&raft, leader).await;
         if raft.metrics().borrow().state == ServerState::Leader {
-            self.lead(&raft).await;
+            self.perform_leader_duties(&raft).await;
         }
     }
 
-    fn standing(&self, seat: &Seat) -> Standing {
-        let led = seat.group.as_ref().is_some_and(|(_, raft)| {
+    fn group_state(&self, member: &LocalMember) -> GroupState {
+        let has_leader = member.group.as_ref().is_some_and(|(_, raft)| {
             let metrics = raft.metrics();
             let metrics = metrics.borrow();
             match metrics.state {
-                ServerState::Leader => metrics.millis_since_quorum_ack.is_some_and(|ms| ms < QUORUM_WITHIN),
+                ServerState::Leader => {
+                    metrics.millis_since_quorum_ack.is_some_and(|ms| ms < QUORUM_TIMEOUT_MS)
+                }
                 _ => {
-                    let last = self.led.load(Ordering::Relaxed);
-                    last > 0 && self.now() < Duration::from_millis(last) + LEADER_WITHIN
+                    let last = self.leader_contact_ms.load(Ordering::Relaxed);
+                    last > 0 && self.now() < Duration::from_millis(last) + LEADER_TIMEOUT
                 }
             }
         });
-        Standing { id: seat.id, group: seat.group.as_ref().map(|(group, _)| *group), led }
+        GroupState {
+            member_id: member.member_id,
+            group: member.group.as_ref().map(|(group, _)| *group),
+            has_leader,
+        }
     }
 
-    /// Takes a place in that group.
-    async fn sit(&self, seat: &mut Seat, group: u64) -> Result<Raft, String> {
+    /// Joins a group by starting a Raft member for it.
+    async fn join_group(&self, member: &mut LocalMember, group: u64) -> Result<Raft, String> {
         let config = Arc::new(raft::config().validate().map_err(|error| error.to_string())?);
         let network = Network {
             group,
             addresses: self.settings.planners.clone(),
             security: self.settings.security.clone(),
         };
-        let machine = Machine::new(self.told.clone());
-        let made = Raft::new(seat.id, config, network, Log::default(), machine).await;
-        let raft = made.map_err(|error| error.to_string())?;
-        seat.group = Some((group, raft.clone()));
+        let state_machine = FleetStateMachine::new(self.fleet.clone());
+        let started = Raft::new(member.member_id, config, network, LogStore::default(), state_machine).await;
+        let raft = started.map_err(|error| error.to_string())?;
+        member.group = Some((group, raft.clone()));
         Ok(raft)
     }
 
-    // ---- What is agreed ----
+    // ---- Agreement ----
 
-    /// Has its own view agreed, where that is not so.
+    /// Proposes this planner's own view, if the agreed one differs.
     async fn propose_view(&self, raft: &Raft, leader: Option<u64>) {
-        let me = self.settings.number;
-        let fleet = self.told.borrow().clone();
+        let own_number = self.settings.number;
+        let fleet = self.fleet.borrow().clone();
         let command = {
-            let mut known = self.known();
-            let mark = known.announcer.version();
-            if mark.sequence == 0 || known.vouch.is_suspended() {
-                return; // it has seen nothing yet, or what can't be right
+            let mut state = self.local_state();
+            let version = state.announcer.version();
+            if version.sequence == 0 || state.grantor.is_suspended() {
+                return; // nothing was read yet, or the inventory is incomplete
             }
-            match fleet.announcement_version(me) {
-                Some(agreed) if agreed == mark => return,
-                Some(agreed) if agreed.epoch == mark.epoch => {
-                    let Some(listed) = fleet.listed_nodes(me) else { return };
-                    let view = known.announcer.view();
+            match fleet.announcement_version(own_number) {
+                Some(agreed) if agreed == version => return,
+                Some(agreed) if agreed.epoch == version.epoch => {
+                    let Some(listed) = fleet.listed_nodes(own_number) else { return };
+                    let view = state.announcer.view();
                     let ids: BTreeSet<&String> = view.iter().map(|n| &n.id).collect();
                     let set = view.iter().filter(|n| listed.get(&n.id) != Some(n)).cloned().collect();
                     let gone = listed.keys().filter(|id| !ids.contains(id)).cloned().collect();
-                    Command::Change { planner: me, from: agreed, to: mark, set, gone }
+                    Command::Change { planner: own_number, from: agreed, to: version, set, gone }
                 }
                 _ => {
-                    let over = fleet.expelled_epoch(me).or(fleet.announcement_version(me).map(|m| m.epoch));
-                    if over.is_some_and(|over| over >= mark.epoch) {
-                        // What it told counts as settled: it is told anew.
-                        let drains = known.announcer.begin_epoch(over.unwrap_or_default() + 1);
-                        drop(known);
+                    let settled_epoch = fleet
+                        .expelled_epoch(own_number)
+                        .or(fleet.announcement_version(own_number).map(|v| v.epoch));
+                    if settled_epoch.is_some_and(|settled| settled >= version.epoch) {
+                        // The announcements of the epoch count as settled, so they are made again in a new
+                        // one.
+                        let drains = state.announcer.begin_epoch(settled_epoch.unwrap_or_default() + 1);
+                        drop(state);
                         self.planner.announce_drains(drains);
-                        known = self.known();
+                        state = self.local_state();
                     }
-                    let (mark, nodes) = (known.announcer.version(), known.announcer.view().to_vec());
-                    Command::View { planner: me, announcement_version: mark, nodes }
+                    let (version, nodes) = (state.announcer.version(), state.announcer.view().to_vec());
+                    Command::View { planner: own_number, announcement_version: version, nodes }
                 }
             }
         };
-        if let Err(why) = self.propose(raft, leader, command).await {
-            eprintln!("planner {me}: its view is not agreed yet: {why}");
+        if let Err(reason) = self.propose(raft, leader, command).await {
+            eprintln!("planner {own_number}: its view is not agreed yet: {reason}");
         }
     }
 
     async fn propose(&self, raft: &Raft, leader: Option<u64>, command: Command) -> Result<Applied, String> {
-        let leads = raft.metrics().borrow().state == ServerState::Leader;
-        if leads {
-            let agreed = tokio::time::timeout(AGREE_WITHIN, raft.client_write(command)).await;
+        let is_leader = raft.metrics().borrow().state == ServerState::Leader;
+        if is_leader {
+            let agreed = tokio::time::timeout(AGREEMENT_TIMEOUT, raft.client_write(command)).await;
             return match agreed {
                 Ok(Ok(agreed)) => Ok(agreed.data),
                 Ok(Err(error)) => Err(error.to_string()),
-                Err(_) => Err("no majority agrees in time".into()),
+                Err(_) => Err("no majority agreed in time".into()),
             };
         }
-        let address = leader.and_then(|id| self.settings.planners.get(&number(id)));
-        let Some(address) = address.filter(|_| leader.map(number) != Some(self.settings.number)) else {
+        let address = leader.and_then(|id| self.settings.planners.get(&planner_number(id)));
+        let Some(address) = address.filter(|_| leader.map(planner_number) != Some(self.settings.number))
+        else {
             return Err("there is no leader".into());
         };
         match Link::new(*address, self.settings.security.clone())
-            .ask(&Question::Propose(command), AGREE_WITHIN)
+            .request(&PlannerRequest::Propose(command), AGREEMENT_TIMEOUT)
             .await
         {
-            Ok(Reply::Proposed(applied)) => Ok(applied),
+            Ok(PlannerReply::Proposed(applied)) => Ok(applied),
             Ok(other) => Err(format!("{other:?}")),
             Err(error) => Err(error.to_string()),
         }
     }
 
-    /// What is the leader's affair: terms, who is expelled, who belongs to the group.
-    async fn lead(self: &Arc<Self>, raft: &Raft) {
-        let fleet = self.told.borrow().clone();
-        let (me, now, wall) = (self.settings.number, self.now(), clock());
-        let plan = fleet.plan().version;
-        let seen =
-            self.known().term.max(self.planner.highest_version().term).max(self.planner.version().term);
-        let seen = if seen >> 16 <= wall + AHEAD { seen } else { 0 };
-        // Followers may have had plans of a group that is no more: those to come must be newer.
-        if fleet.base() == 0 || seen > plan.term {
-            let base = base(wall).max(base((seen >> 16) + 1));
-            if let Err(why) = self.propose(raft, None, Command::Base(base)).await {
-                eprintln!("planner {me}: terms are not agreed yet: {why}");
+    /// Performs the duties of a leader: agrees on terms, expels silent planners, and replaces restarted
+    /// members.
+    async fn perform_leader_duties(self: &Arc<Self>, raft: &Raft) {
+        let fleet = self.fleet.borrow().clone();
+        let (own_number, now, unix_millis) = (self.settings.number, self.now(), unix_millis_now());
+        let plan_version = fleet.plan().version;
+        let highest_term = self
+            .local_state()
+            .highest_term
+            .max(self.planner.highest_version().term)
+            .max(self.planner.version().term);
+        let highest_term =
+            if highest_term >> 16 <= unix_millis + MAX_TERM_AHEAD_MS { highest_term } else { 0 };
+        // Followers may have plans of an earlier group; new plans need higher terms.
+        if fleet.base() == 0 || highest_term > plan_version.term {
+            let base = new_term_base(unix_millis).max(new_term_base((highest_term >> 16) + 1));
+            if let Err(reason) = self.propose(raft, None, Command::Base(base)).await {
+                eprintln!("planner {own_number}: the base of terms is not agreed yet: {reason}");
             }
         }
-        let others = self.settings.planners.keys().copied().filter(|n| *n != me);
-        let silent = |n: &u32| {
-            let known = self.known();
-            let last = known.join.heard_at(*n).unwrap_or_default();
-            // Only after a look at membership of its own, which shows what that one was told.
+        let others = self.settings.planners.keys().copied().filter(|n| *n != own_number);
+        let is_silent = |n: &u32| {
+            let state = self.local_state();
+            let last = state.membership.last_report_at(*n).unwrap_or_default();
+            // A planner is expelled only after a membership read of this one, which shows the drains that the
+            // silent planner knew of.
             now.saturating_sub(last) >= self.settings.expel_after
-                && !known.vouch.grantable_lease(now).is_zero()
+                && !state.grantor.grantable_lease(now).is_zero()
         };
-        let expelled: Vec<u32> = others.filter(|n| fleet.expelled_epoch(*n).is_none() && silent(n)).collect();
-        for planner in expelled {
-            eprintln!("planner {me}: planner {planner} is silent, and its view no longer counts");
-            let epoch = wall.max(fleet.announcement_version(planner).map_or(0, |m| m.epoch));
-            if let Err(why) = self.propose(raft, None, Command::Expel { planner, epoch }).await {
-                eprintln!("planner {me}: that is not agreed yet: {why}");
+        let silent_planners: Vec<u32> =
+            others.filter(|n| fleet.expelled_epoch(*n).is_none() && is_silent(n)).collect();
+        for planner in silent_planners {
+            eprintln!("planner {own_number}: planner {planner} is silent: proposes to remove its view");
+            let epoch = unix_millis.max(fleet.announcement_version(planner).map_or(0, |v| v.epoch));
+            if let Err(reason) = self.propose(raft, None, Command::Expel { planner, epoch }).await {
+                eprintln!(
+                    "planner {own_number}: the expulsion of planner {planner} is not agreed yet: {reason}"
+                );
             }
         }
-        self.replace(raft, now);
+        self.replace_restarted_planner(raft, now);
     }
 
-    /// Puts a process that started anew in the place of the one of its number.
-    fn replace(self: &Arc<Self>, raft: &Raft, now: Duration) {
+    /// Replaces the Raft member of a restarted planner by its new process.
+    fn replace_restarted_planner(self: &Arc<Self>, raft: &Raft, now: Duration) {
         let voters: BTreeSet<u64> =
             raft.metrics().borrow().membership_config.membership().voter_ids().collect();
-        let fresh = |n: u32| self.known().join.fresh(n, now).filter(|s| s.group.is_none());
+        let recent_idle =
+            |n: u32| self.local_state().membership.recent_state(n, now).filter(|s| s.group.is_none());
         let others = self.settings.planners.keys().filter(|n| **n != self.settings.number);
-        let Some(new) = others.filter_map(|n| fresh(*n)).find(|s| !voters.contains(&s.id)) else { return };
-        if self.changing.swap(true, Ordering::SeqCst) {
-            return; // one at a time
+        let Some(new) = others.filter_map(|n| recent_idle(*n)).find(|s| !voters.contains(&s.member_id))
+        else {
+            return;
+        };
+        if self.membership_changing.swap(true, Ordering::SeqCst) {
+            return; // one change at a time
         }
         let (this, raft) = (self.clone(), raft.clone());
         tokio::spawn(async move {
-            let me = this.settings.number;
-            let members: BTreeSet<u64> =
-                voters.into_iter().filter(|id| number(*id) != number(new.id)).chain([new.id]).collect();
+            let own_number = this.settings.number;
+            let members: BTreeSet<u64> = voters
+                .into_iter()
+                .filter(|id| planner_number(*id) != planner_number(new.member_id))
+                .chain([new.member_id])
+                .collect();
             let change = async {
-                raft.add_learner(new.id, EmptyNode {}, true).await.map_err(|error| error.to_string())?;
+                raft.add_learner(new.member_id, EmptyNode {}, true)
+                    .await
+                    .map_err(|error| error.to_string())?;
                 raft.change_membership(members, false).await.map_err(|error| error.to_string())
             };
-            match tokio::time::timeout(3 * AGREE_WITHIN, change).await {
-                Ok(Ok(_)) => eprintln!("planner {me}: planner {} is in the group", number(new.id)),
-                Ok(Err(why)) => eprintln!("planner {me}: planner {} does not join: {why}", number(new.id)),
-                Err(_) => eprintln!("planner {me}: planner {} does not join in time", number(new.id)),
+            match tokio::time::timeout(3 * AGREEMENT_TIMEOUT, change).await {
+                Ok(Ok(_)) => eprintln!(
+                    "planner {own_number}: planner {} joined the group",
+                    planner_number(new.member_id)
+                ),
+                Ok(Err(reason)) => eprintln!(
+                    "planner {own_number}: planner {} could not join the group: {reason}",
+                    planner_number(new.member_id)
+                ),
+                Err(_) => eprintln!(
+                    "planner {own_number}: planner {} did not join the group in time",
+                    planner_number(new.member_id)
+                ),
             }
-            this.changing.store(false, Ordering::SeqCst);
+            this.membership_changing.store(false, Ordering::SeqCst);
         });
     }
 
-    // ---- Talk with other planners ----
+    // ---- Communication with other planners ----
 
-    /// Asks one of them where it stands, for good.
-    async fn asks(self: Arc<Self>, other: u32, address: SocketAddr) {
+    /// Polls the status of another planner; never returns.
+    async fn poll_planner(self: Arc<Self>, other: u32, address: SocketAddr) {
         let mut link = Link::new(address, self.settings.security.clone());
-        let mut every = tokio::time::interval(lease_check_interval(self.settings.lease));
-        every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut ticks = tokio::time::interval(lease_check_interval(self.settings.lease));
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            every.tick().await;
-            let asked = self.now();
-            let agreed = self.told.borrow().announcement_version(other).unwrap_or_default();
-            let heard = self.known().heard.get(&other).copied().unwrap_or_default().max(agreed);
-            let question = Question::Status { from: self.settings.number, heard };
-            // That it does not answer shows by itself.
-            if let Ok(Reply::Status(status)) = link.ask(&question, ANSWER_WITHIN).await
+            ticks.tick().await;
+            let sent_at = self.now();
+            let agreed = self.fleet.borrow().announcement_version(other).unwrap_or_default();
+            let acknowledged =
+                self.local_state().acknowledged.get(&other).copied().unwrap_or_default().max(agreed);
+            let request = PlannerRequest::Status { from: self.settings.number, acknowledged };
+            // A failed request shows as a missing answer.
+            if let Ok(PlannerReply::Status(status)) = link.request(&request, STATUS_TIMEOUT).await
                 && status.number == other
             {
-                self.heard(other, status, asked);
+                self.process_status(other, status, sent_at);
             }
         }
     }
 
-    fn heard(&self, other: u32, status: Status, asked: Duration) {
-        let told = |(mark, id)| PlannerMessage::Drain { planner: other, announcement_version: mark, id };
-        // Followers first: what is confirmed must be told.
-        self.planner.announce_drains(status.news.into_iter().map(told).collect());
+    fn process_status(&self, other: u32, status: PlannerStatus, sent_at: Duration) {
+        let drain =
+            |(announcement_version, id)| PlannerMessage::Drain { planner: other, announcement_version, id };
+        // Followers get the drains first: leases may be granted only for drains that were sent.
+        self.planner.announce_drains(status.drains.into_iter().map(drain).collect());
         let now = self.now();
-        let mut known = self.known();
-        let standing = Standing { id: status.id, group: status.group, led: status.led };
-        known.join.heard(other, standing, now);
-        known.term = known.term.max(status.term);
+        let mut state = self.local_state();
+        let group_state =
+            GroupState { member_id: status.id, group: status.group, has_leader: status.has_leader };
+        state.membership.record_state(other, group_state, now);
+        state.highest_term = state.highest_term.max(status.highest_term);
         if status.complete {
-            let heard = known.heard.entry(other).or_default();
-            *heard = status.mark.max(*heard);
-            known.vouch.record_answer(other, status.mark.epoch, asked, now);
+            let acknowledged = state.acknowledged.entry(other).or_default();
+            *acknowledged = status.announcement_version.max(*acknowledged);
+            state.grantor.record_answer(other, status.announcement_version.epoch, sent_at, now);
         }
     }
 
     async fn accept(self: Arc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) if self.connections.load(Ordering::Relaxed) < MOST_CONNECTIONS => {
-                    self.connections.fetch_add(1, Ordering::Relaxed);
+                Ok((stream, _)) if self.open_connections.load(Ordering::Relaxed) < MAX_CONNECTIONS => {
+                    self.open_connections.fetch_add(1, Ordering::Relaxed);
                     let this = self.clone();
                     tokio::spawn(async move {
-                        if let Err(error) = this.answers(stream).await
+                        if let Err(error) = this.serve_planner(stream).await
                             && error.kind() == io::ErrorKind::InvalidData
                         {
-                            this.refused.fetch_add(1, Ordering::Relaxed);
+                            this.rejected_connections.fetch_add(1, Ordering::Relaxed);
                             eprintln!("planner {}: a planner is refused: {error}", this.settings.number);
                         }
-                        this.connections.fetch_sub(1, Ordering::Relaxed);
+                        this.open_connections.fetch_sub(1, Ordering::Relaxed);
                     });
                 }
-                Ok(_) => {} // dropped: there is no room
+                Ok(_) => {} // over the limit: the connection is closed
                 Err(error) => {
                     eprintln!("planner {}: accept: {error}", self.settings.number);
                     tokio::time::sleep(Duration::from_millis(10)).await;
@@ -492,88 +544,101 @@
         }
     }
 
-    /// Answers one other planner.
-    async fn answers(self: &Arc<Self>, stream: TcpStream) -> io::Result<()> {
+    /// Serves the requests of another planner.
+    async fn serve_planner(self: &Arc<Self>, stream: TcpStream) -> io::Result<()> {
         let mut stream = self.settings.security.accept(stream, Role::Planner).await?;
         loop {
-            let question = read(&frame::read(&mut stream, MOST_BYTES, SILENT).await?)?;
-            let reply = match question {
-                Question::Status { from, heard } => self.status(from, heard).await,
-                Question::Member(to) => self.member(*to).await,
-                Question::Propose(command) => self.proposed(command).await,
+            let request = read(&frame::read(&mut stream, MAX_MESSAGE_BYTES, IDLE_TIMEOUT).await?)?;
+            let reply = match request {
+                PlannerRequest::Status { from, acknowledged } => self.status_reply(from, acknowledged).await,
+                PlannerRequest::Member(request) => self.raft_reply(*request).await,
+                PlannerRequest::Propose(command) => self.propose_as_leader(command).await,
             };
             frame::write(&mut stream, &write(&reply)?).await?;
         }
     }
 
-    async fn status(&self, from: u32, heard: AnnouncementVersion) -> Reply {
+    async fn status_reply(&self, from: u32, acknowledged: AnnouncementVersion) -> PlannerReply {
         if !self.settings.planners.contains_key(&from) || from == self.settings.number {
-            return Reply::Refused(format!("expected the number of another planner, found {from}"));
+            return PlannerReply::Rejected(format!("expected the number of another planner, found {from}"));
         }
-        let standing = self.standing(&*self.seat.lock().await);
-        let term = self.planner.highest_version().term;
-        let known = self.known();
-        let (mark, news) = (known.announcer.version(), known.announcer.drains_since(heard));
-        let complete = mark.sequence > 0 && news.is_some();
-        let (number, news) = (self.settings.number, news.unwrap_or_default());
-        let Standing { id, group, led } = standing;
-        Reply::Status(Status { number, id, group, led, complete, mark, news, term })
+        let group_state = self.group_state(&*self.member.lock().await);
+        let highest_term = self.planner.highest_version().term;
+        let state = self.local_state();
+        let (announcement_version, drains) =
+            (state.announcer.version(), state.announcer.drains_since(acknowledged));
+        let complete = announcement_version.sequence > 0 && drains.is_some();
+        let (number, drains) = (self.settings.number, drains.unwrap_or_default());
+        let GroupState { member_id: id, group, has_leader } = group_state;
+        PlannerReply::Status(PlannerStatus {
+            number,
+            id,
+            group,
+            has_leader,
+            complete,
+            announcement_version,
+            drains,
+            highest_term,
+        })
     }
 
-    async fn member(&self, to: ToMember) -> Reply {
+    async fn raft_reply(&self, request: RaftRequest) -> PlannerReply {
         let raft = {
-            let mut seat = self.seat.lock().await;
-            if to.member != seat.id {
-                return Reply::Refused(format!(
-                    "expected a message for {}, found one for {}",
-                    seat.id, to.member
+            let mut member = self.member.lock().await;
+            if request.member != member.member_id {
+                return PlannerReply::Rejected(format!(
+                    "expected a message for member {}, found one for member {}",
+                    member.member_id, request.member
                 ));
             }
-            match &seat.group {
-                Some((group, raft)) if *group == to.group => raft.clone(),
+            match &member.group {
+                Some((group, raft)) if *group == request.group => raft.clone(),
                 Some((group, _)) => {
-                    return Reply::Refused(format!("expected group {group}, found {}", to.group));
+                    return PlannerReply::Rejected(format!(
+                        "expected group {group}, found {}",
+                        request.group
+                    ));
                 }
-                None => match self.sit(&mut seat, to.group).await {
+                None => match self.join_group(&mut member, request.group).await {
                     Ok(raft) => raft,
-                    Err(why) => return Reply::Refused(why),
+                    Err(reason) => return PlannerReply::Rejected(reason),
                 },
             }
         };
-        let answered = match to.message {
-            Message::Append(rpc) => {
-                let answer = raft.append_entries(rpc).await;
-                if matches!(&answer, Ok(answer) if !matches!(answer, openraft::raft::AppendEntriesResponse::HigherVote(_)))
+        let reply = match request.message {
+            RaftMessage::Append(rpc) => {
+                let result = raft.append_entries(rpc).await;
+                if matches!(&result, Ok(response) if !matches!(response, openraft::raft::AppendEntriesResponse::HigherVote(_)))
                 {
-                    self.heard_leader();
+                    self.record_leader_contact();
                 }
-                Answered::Append(answer)
+                RaftReply::Append(result)
             }
-            Message::Vote(rpc) => Answered::Vote(raft.vote(rpc).await),
-            Message::Snapshot(rpc) => {
-                let answer = raft.install_snapshot(rpc).await;
-                if answer.is_ok() {
-                    self.heard_leader();
+            RaftMessage::Vote(rpc) => RaftReply::Vote(raft.vote(rpc).await),
+            RaftMessage::Snapshot(rpc) => {
+                let result = raft.install_snapshot(rpc).await;
+                if result.is_ok() {
+                    self.record_leader_contact();
                 }
-                Answered::Snapshot(answer)
+                RaftReply::Snapshot(result)
             }
         };
-        Reply::Member(Box::new(answered))
+        PlannerReply::Member(Box::new(reply))
     }
 
-    fn heard_leader(&self) {
+    fn record_leader_contact(&self) {
         let now = u64::try_from(self.now().as_millis()).unwrap_or(u64::MAX);
-        self.led.store(now.saturating_add(1), Ordering::Relaxed);
+        self.leader_contact_ms.store(now.saturating_add(1), Ordering::Relaxed);
     }
 
-    async fn proposed(&self, command: Command) -> Reply {
-        let raft = self.seat.lock().await.group.as_ref().map(|(_, raft)| raft.clone());
+    async fn propose_as_leader(&self, command: Command) -> PlannerReply {
+        let raft = self.member.lock().await.group.as_ref().map(|(_, raft)| raft.clone());
         match raft {
             Some(raft) => match self.propose(&raft, None, command).await {
-                Ok(applied) => Reply::Proposed(applied),
-                Err(why) => Reply::Refused(why),
+                Ok(applied) => PlannerReply::Proposed(applied),
+                Err(reason) => PlannerReply::Rejected(reason),
             },
-            None => Reply::Refused("it is in no group".into()),
+            None => PlannerReply::Rejected("the planner is in no group".into()),
         }
     }
 }
--- a/crates/cluster/src/lease_grantor.rs
+++ b/crates/cluster/src/lease_grantor.rs
@@ -1,86 +1,96 @@
-//! For how long a planner may vouch for what it tells.
+//! Computes the leases that a planner may grant.
 //!
-//! From the moment that any planner was told of a drain no forwarder may begin anything new there after
-//! half a second, also where that planner dies with the news untold. So a planner vouches for no longer
-//! than a lease past the moment up to which it knows what *every* planner knew: the moment of its last
-//! question to the other that was answered, or of the last time that it looked at membership itself.
-//! A planner that falls silent costs nothing but looks; news that it alone was told of, and that
-//! membership does not show either, can't be had by anyone.
+//! Within the drain bound after any planner has read a drain, no forwarder may send new requests to the node,
+//! even if that planner fails before it announces the drain. A planner therefore grants leases only up to a
+//! lease after the time up to which it knows what *every* planner knew: the time of its last answered request
+//! to each other planner, or of its own last membership read. A silent planner costs only additional reads. A
+//! drain that only a failed planner knew of, and that membership does not show, cannot be recovered.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 #[derive(Debug)]
 struct Peer {
-    /// Which start of that planner was heard last.
-    id: u64,
-    /// Up to when all that it knew is known.
-    known: Duration,
-    /// It started anew, and what it knew before may be lost with it: since when that is so.
-    lost: Option<Duration>,
+    /// Epoch of the peer's run that answered last.
+    epoch: u64,
+    /// Everything that the peer knew up to this time is known here.
+    known_until: Duration,
+    /// The peer restarted at this time, and what it knew before may be lost with it.
+    restarted_at: Option<Duration>,
 }
 
-/// What one planner knows of the others' knowledge.
+/// Tracks up to which time one planner knows what its peers knew.
 #[derive(Debug)]
 pub struct LeaseGrantor {
-    lease: Duration,
+    max_lease: Duration,
     peers: BTreeMap<u32, Peer>,
-    /// When the last look at membership began that found all told.
-    looked: Option<Duration>,
-    /// It is not to vouch for anything now.
-    withheld: bool,
+    /// Start of the last membership read after which all drains were announced.
+    last_read: Option<Duration>,
+    /// Whether grants are suspended.
+    suspended: bool,
 }
 
 impl LeaseGrantor {
-    /// With these others, none of which was heard yet.
-    pub fn new(peers: impl IntoIterator<Item = u32>, lease: Duration) -> Self {
-        let silent = |number| (number, Peer { id: 0, known: Duration::ZERO, lost: Some(Duration::ZERO) });
-        Self { lease, peers: peers.into_iter().map(silent).collect(), looked: None, withheld: false }
+    /// Creates the state for the given peers, none of which has answered yet.
+    pub fn new(peers: impl IntoIterator<Item = u32>, max_lease: Duration) -> Self {
+        let unanswered = |number| {
+            (number, Peer { epoch: 0, known_until: Duration::ZERO, restarted_at: Some(Duration::ZERO) })
+        };
+        Self {
+            max_lease,
+            peers: peers.into_iter().map(unanswered).collect(),
+            last_read: None,
+            suspended: false,
+        }
     }
 
-    /// It vouches for nothing from now on, or no longer does that.
-    pub fn set_suspended(&mut self, withheld: bool) {
-        self.withheld = withheld;
+    /// Suspends or resumes the granting of leases.
+    pub fn set_suspended(&mut self, suspended: bool) {
+        self.suspended = suspended;
     }
 
-    /// It vouches for nothing now.
+    /// Whether grants are suspended.
     pub fn is_suspended(&self) -> bool {
-        self.withheld
+        self.suspended
     }
 
-    /// A planner answered a question of `asked`: all that it was told by then is here. `id` is that of
-    /// its start.
-    pub fn record_answer(&mut self, number: u32, id: u64, asked: Duration, now: Duration) {
+    /// Records a peer's answer to a request sent at `asked`. Everything that the peer knew at that time is
+    /// known here. `epoch` identifies the run of the peer.
+    pub fn record_answer(&mut self, number: u32, epoch: u64, sent_at: Duration, now: Duration) {
         let Some(peer) = self.peers.get_mut(&number) else { return };
-        if peer.id != id {
-            (peer.id, peer.lost) = (id, Some(now));
+        if peer.epoch != epoch {
+            (peer.epoch, peer.restarted_at) = (epoch, Some(now));
         }
-        if peer.lost.is_none() {
-            peer.known = peer.known.max(asked);
+        if peer.restarted_at.is_none() {
+            peer.known_until = peer.known_until.max(sent_at);
         }
     }
 
-    /// A look at membership, begun then, found nothing that is not told.
+    /// Records a membership read, started at `began`, whose drains were all announced.
     pub fn record_membership_read(&mut self, began: Duration) {
-        self.looked = self.looked.max(Some(began));
+        self.last_read = self.last_read.max(Some(began));
         for peer in self.peers.values_mut() {
-            if peer.lost.is_some_and(|since| began >= since) {
-                peer.lost = None;
+            if peer.restarted_at.is_some_and(|since| began >= since) {
+                peer.restarted_at = None;
             }
         }
     }
 
-    /// A look is wanted: some other planner was not heard for so long that leases would run short.
+    /// Whether a membership read is needed, because a peer has not answered for so long that leases would
+    /// become short.
     pub fn needs_membership_read(&self, now: Duration) -> bool {
-        self.looked.is_none()
-            || self.peers.values().any(|p| p.lost.is_some() || p.known + self.lease / 4 < now)
+        self.last_read.is_none()
+            || self
+                .peers
+                .values()
+                .any(|p| p.restarted_at.is_some() || p.known_until + self.max_lease / 4 < now)
     }
 
-    /// For how long from `now` on it may vouch.
+    /// The lease that may be granted at `now`.
     pub fn grantable_lease(&self, now: Duration) -> Duration {
-        let Some(looked) = self.looked.filter(|_| !self.withheld) else { return Duration::ZERO };
-        let known = self.peers.values().map(|p| p.known.max(looked)).min().unwrap_or(now);
-        (known + self.lease).saturating_sub(now).min(self.lease)
+        let Some(last_read) = self.last_read.filter(|_| !self.suspended) else { return Duration::ZERO };
+        let known_until = self.peers.values().map(|p| p.known_until.max(last_read)).min().unwrap_or(now);
+        (known_until + self.max_lease).saturating_sub(now).min(self.max_lease)
     }
 }
 
@@ -93,51 +103,60 @@
     }
 
     #[test]
-    fn it_vouches_no_longer_than_it_knows_what_all_know() {
-        let mut vouch = LeaseGrantor::new([1, 2], ms(400));
-        assert_eq!((vouch.grantable_lease(ms(0)), vouch.needs_membership_read(ms(0))), (ms(0), true));
-        vouch.record_membership_read(ms(10));
-        assert_eq!(vouch.grantable_lease(ms(20)), ms(390));
-        vouch.record_answer(1, 11, ms(30), ms(31));
-        vouch.record_answer(2, 12, ms(30), ms(31));
-        assert!(vouch.needs_membership_read(ms(32)), "they are new, and what they knew before is unknown");
-        vouch.record_membership_read(ms(40));
+    fn lease_ends_with_the_knowledge_of_what_all_peers_know() {
+        let mut grantor = LeaseGrantor::new([1, 2], ms(400));
+        assert_eq!((grantor.grantable_lease(ms(0)), grantor.needs_membership_read(ms(0))), (ms(0), true));
+        grantor.record_membership_read(ms(10));
+        assert_eq!(grantor.grantable_lease(ms(20)), ms(390));
+        grantor.record_answer(1, 11, ms(30), ms(31));
+        grantor.record_answer(2, 12, ms(30), ms(31));
+        assert!(
+            grantor.needs_membership_read(ms(32)),
+            "the peers are new, and their earlier knowledge is unknown"
+        );
+        grantor.record_membership_read(ms(40));
         for at in [50, 100, 150] {
-            vouch.record_answer(1, 11, ms(at), ms(at + 1));
-            vouch.record_answer(2, 12, ms(at), ms(at + 1));
+            grantor.record_answer(1, 11, ms(at), ms(at + 1));
+            grantor.record_answer(2, 12, ms(at), ms(at + 1));
         }
-        assert_eq!((vouch.grantable_lease(ms(160)), vouch.needs_membership_read(ms(160))), (ms(390), false));
-        // One falls silent: what it was told since 150 is not known, and no lease goes past 550.
-        vouch.record_answer(1, 11, ms(500), ms(501));
-        assert_eq!((vouch.grantable_lease(ms(500)), vouch.needs_membership_read(ms(500))), (ms(50), true));
-        assert_eq!(vouch.grantable_lease(ms(600)), ms(0));
-        // A look of its own tells what the silent one could have been told by then.
-        vouch.record_membership_read(ms(600));
-        assert_eq!(vouch.grantable_lease(ms(610)), ms(390));
-        // It is back as another start: it no longer knows what it was told.
-        vouch.record_answer(1, 11, ms(700), ms(701));
-        vouch.record_answer(2, 22, ms(700), ms(701));
-        assert_eq!(vouch.grantable_lease(ms(701)), ms(299));
-        vouch.record_membership_read(ms(700));
-        vouch.record_answer(2, 22, ms(750), ms(751));
         assert_eq!(
-            vouch.grantable_lease(ms(751)),
+            (grantor.grantable_lease(ms(160)), grantor.needs_membership_read(ms(160))),
+            (ms(390), false)
+        );
+        // Peer 2 falls silent: what it knew after 150 is unknown, and no lease ends after 550.
+        grantor.record_answer(1, 11, ms(500), ms(501));
+        assert_eq!(
+            (grantor.grantable_lease(ms(500)), grantor.needs_membership_read(ms(500))),
+            (ms(50), true)
+        );
+        assert_eq!(grantor.grantable_lease(ms(600)), ms(0));
+        // An own read at 600 shows what the silent peer could have known by then.
+        grantor.record_membership_read(ms(600));
+        assert_eq!(grantor.grantable_lease(ms(610)), ms(390));
+        // Peer 2 returns after a restart and no longer knows what it knew before.
+        grantor.record_answer(1, 11, ms(700), ms(701));
+        grantor.record_answer(2, 22, ms(700), ms(701));
+        assert_eq!(grantor.grantable_lease(ms(701)), ms(299));
+        grantor.record_membership_read(ms(700));
+        grantor.record_answer(2, 22, ms(750), ms(751));
+        assert_eq!(
+            grantor.grantable_lease(ms(751)),
             ms(349),
-            "that look began before it was known to be another"
+            "the read began before the restart was noticed"
         );
-        vouch.record_membership_read(ms(760));
-        vouch.record_answer(1, 11, ms(790), ms(791));
-        vouch.record_answer(2, 22, ms(790), ms(791));
-        assert_eq!(vouch.grantable_lease(ms(800)), ms(390));
+        grantor.record_membership_read(ms(760));
+        grantor.record_answer(1, 11, ms(790), ms(791));
+        grantor.record_answer(2, 22, ms(790), ms(791));
+        assert_eq!(grantor.grantable_lease(ms(800)), ms(390));
     }
 
     #[test]
-    fn a_planner_alone_knows_all_that_any_does() {
-        let mut vouch = LeaseGrantor::new([], ms(400));
-        assert_eq!(vouch.grantable_lease(ms(1000)), ms(0), "it has not looked yet");
-        vouch.record_membership_read(ms(1000));
+    fn single_planner_grants_full_leases_after_its_first_read() {
+        let mut grantor = LeaseGrantor::new([], ms(400));
+        assert_eq!(grantor.grantable_lease(ms(1000)), ms(0), "membership was not read yet");
+        grantor.record_membership_read(ms(1000));
         assert_eq!(
-            (vouch.grantable_lease(ms(9000)), vouch.needs_membership_read(ms(9000))),
+            (grantor.grantable_lease(ms(9000)), grantor.needs_membership_read(ms(9000))),
             (ms(400), false)
         );
     }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,10 +1,11 @@
-//! Planners that agree.
+//! Agreement among the planners of a fleet.
 //!
-//! Each planner watches membership itself. What it sees is agreed by Raft (openraft) and becomes one
-//! plan ([`fleet`]); drains go ahead of agreement, from any planner to all others and to all forwarders.
-//! A planner vouches for what it tells for no longer than it knows what every other knew ([`vouch`]). All
-//! that is agreed is kept in memory: a process that starts anew is another member, and [`join`] says
-//! which group it belongs to. [`Cluster`] runs all of this over TCP.
+//! Each planner watches membership itself. The planners agree on their views by Raft (openraft), and the
+//! views result in one plan ([`fleet`]). Drains do not wait for agreement: any planner announces them
+//! directly to all other planners and to all forwarders. A planner grants leases only for as long as it knows
+//! what every other planner knew ([`lease_grantor`]). All agreed state is kept in memory: a restarted process
+//! is a new Raft member, and [`join`] decides which group it belongs to. [`Cluster`] runs these parts over
+//! TCP.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/cluster/src/link.rs
+++ b/crates/cluster/src/link.rs
@@ -1,4 +1,6 @@
-//! What planners say to each other, and a connection to say it on: one question, one answer.
+//! The protocol between planners, and a client connection that sends one request at a time.
+//!
+//! Messages are encoded as CBOR behind a length of four bytes.
 
 use crate::fleet::Command;
 use crate::raft::{Applied, Types};
@@ -15,108 +17,116 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The longest message between planners, in bytes: sixteen views of 20,000 nodes.
-pub const MOST_BYTES: usize = 64 << 20;
+/// Maximum length of a message between planners, in bytes: 16 views of 20,000 nodes.
+pub const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
-/// A message of agreement, for one member of one group.
+/// A Raft message for one member of one group.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ToMember {
-    /// The group.
+pub struct RaftRequest {
+    /// Id of the group.
     pub group: u64,
-    /// The member.
+    /// Id of the member.
     pub member: u64,
     /// The message.
-    pub message: Message,
+    pub message: RaftMessage,
 }
 
-/// A message of agreement.
+/// A Raft request.
 #[derive(Debug, Serialize, Deserialize)]
-#[allow(missing_docs)] // as openraft has them
-pub enum Message {
+#[allow(missing_docs)] // named as in openraft
+pub enum RaftMessage {
     Append(AppendEntriesRequest<Types>),
     Vote(VoteRequest<u64>),
     Snapshot(InstallSnapshotRequest<Types>),
 }
 
-/// The answer to one.
+/// The reply to a Raft request.
 #[derive(Debug, Serialize, Deserialize)]
-#[allow(missing_docs)] // as openraft has them
-pub enum Answered {
+#[allow(missing_docs)] // named as in openraft
+pub enum RaftReply {
     Append(Result<AppendEntriesResponse<u64>, RaftError<u64>>),
     Vote(Result<VoteResponse<u64>, RaftError<u64>>),
     Snapshot(Result<InstallSnapshotResponse<u64>, RaftError<u64, InstallSnapshotError>>),
 }
 
-/// What one planner asks another.
+/// A request from one planner to another.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Question {
-    /// Where do you stand, and which drains were you told of after that mark?
+pub enum PlannerRequest {
+    /// Asks for the planner's status and the drains that it announced after `acknowledged`.
     Status {
-        /// Who asks: its number.
+        /// Number of the requesting planner.
         from: u32,
-        /// Up to where it has heard the other's news.
-        heard: AnnouncementVersion,
+        /// The latest announcement that the requesting planner knows.
+        #[serde(rename = "heard")]
+        acknowledged: AnnouncementVersion,
     },
-    /// Of agreement.
-    Member(Box<ToMember>),
-    /// Have that agreed, as the leader.
+    /// A Raft request.
+    Member(Box<RaftRequest>),
+    /// Asks the leader to propose a command.
     Propose(Command),
 }
 
-/// The answers.
+/// A reply to a [`PlannerRequest`].
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Reply {
-    /// To [`Question::Status`].
-    Status(Status),
-    /// To [`Question::Member`].
-    Member(Box<Answered>),
-    /// To [`Question::Propose`]: what came of it.
+pub enum PlannerReply {
+    /// Reply to [`PlannerRequest::Status`].
+    Status(PlannerStatus),
+    /// Reply to [`PlannerRequest::Member`].
+    Member(Box<RaftReply>),
+    /// Reply to [`PlannerRequest::Propose`]: the result of the command.
     Proposed(Applied),
-    /// Not done; why.
-    Refused(String),
+    /// The request was rejected, with the reason.
+    #[serde(rename = "Refused")]
+    Rejected(String),
 }
 
-/// Where a planner stands.
+/// Status of a planner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Status {
-    /// Its number.
+pub struct PlannerStatus {
+    /// Number of the planner.
     pub number: u32,
-    /// Its identity.
+    /// Raft member id of the planner.
     pub id: u64,
-    /// Its group.
+    /// Group of the planner.
     pub group: Option<u64>,
-    /// Its group has a leader.
-    pub led: bool,
-    /// It has read membership since it started, and nothing of its news up to `mark` is missing in
-    /// `news` for who has heard what was said.
+    /// Whether the group has a leader.
+    #[serde(rename = "led")]
+    pub has_leader: bool,
+    /// Whether the planner has read membership since it started, and `drains` contains all its announcements
+    /// after the acknowledged one.
     pub complete: bool,
-    /// The mark of its last news.
-    pub mark: AnnouncementVersion,
-    /// Drains that it was told of.
-    pub news: Vec<(AnnouncementVersion, String)>,
-    /// The highest term of a plan that it has seen with a follower.
-    pub term: u64,
+    /// Version of the planner's latest announcement.
+    #[serde(rename = "mark")]
+    pub announcement_version: AnnouncementVersion,
+    /// The drains announced after the acknowledged announcement.
+    #[serde(rename = "news")]
+    pub drains: Vec<(AnnouncementVersion, String)>,
+    /// The highest term of a plan that the planner has seen with a follower.
+    #[serde(rename = "term")]
+    pub highest_term: u64,
 }
 
-/// Writes a message.
+/// Encodes a message with its length prefix. Fails if the message is too long.
 pub fn write<T: Serialize>(message: &T) -> io::Result<Vec<u8>> {
     let mut bytes = vec![0; 4];
     ciborium::into_writer(message, &mut bytes).map_err(|error| io::Error::other(error.to_string()))?;
     let length = bytes.len() - 4;
-    if length > MOST_BYTES {
-        return Err(io::Error::other(format!("expected at most {MOST_BYTES} bytes, found {length}")));
+    if length > MAX_MESSAGE_BYTES {
+        return Err(io::Error::other(format!(
+            "expected a message of at most {MAX_MESSAGE_BYTES} bytes, found {length}"
+        )));
     }
     bytes[..4].copy_from_slice(&(length as u32).to_le_bytes());
     Ok(bytes)
 }
 
-/// Reads a message.
+/// Decodes a message without its length prefix.
 pub fn read<T: DeserializeOwned>(bytes: &[u8]) -> io::Result<T> {
     ciborium::from_reader(bytes)
         .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error.to_string()))
 }
 
-/// A connection to another planner, made when it is needed.
+/// A connection to another planner, opened on demand.
 pub struct Link {
     address: SocketAddr,
     security: Security,
@@ -124,28 +134,28 @@
 }
 
 impl Link {
-    /// To the planner at that address.
+    /// Creates a link to the planner at `address`.
     pub fn new(address: SocketAddr, security: Security) -> Self {
         Self { address, security, stream: None }
     }
 
-    /// Asks, and has the answer within that time. Where it fails or the future is dropped the connection
-    /// goes with it: an answer that comes late must not be taken for the next one.
-    pub async fn ask(&mut self, question: &Question, within: Duration) -> io::Result<Reply> {
-        let kept = self.stream.take();
-        let asked = async {
-            let mut stream = match kept {
+    /// Sends a request and waits for the reply, both within `timeout`. On an error, or if the future is
+    /// dropped, the connection is closed, so that a late reply is not taken for the next one.
+    pub async fn request(&mut self, request: &PlannerRequest, timeout: Duration) -> io::Result<PlannerReply> {
+        let open_stream = self.stream.take();
+        let exchange = async {
+            let mut stream = match open_stream {
                 Some(stream) => stream,
                 None => {
                     let stream = TcpStream::connect(self.address).await?;
                     self.security.connect(stream, Role::Planner).await?
                 }
             };
-            frame::write(&mut stream, &write(question)?).await?;
-            let reply = read(&frame::read(&mut stream, MOST_BYTES, within).await?)?;
+            frame::write(&mut stream, &write(request)?).await?;
+            let reply = read(&frame::read(&mut stream, MAX_MESSAGE_BYTES, timeout).await?)?;
             Ok::<_, io::Error>((stream, reply))
         };
-        let (stream, reply) = tokio::time::timeout(within, asked).await??;
+        let (stream, reply) = tokio::time::timeout(timeout, exchange).await??;
         self.stream = Some(stream);
         Ok(reply)
     }
--- a/crates/cluster/src/missing_nodes.rs
+++ b/crates/cluster/src/missing_nodes.rs
@@ -1,35 +1,36 @@
-//! A planner that begins beside others who know nodes that it does not.
+//! Announces drains for nodes that other planners list and a newly started planner does not.
 //!
-//! What a planner reads at its start is news: a node that the others still list and that its own reading does
-//! not show is gone, as far as anyone can tell, and it was told so. Else it would vouch, by a look that
-//! is fresh, for a plan that has the node serving by the word of one who hasn't looked for long. So it tells
-//! of each as of a drain, ahead of its own view. A planner that lacks more than half of what the others
-//! list has read the wrong inventory rather than seen half a fleet go: it says nothing of it, has no view
-//! agreed, and vouches for nothing until that is mended.
+//! A node that the others still list and that the first read of a new planner does not show has probably left
+//! the fleet. Without an announcement, the new planner would grant leases, based on its recent read, for a
+//! plan that lists the node as serving because of an older read of another planner. It therefore announces a
+//! drain of each such node before its own view is agreed. A planner that lacks more than half of the listed
+//! nodes has probably read an incomplete inventory: it announces nothing, proposes no view and grants no
+//! leases until the nodes are back.
 
 use crate::fleet::Fleet;
 use crate::lease_grantor::LeaseGrantor;
 use dewpier_plan::{Announcer, PlannerMessage};
 
-/// To be called before a plan that is agreed is published by this planner. Returns the drains to be told
-/// first.
+/// Returns the drains to announce for an agreed state, and suspends or resumes grants. To be called before
+/// the plan of that state is published.
 pub fn drain_missing_nodes(
     fleet: &Fleet,
-    me: u32,
+    planner: u32,
     announcer: &mut Announcer,
-    vouch: &mut LeaseGrantor,
+    grantor: &mut LeaseGrantor,
 ) -> Vec<PlannerMessage> {
-    let begun = fleet.announcement_version(me).is_some_and(|mark| mark.epoch == announcer.version().epoch);
+    let view_agreed =
+        fleet.announcement_version(planner).is_some_and(|version| version.epoch == announcer.version().epoch);
     let plan = fleet.plan();
-    let lacks = announcer.missing_nodes(&plan.nodes);
-    // Before it has read anything it vouches for nothing anyway.
-    let wrong = announcer.version().sequence > 0 && 2 * lacks.len() > plan.nodes.len();
-    vouch.set_suspended(wrong);
-    // Once its view is among theirs, what they list beyond it is new.
-    if wrong || begun || announcer.version().sequence == 0 {
+    let missing = announcer.missing_nodes(&plan.nodes);
+    // Before its first read a planner grants no leases in any case.
+    let inventory_incomplete = announcer.version().sequence > 0 && 2 * missing.len() > plan.nodes.len();
+    grantor.set_suspended(inventory_incomplete);
+    // Once the own view is agreed, nodes that only others list are new nodes.
+    if inventory_incomplete || view_agreed || announcer.version().sequence == 0 {
         Vec::new()
     } else {
-        announcer.announce_ended(lacks)
+        announcer.announce_ended(missing)
     }
 }
 
@@ -53,21 +54,21 @@
         ids.iter().map(node).collect()
     }
 
-    fn beginning(view: &[&str]) -> (Fleet, Announcer, LeaseGrantor) {
+    fn new_planner(view: &[&str]) -> (Fleet, Announcer, LeaseGrantor) {
         let mut fleet = Fleet::default();
-        let mark = AnnouncementVersion { epoch: 1, sequence: 1 };
+        let version = AnnouncementVersion { epoch: 1, sequence: 1 };
         fleet
             .apply(
                 1,
                 1,
-                Command::View { planner: 0, announcement_version: mark, nodes: nodes(&["a", "b", "c"]) },
+                Command::View { planner: 0, announcement_version: version, nodes: nodes(&["a", "b", "c"]) },
             )
             .unwrap();
         let mut announcer = Announcer::new(1, 7);
         announcer.observe(nodes(view));
-        let mut vouch = LeaseGrantor::new([0], Duration::from_millis(400));
-        vouch.record_membership_read(Duration::from_millis(10));
-        (fleet, announcer, vouch)
+        let mut grantor = LeaseGrantor::new([0], Duration::from_millis(400));
+        grantor.record_membership_read(Duration::from_millis(10));
+        (fleet, announcer, grantor)
     }
 
     fn draining(fleet: &Fleet) -> Vec<String> {
@@ -75,39 +76,49 @@
     }
 
     #[test]
-    fn what_others_list_and_it_does_not_drains_ahead_of_its_view_and_by_it() {
-        let (mut fleet, mut announcer, mut vouch) = beginning(&["a", "b", "new"]);
-        let told = drain_missing_nodes(&fleet, 1, &mut announcer, &mut vouch);
-        let mark = announcer.version();
-        assert_eq!(told, [PlannerMessage::Drain { planner: 1, announcement_version: mark, id: "c".into() }]);
-        assert_eq!(drain_missing_nodes(&fleet, 1, &mut announcer, &mut vouch), [], "it is told once");
-        assert_eq!(vouch.grantable_lease(Duration::from_millis(20)), Duration::from_millis(390));
-        let view =
-            |mark, ids: &[&str]| Command::View { planner: 1, announcement_version: mark, nodes: nodes(ids) };
-        fleet.apply(1, 2, view(mark, &["a", "b", "new"])).unwrap();
-        assert_eq!(draining(&fleet), ["c", "new"], "the other has not listed that yet");
-        // Others list something more: that is new to it, and no news of an end.
+    fn nodes_missing_in_a_new_view_drain_before_and_after_it_is_agreed() {
+        let (mut fleet, mut announcer, mut grantor) = new_planner(&["a", "b", "new"]);
+        let drains = drain_missing_nodes(&fleet, 1, &mut announcer, &mut grantor);
+        let version = announcer.version();
+        assert_eq!(
+            drains,
+            [PlannerMessage::Drain { planner: 1, announcement_version: version, id: "c".into() }]
+        );
+        assert_eq!(
+            drain_missing_nodes(&fleet, 1, &mut announcer, &mut grantor),
+            [],
+            "each drain is announced once"
+        );
+        assert_eq!(grantor.grantable_lease(Duration::from_millis(20)), Duration::from_millis(390));
+        let view = |version, ids: &[&str]| Command::View {
+            planner: 1,
+            announcement_version: version,
+            nodes: nodes(ids),
+        };
+        fleet.apply(1, 2, view(version, &["a", "b", "new"])).unwrap();
+        assert_eq!(draining(&fleet), ["c", "new"], "the other planner does not list the new node yet");
+        // Another planner adds a node: no drain is announced for it.
         let change =
             |from, to, set: &[&str]| Command::Change { planner: 0, from, to, set: nodes(set), gone: vec![] };
         let at = |sequence| AnnouncementVersion { epoch: 1, sequence };
         fleet.apply(1, 3, change(at(1), at(2), &["later"])).unwrap();
-        assert_eq!(drain_missing_nodes(&fleet, 1, &mut announcer, &mut vouch), []);
-        assert_eq!(draining(&fleet), ["c", "new"], "the other has not listed that yet");
+        assert_eq!(drain_missing_nodes(&fleet, 1, &mut announcer, &mut grantor), []);
+        assert_eq!(draining(&fleet), ["c", "new"], "the other planner does not list the new node yet");
     }
 
     #[test]
-    fn one_that_lacks_most_of_it_tells_nothing_and_vouches_for_nothing() {
-        let (fleet, mut announcer, mut vouch) = beginning(&["a"]);
-        assert_eq!(drain_missing_nodes(&fleet, 1, &mut announcer, &mut vouch), []);
+    fn planner_that_lacks_most_nodes_announces_nothing_and_grants_no_leases() {
+        let (fleet, mut announcer, mut grantor) = new_planner(&["a"]);
+        assert_eq!(drain_missing_nodes(&fleet, 1, &mut announcer, &mut grantor), []);
         assert_eq!(
-            (vouch.grantable_lease(Duration::from_millis(20)), vouch.is_suspended()),
+            (grantor.grantable_lease(Duration::from_millis(20)), grantor.is_suspended()),
             (Duration::ZERO, true)
         );
-        // Its inventory is mended.
+        // The inventory is complete again.
         announcer.observe(nodes(&["a", "b", "c"]));
-        assert_eq!(drain_missing_nodes(&fleet, 1, &mut announcer, &mut vouch), []);
+        assert_eq!(drain_missing_nodes(&fleet, 1, &mut announcer, &mut grantor), []);
         assert_eq!(
-            (vouch.grantable_lease(Duration::from_millis(20)), vouch.is_suspended()),
+            (grantor.grantable_lease(Duration::from_millis(20)), grantor.is_suspended()),
             (Duration::from_millis(390), false)
         );
     }
--- a/crates/cluster/src/raft/mod.rs
+++ b/crates/cluster/src/raft/mod.rs
@@ -1,17 +1,17 @@
-//! Agreement by openraft: its types, what it keeps, and how its messages travel.
+//! Raft by openraft: type configuration, storage and network.
 
 mod network;
 mod store;
 
 pub use network::Network;
-pub use store::{Log, Machine};
+pub use store::{FleetStateMachine, LogStore};
 
 use crate::fleet::{Command, CommandRejection};
 use serde::{Deserialize, Serialize};
 use std::io::Cursor;
 
 openraft::declare_raft_types!(
-    /// The types of agreement.
+    /// The types of the Raft instances.
     pub Types:
         D = Command,
         R = Applied,
@@ -22,14 +22,14 @@
         AsyncRuntime = openraft::TokioRuntime,
 );
 
-/// What came of a command: whether the plan has changed.
+/// The result of a command: whether the plan has changed, or why the command was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Applied(pub Result<bool, CommandRejection>);
 
 /// A member of a group.
 pub type Raft = openraft::Raft<Types>;
 
-/// How groups run. Times are in milliseconds.
+/// The Raft configuration of all groups. Times are in milliseconds.
 pub fn config() -> openraft::Config {
     openraft::Config {
         cluster_name: "dewpier-planners".into(),
@@ -37,7 +37,7 @@
         election_timeout_min: 400,
         election_timeout_max: 800,
         install_snapshot_timeout: 2000,
-        // One view of a large fleet is some megabytes.
+        // A view of a large fleet has several megabytes.
         max_payload_entries: 16,
         snapshot_policy: openraft::SnapshotPolicy::LogsSinceLast(200),
         max_in_snapshot_log_to_keep: 50,
--- a/crates/cluster/src/raft/network.rs
+++ b/crates/cluster/src/raft/network.rs
@@ -1,8 +1,8 @@
-//! openraft's messages on connections to the other planners.
+//! Sends Raft messages over connections to the other planners.
 
 use super::Types;
-use crate::join::number;
-use crate::link::{Answered, Link, Message, Question, Reply, ToMember};
+use crate::join::planner_number;
+use crate::link::{Link, PlannerReply, PlannerRequest, RaftMessage, RaftReply, RaftRequest};
 use dewpier_plan::io::Security;
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::{RPCOption, RaftNetwork, RaftNetworkFactory};
@@ -15,14 +15,14 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Makes connections for one member of a group.
+/// Creates connections for one member of a group.
 #[derive(Clone, Debug)]
 pub struct Network {
-    /// The group.
+    /// Id of the group.
     pub group: u64,
-    /// Where the planner of each number is.
+    /// Addresses of the planners, by number.
     pub addresses: BTreeMap<u32, SocketAddr>,
-    /// How connections to them are secured.
+    /// How the connections are secured.
     pub security: Security,
 }
 
@@ -37,8 +37,10 @@
     type Network = Connection;
 
     async fn new_client(&mut self, member: u64, _: &EmptyNode) -> Connection {
-        let link =
-            self.addresses.get(&number(member)).map(|address| Link::new(*address, self.security.clone()));
+        let link = self
+            .addresses
+            .get(&planner_number(member))
+            .map(|address| Link::new(*address, self.security.clone()));
         Connection { group: self.group, member, link }
     }
 }
@@ -46,37 +48,39 @@
 type Failure<E> = RPCError<u64, EmptyNode, E>;
 
 impl Connection {
-    async fn ask<E: std::error::Error>(
+    async fn request<E: std::error::Error>(
         &mut self,
-        message: Message,
+        message: RaftMessage,
         option: RPCOption,
-    ) -> Result<Answered, Failure<E>> {
+    ) -> Result<RaftReply, Failure<E>> {
         let Some(link) = &mut self.link else {
-            let error = io::Error::other("no planner has that number");
+            let error = io::Error::other("no planner has the number of this member");
             return Err(RPCError::Unreachable(Unreachable::new(&error)));
         };
-        let message = ToMember { group: self.group, member: self.member, message };
-        match link.ask(&Question::Member(Box::new(message)), option.hard_ttl()).await {
-            Ok(Reply::Member(answered)) => Ok(*answered),
-            // It is of another group, or another start of that planner: there is no hurry.
-            Ok(Reply::Refused(why)) => Err(RPCError::Unreachable(Unreachable::new(&AnyError::error(why)))),
+        let message = RaftRequest { group: self.group, member: self.member, message };
+        match link.request(&PlannerRequest::Member(Box::new(message)), option.hard_ttl()).await {
+            Ok(PlannerReply::Member(reply)) => Ok(*reply),
+            // The planner is in another group or was restarted: retries can wait.
+            Ok(PlannerReply::Rejected(reason)) => {
+                Err(RPCError::Unreachable(Unreachable::new(&AnyError::error(reason))))
+            }
             Ok(other) => {
-                let error = AnyError::error(format!("expected an answer, found {other:?}"));
+                let error = AnyError::error(format!("expected a Raft reply, found {other:?}"));
                 Err(RPCError::Network(NetworkError::new(&error)))
             }
-            // Unreachable has openraft wait for a while before it tries again.
+            // `Unreachable` makes openraft wait before it retries.
             Err(error) => Err(RPCError::Unreachable(Unreachable::new(&error))),
         }
     }
 
-    #[allow(clippy::result_large_err)] // it is openraft's own
-    fn remote<T, E: std::error::Error>(&self, answer: Result<T, E>) -> Result<T, Failure<E>> {
+    #[allow(clippy::result_large_err)] // openraft's own error type is large
+    fn remote_result<T, E: std::error::Error>(&self, answer: Result<T, E>) -> Result<T, Failure<E>> {
         answer.map_err(|error| RPCError::RemoteError(RemoteError::new(self.member, error)))
     }
 }
 
-fn another<E: std::error::Error>() -> Failure<E> {
-    let error = AnyError::error("expected the answer to what was asked, found another");
+fn unexpected_reply<E: std::error::Error>() -> Failure<E> {
+    let error = AnyError::error("expected a reply of the kind that was requested, found another kind");
     RPCError::Network(NetworkError::new(&error))
 }
 
@@ -86,9 +90,9 @@
         rpc: AppendEntriesRequest<Types>,
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<u64>, Failure<RaftError<u64>>> {
-        match self.ask(Message::Append(rpc), option).await? {
-            Answered::Append(answer) => self.remote(answer),
-            _ => Err(another()),
+        match self.request(RaftMessage::Append(rpc), option).await? {
+            RaftReply::Append(answer) => self.remote_result(answer),
+            _ => Err(unexpected_reply()),
         }
     }
 
@@ -97,9 +101,9 @@
         rpc: InstallSnapshotRequest<Types>,
         option: RPCOption,
     ) -> Result<InstallSnapshotResponse<u64>, Failure<RaftError<u64, InstallSnapshotError>>> {
-        match self.ask(Message::Snapshot(rpc), option).await? {
-            Answered::Snapshot(answer) => self.remote(answer),
-            _ => Err(another()),
+        match self.request(RaftMessage::Snapshot(rpc), option).await? {
+            RaftReply::Snapshot(answer) => self.remote_result(answer),
+            _ => Err(unexpected_reply()),
         }
     }
 
@@ -108,9 +112,9 @@
         rpc: VoteRequest<u64>,
         option: RPCOption,
     ) -> Result<VoteResponse<u64>, Failure<RaftError<u64>>> {
-        match self.ask(Message::Vote(rpc), option).await? {
-            Answered::Vote(answer) => self.remote(answer),
-            _ => Err(another()),
+        match self.request(RaftMessage::Vote(rpc), option).await? {
+            RaftReply::Vote(answer) => self.remote_result(answer),
+            _ => Err(unexpected_reply()),
         }
     }
 }
--- a/crates/cluster/src/raft/store.rs
+++ b/crates/cluster/src/raft/store.rs
@@ -1,5 +1,5 @@
-//! What a member keeps: its log and what is agreed, in memory. A process that starts anew is another
-//! member (`join.rs`), so that nothing of it has to outlive the process.
+//! In-memory storage of a Raft member: its log and the agreed state. A restarted process is a new member (see
+//! `join.rs`), so nothing needs to be persisted.
 
 use super::{Applied, Types};
 use crate::fleet::Fleet;
@@ -18,38 +18,38 @@
 type Failure = StorageError<u64>;
 
 #[derive(Debug, Default)]
-struct Kept {
+struct LogContents {
     vote: Option<Vote<u64>>,
     purged: Option<LogId<u64>>,
     entries: BTreeMap<u64, Entry<Types>>,
 }
 
-/// The log. Bounded by openraft's snapshots, which purge it.
+/// The Raft log, bounded by openraft's snapshots.
 #[derive(Clone, Debug, Default)]
-pub struct Log(Arc<Mutex<Kept>>);
+pub struct LogStore(Arc<Mutex<LogContents>>);
 
-impl Log {
-    fn kept(&self) -> MutexGuard<'_, Kept> {
+impl LogStore {
+    fn contents(&self) -> MutexGuard<'_, LogContents> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl RaftLogReader<Types> for Log {
+impl RaftLogReader<Types> for LogStore {
     async fn try_get_log_entries<R: RangeBounds<u64> + Clone + Debug + OptionalSend>(
         &mut self,
         range: R,
     ) -> Result<Vec<Entry<Types>>, Failure> {
-        Ok(self.kept().entries.range(range).map(|(_, entry)| entry.clone()).collect())
+        Ok(self.contents().entries.range(range).map(|(_, entry)| entry.clone()).collect())
     }
 }
 
-impl RaftLogStorage<Types> for Log {
+impl RaftLogStorage<Types> for LogStore {
     type LogReader = Self;
 
     async fn get_log_state(&mut self) -> Result<LogState<Types>, Failure> {
-        let kept = self.kept();
-        let last = kept.entries.last_key_value().map(|(_, entry)| entry.log_id).or(kept.purged);
-        Ok(LogState { last_purged_log_id: kept.purged, last_log_id: last })
+        let contents = self.contents();
+        let last = contents.entries.last_key_value().map(|(_, entry)| entry.log_id).or(contents.purged);
+        Ok(LogState { last_purged_log_id: contents.purged, last_log_id: last })
     }
 
     async fn get_log_reader(&mut self) -> Self {
@@ -57,12 +57,12 @@
     }
 
     async fn save_vote(&mut self, vote: &Vote<u64>) -> Result<(), Failure> {
-        self.kept().vote = Some(*vote);
+        self.contents().vote = Some(*vote);
         Ok(())
     }
 
     async fn read_vote(&mut self) -> Result<Option<Vote<u64>>, Failure> {
-        Ok(self.kept().vote)
+        Ok(self.contents().vote)
     }
 
     async fn append<I>(&mut self, entries: I, callback: LogFlushed<Types>) -> Result<(), Failure>
@@ -70,20 +70,20 @@
         I: IntoIterator<Item = Entry<Types>> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
-        self.kept().entries.extend(entries.into_iter().map(|entry| (entry.log_id.index, entry)));
+        self.contents().entries.extend(entries.into_iter().map(|entry| (entry.log_id.index, entry)));
         callback.log_io_completed(Ok(()));
         Ok(())
     }
 
     async fn truncate(&mut self, from: LogId<u64>) -> Result<(), Failure> {
-        self.kept().entries.split_off(&from.index);
+        self.contents().entries.split_off(&from.index);
         Ok(())
     }
 
     async fn purge(&mut self, upto: LogId<u64>) -> Result<(), Failure> {
-        let mut kept = self.kept();
-        kept.entries = kept.entries.split_off(&(upto.index + 1));
-        kept.purged = Some(upto);
+        let mut contents = self.contents();
+        contents.entries = contents.entries.split_off(&(upto.index + 1));
+        contents.purged = Some(upto);
         Ok(())
     }
 }
@@ -97,17 +97,17 @@
     snapshots: u64,
 }
 
-/// What is agreed. The latest state of it goes to those who watch.
+/// The Raft state machine around a [`Fleet`]. Publishes each new state to the watchers.
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub struct FleetStateMachine {
     state: Arc<Mutex<State>>,
-    told: watch::Sender<Arc<Fleet>>,
+    fleet_updates: watch::Sender<Arc<Fleet>>,
 }
 
-impl Machine {
-    /// One that tells there.
-    pub fn new(told: watch::Sender<Arc<Fleet>>) -> Self {
-        Self { state: Arc::default(), told }
+impl FleetStateMachine {
+    /// Creates a state machine that publishes to `fleet_updates`.
+    pub fn new(fleet_updates: watch::Sender<Arc<Fleet>>) -> Self {
+        Self { state: Arc::default(), fleet_updates }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -115,7 +115,7 @@
     }
 }
 
-impl RaftSnapshotBuilder<Types> for Machine {
+impl RaftSnapshotBuilder<Types> for FleetStateMachine {
     async fn build_snapshot(&mut self) -> Result<Snapshot<Types>, Failure> {
         let mut state = self.state();
         let mut bytes = Vec::new();
@@ -133,7 +133,7 @@
     }
 }
 
-impl RaftStateMachine<Types> for Machine {
+impl RaftStateMachine<Types> for FleetStateMachine {
     type SnapshotBuilder = Self;
 
     async fn applied_state(
@@ -153,22 +153,22 @@
         let (mut applied, mut changed) = (Vec::new(), false);
         for entry in entries {
             state.applied = Some(entry.log_id);
-            let mut came = Applied(Ok(false));
+            let mut outcome = Applied(Ok(false));
             match entry.payload {
                 EntryPayload::Blank => {}
                 EntryPayload::Normal(command) => {
-                    came = Applied(fleet.apply(entry.log_id.leader_id.term, entry.log_id.index, command));
-                    changed |= came == Applied(Ok(true));
+                    outcome = Applied(fleet.apply(entry.log_id.leader_id.term, entry.log_id.index, command));
+                    changed |= outcome == Applied(Ok(true));
                 }
                 EntryPayload::Membership(membership) => {
                     state.membership = StoredMembership::new(Some(entry.log_id), membership);
                 }
             }
-            applied.push(came);
+            applied.push(outcome);
         }
         if changed {
             state.fleet = Arc::new(fleet);
-            self.told.send_replace(state.fleet.clone());
+            self.fleet_updates.send_replace(state.fleet.clone());
         }
         Ok(applied)
     }
@@ -196,7 +196,7 @@
         state.applied = meta.last_log_id;
         state.membership = meta.last_membership.clone();
         state.snapshot = Some((meta.clone(), bytes));
-        self.told.send_replace(state.fleet.clone());
+        self.fleet_updates.send_replace(state.fleet.clone());
         Ok(())
     }
 
