--- a/crates/cluster/tests/fleet.rs
+++ b/crates/cluster/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What planners agree on, against a plain model of it. Seeded.
+//! The agreed state, checked against a simple model with random commands. Seeded.
 
 use dewpier_cluster::fleet::{Command, CommandRejection, Fleet};
 use dewpier_plan::{AnnouncementVersion, Node};
@@ -17,30 +17,30 @@
     }
 }
 
-fn mark(epoch: u64, sequence: u64) -> AnnouncementVersion {
+fn version(epoch: u64, sequence: u64) -> AnnouncementVersion {
     AnnouncementVersion { epoch, sequence }
 }
 
 #[derive(Default)]
-struct Planner {
-    mark: AnnouncementVersion,
+struct PlannerModel {
+    version: AnnouncementVersion,
     view: BTreeMap<String, bool>,
-    /// What it has ever listed while anyone did.
-    seen: BTreeSet<String>,
-    live: bool,
+    /// All nodes that the planner has listed while any planner listed them.
+    ever_listed: BTreeSet<String>,
+    active: bool,
 }
 
 #[test]
-fn a_node_serves_only_where_no_planner_says_otherwise() {
+fn node_serves_only_if_no_planner_drains_or_removes_it() {
     let mut rng = Rng::from_env("FLEET_SEED", 11);
     let seeds = std::env::var("FLEET_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(400);
-    let (mut applied, mut draining, mut old) = (0, 0, 0);
+    let (mut applied, mut draining, mut outdated) = (0, 0, 0);
     for _ in 0..seeds {
         let seed = rng.number();
         let mut rng = Rng::new(seed);
         let mut fleet = Fleet::default();
-        let mut planners: Vec<Planner> = (0..3).map(|_| Planner::default()).collect();
-        let mut version = fleet.plan().version;
+        let mut planners: Vec<PlannerModel> = (0..3).map(|_| PlannerModel::default()).collect();
+        let mut last_version = fleet.plan().version;
         let ids: Vec<String> = (0..5).map(|i| format!("n{i}")).collect();
         for index in 1..60u64 {
             let n = rng.below(3);
@@ -56,112 +56,119 @@
                 view.iter().map(|(id, draining)| node(id, *draining)).collect()
             };
             let command = match rng.below(10) {
-                0 => Command::Expel { planner: number, epoch: p.mark.epoch + rng.below(2) as u64 },
+                0 => Command::Expel { planner: number, epoch: p.version.epoch + rng.below(2) as u64 },
                 1..3 => Command::View {
                     planner: number,
-                    announcement_version: mark(p.mark.epoch + rng.below(2) as u64, 1),
+                    announcement_version: version(p.version.epoch + rng.below(2) as u64, 1),
                     nodes: nodes(&view),
                 },
                 _ => {
-                    let from = mark(p.mark.epoch, p.mark.sequence.saturating_sub(rng.below(9) as u64 / 8));
+                    let from =
+                        version(p.version.epoch, p.version.sequence.saturating_sub(rng.below(9) as u64 / 8));
                     let gone = p.view.keys().filter(|id| !view.contains_key(*id)).cloned().collect();
-                    let to = mark(from.epoch, p.mark.sequence.saturating_add(1));
+                    let to = version(from.epoch, p.version.sequence.saturating_add(1));
                     Command::Change { planner: number, from, to, set: nodes(&view), gone }
                 }
             };
-            let came = fleet.apply(1, index, command.clone());
-            // The model.
-            let fits = match &command {
-                Command::View { announcement_version: mark, .. } => mark.epoch > p.mark.epoch,
-                Command::Change { from, .. } => p.live && *from == p.mark && from.sequence < u64::MAX,
-                Command::Expel { epoch, .. } => *epoch > p.mark.epoch || (*epoch == p.mark.epoch && p.live),
+            let result = fleet.apply(1, index, command.clone());
+            // The expected result according to the model.
+            let is_applicable = match &command {
+                Command::View { announcement_version, .. } => announcement_version.epoch > p.version.epoch,
+                Command::Change { from, .. } => p.active && *from == p.version && from.sequence < u64::MAX,
+                Command::Expel { epoch, .. } => {
+                    *epoch > p.version.epoch || (*epoch == p.version.epoch && p.active)
+                }
                 Command::Base(_) => unreachable!(),
             };
-            // At the very first a planner of epoch 0 is expelled though it was never heard.
-            let fresh = matches!(&command, Command::Expel { epoch: 0, .. })
-                && p.mark == AnnouncementVersion::default();
+            // A planner without a view can be expelled in epoch 0.
+            let is_first_expulsion = matches!(&command, Command::Expel { epoch: 0, .. })
+                && p.version == AnnouncementVersion::default();
             assert_eq!(
-                came,
-                if fits || fresh { Ok(true) } else { Err(CommandRejection::Outdated) },
+                result,
+                if is_applicable || is_first_expulsion { Ok(true) } else { Err(CommandRejection::Outdated) },
                 "seed {seed}: {command:?}"
             );
-            if came.is_err() {
-                old += 1;
+            if result.is_err() {
+                outdated += 1;
                 continue;
             }
             applied += 1;
-            // What the others list when a view begins counts as seen by it.
-            let others = planners.iter().enumerate().filter(|(q, p)| *q != n && p.live);
+            // Nodes that others list when a view begins count as listed before by its planner.
+            let others = planners.iter().enumerate().filter(|(q, p)| *q != n && p.active);
             let others: BTreeSet<String> = others.flat_map(|(_, p)| p.view.keys().cloned()).collect();
             let p = &mut planners[n];
             match command {
-                Command::View { announcement_version: mark, .. } => {
-                    p.seen.extend(others);
-                    (p.mark, p.view, p.live) = (mark, view.clone(), true);
-                    for (_, q) in planners.iter_mut().enumerate().filter(|(q, p)| *q != n && p.live) {
-                        let lacks: Vec<&String> =
+                Command::View { announcement_version, .. } => {
+                    p.ever_listed.extend(others);
+                    (p.version, p.view, p.active) = (announcement_version, view.clone(), true);
+                    for (_, q) in planners.iter_mut().enumerate().filter(|(q, p)| *q != n && p.active) {
+                        let missing: Vec<&String> =
                             view.keys().filter(|id| !q.view.contains_key(*id)).collect();
-                        if 2 * lacks.len() <= view.len() {
-                            q.seen.extend(lacks.into_iter().cloned());
+                        if 2 * missing.len() <= view.len() {
+                            q.ever_listed.extend(missing.into_iter().cloned());
                         }
                     }
                 }
-                Command::Change { to, .. } => (p.mark, p.view) = (to, view),
+                Command::Change { to, .. } => (p.version, p.view) = (to, view),
                 Command::Expel { epoch, .. } => {
-                    (p.mark, p.live) = (mark(epoch, u64::MAX), false);
+                    (p.version, p.active) = (version(epoch, u64::MAX), false);
                 }
                 Command::Base(_) => unreachable!(),
             }
             let listed: BTreeSet<String> =
-                planners.iter().filter(|p| p.live).flat_map(|p| p.view.keys().cloned()).collect();
+                planners.iter().filter(|p| p.active).flat_map(|p| p.view.keys().cloned()).collect();
             for p in &mut planners {
-                p.seen.extend(p.view.keys().cloned());
-                p.seen.retain(|id| listed.contains(id));
+                p.ever_listed.extend(p.view.keys().cloned());
+                p.ever_listed.retain(|id| listed.contains(id));
             }
             let plan = fleet.plan();
-            assert!(plan.version > version || plan.version.generation == 0, "seed {seed}: went back");
-            version = version.max(plan.version);
-            let named: BTreeSet<String> = plan.nodes.iter().map(|n| n.id.clone()).collect();
-            assert_eq!(named, listed, "seed {seed}");
+            assert!(
+                plan.version > last_version || plan.version.generation == 0,
+                "seed {seed}: version went back"
+            );
+            last_version = last_version.max(plan.version);
+            let planned: BTreeSet<String> = plan.nodes.iter().map(|n| n.id.clone()).collect();
+            assert_eq!(planned, listed, "seed {seed}");
             for node in &plan.nodes {
-                let against = |p: &Planner| match p.view.get(&node.id) {
+                let drains_for = |p: &PlannerModel| match p.view.get(&node.id) {
                     Some(draining) => *draining,
-                    None => p.seen.contains(&node.id),
+                    None => p.ever_listed.contains(&node.id),
                 };
-                let drains = planners.iter().filter(|p| p.live).any(against);
+                let drains = planners.iter().filter(|p| p.active).any(drains_for);
                 assert_eq!(node.draining, drains, "seed {seed}: {} at {index}", node.id);
                 draining += usize::from(drains);
             }
-            // It is the same after a way over the wire.
+            // Encoding and decoding does not change the state.
             let mut bytes = Vec::new();
             ciborium::into_writer(&fleet, &mut bytes).unwrap();
             assert_eq!(ciborium::from_reader::<Fleet, _>(bytes.as_slice()).unwrap(), fleet);
         }
     }
-    assert!(applied > 5000 && draining > 5000 && old > 500, "{applied} {draining} {old}");
+    assert!(applied > 5000 && draining > 5000 && outdated > 500, "{applied} {draining} {outdated}");
 }
 
 #[test]
-fn plans_of_a_higher_base_are_newer_and_too_many_nodes_are_refused() {
+fn higher_base_gives_newer_plans_and_invalid_views_are_rejected() {
     let mut fleet = Fleet::default();
     assert_eq!(fleet.apply(3, 1, Command::Base(100)), Ok(true));
-    assert_eq!(fleet.plan().version.generation, 0, "nobody has a view yet");
+    assert_eq!(fleet.plan().version.generation, 0, "no planner has a view yet");
     let view = |epoch, count: usize| Command::View {
         planner: 0,
-        announcement_version: mark(epoch, 1),
+        announcement_version: version(epoch, 1),
         nodes: (0..count).map(|i| node(&format!("n{i}"), false)).collect(),
     };
     assert_eq!(fleet.apply(3, 2, view(1, 20_001)), Err(CommandRejection::LimitExceeded));
-    let mut odd = vec![node("a", false); 3];
-    (odd[0].id, odd[1].weight, odd[2].zone) = (String::new(), f64::NAN, "z".repeat(254));
-    for node in odd {
-        let view = Command::View { planner: 0, announcement_version: mark(1, 1), nodes: vec![node] };
+    let mut invalid_nodes = vec![node("a", false); 3];
+    (invalid_nodes[0].id, invalid_nodes[1].weight, invalid_nodes[2].zone) =
+        (String::new(), f64::NAN, "z".repeat(254));
+    for node in invalid_nodes {
+        let view = Command::View { planner: 0, announcement_version: version(1, 1), nodes: vec![node] };
         assert_eq!(fleet.apply(3, 2, view), Err(CommandRejection::InvalidNode));
     }
     assert_eq!(fleet.apply(3, 3, view(1, 2)), Ok(true));
     let before = fleet.plan().version;
     assert_eq!((before.term, before.generation), (103, 3));
-    assert_eq!(fleet.apply(3, 4, Command::Base(100)), Ok(false), "no higher than it is");
+    assert_eq!(fleet.apply(3, 4, Command::Base(100)), Ok(false), "the base does not rise");
     assert_eq!(fleet.plan().version, before);
     assert_eq!(fleet.apply(1, 1, Command::Base(200)), Ok(true));
     assert!(fleet.plan().version > before);
--- a/crates/plan/tests/letters.rs
+++ b/crates/plan/tests/letters.rs
@@ -1,5 +1,5 @@
-//! Letters between forwarders by way of a planner, on sockets: they arrive, and neither one that writes without end nor one
-//! that reads nothing keeps plans and drains from the others.
+//! Relayed messages between forwarders by way of a planner, on sockets: they arrive, and neither a flooding
+//! sender nor a recipient that does not read delays plans and drains of the others.
 
 #[path = "common/planner.rs"]
 mod common;
@@ -19,36 +19,36 @@
     common::planner(16, Plan { version: Version { term: 1, generation: 1 }, ..Plan::default() })
 }
 
-fn letters(from: u64, letters: Vec<RelayedMessage>) -> ForwarderMessage {
-    ForwarderMessage::Relay { sender: from, messages: letters }
+fn relay(sender: u64, messages: Vec<RelayedMessage>) -> ForwarderMessage {
+    ForwarderMessage::Relay { sender, messages }
 }
 
-/// A forwarder that says what a test has it say.
+/// A forwarder controlled by the test.
 struct Forwarder(TcpStream);
 
 impl Forwarder {
-    /// It says hello, and that letters to that number are its own.
+    /// Connects, sends a hello and subscribes to messages for `number`.
     fn start(planner: SocketAddr, number: u64) -> Self {
         let stream = TcpStream::connect(planner).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
         let mut forwarder = Self(stream);
-        forwarder.says(&ForwarderMessage::Hello {
+        forwarder.send(&ForwarderMessage::Hello {
             name: format!("f{number}"),
             plan_version: None,
             slice_size: None,
         });
-        forwarder.says(&letters(number, Vec::new()));
-        // Its question is answered once what came before was taken in.
-        forwarder.says(&ForwarderMessage::Heartbeat { number: 1 });
-        forwarder.until(|told| matches!(told, PlannerMessage::HeartbeatReply { .. }));
+        forwarder.send(&relay(number, Vec::new()));
+        // The reply shows that the earlier messages were processed.
+        forwarder.send(&ForwarderMessage::Heartbeat { number: 1 });
+        forwarder.receive_until(|message| matches!(message, PlannerMessage::HeartbeatReply { .. }));
         forwarder
     }
 
-    fn says(&mut self, asked: &ForwarderMessage) {
-        self.0.write_all(&write_forwarder_message(asked)).unwrap();
+    fn send(&mut self, message: &ForwarderMessage) {
+        self.0.write_all(&write_forwarder_message(message)).unwrap();
     }
 
-    fn next(&mut self) -> PlannerMessage {
+    fn receive(&mut self) -> PlannerMessage {
         let mut length = [0; 4];
         self.0.read_exact(&mut length).unwrap();
         let mut bytes = vec![0; u32::from_le_bytes(length) as usize];
@@ -56,69 +56,72 @@
         read_planner_message(&bytes).unwrap()
     }
 
-    fn until(&mut self, seen: impl Fn(&PlannerMessage) -> bool) -> PlannerMessage {
+    fn receive_until(&mut self, is_expected: impl Fn(&PlannerMessage) -> bool) -> PlannerMessage {
         loop {
-            let told = self.next();
-            if seen(&told) {
-                return told;
+            let message = self.receive();
+            if is_expected(&message) {
+                return message;
             }
         }
     }
 }
 
 #[test]
-fn letters_arrive_whole_and_in_messages_that_a_forwarder_takes() {
+fn relayed_messages_arrive_complete_and_in_limited_batches() {
     let (planner, address) = planner();
-    let (mut one, mut two) = (Forwarder::start(address, 1), Forwarder::start(address, 2));
+    let (mut first, mut second) = (Forwarder::start(address, 1), Forwarder::start(address, 2));
     let longest = RelayedMessage { to: 2, bytes: vec![7; MAX_RELAYED_MESSAGE_BYTES] };
-    one.says(&letters(1, vec![longest.clone(); MAX_MESSAGES_PER_RELAY]));
-    let mut came = Vec::new();
-    while came.len() < MAX_MESSAGES_PER_RELAY {
-        if let PlannerMessage::Relayed(letters) = two.next() {
-            assert!(letters.len() <= MAX_MESSAGES_PER_RELAY);
-            came.extend(letters);
+    first.send(&relay(1, vec![longest.clone(); MAX_MESSAGES_PER_RELAY]));
+    let mut received = Vec::new();
+    while received.len() < MAX_MESSAGES_PER_RELAY {
+        if let PlannerMessage::Relayed(messages) = second.receive() {
+            assert!(messages.len() <= MAX_MESSAGES_PER_RELAY);
+            received.extend(messages);
         }
     }
-    assert!(came.iter().all(|bytes| *bytes == longest.bytes));
-    // One that is gone gets nothing, and nothing waits for it.
-    drop(two);
-    wait_for("one left", || planner.follower_count() == 1);
-    one.says(&letters(1, vec![longest]));
-    wait_for("a letter to nobody", || planner.relay_counts().dropped == 1);
+    assert!(received.iter().all(|bytes| *bytes == longest.bytes));
+    // A closed connection receives nothing, and nothing is queued for it.
+    drop(second);
+    wait_for("one remaining connection", || planner.follower_count() == 1);
+    first.send(&relay(1, vec![longest]));
+    wait_for("a dropped message", || planner.relay_counts().dropped == 1);
     assert_eq!(planner.rejected_connections(), 0);
 }
 
 #[test]
-fn messages_of_too_many_or_too_long_letters_are_refused_whole() {
+fn relay_with_too_many_or_invalid_messages_is_rejected_completely() {
     let (planner, address) = planner();
-    let mut two = Forwarder::start(address, 2);
-    let letter = |length: usize| RelayedMessage { to: 2, bytes: vec![7; length] };
-    let wrong = [
-        vec![letter(1); MAX_MESSAGES_PER_RELAY + 1],
-        vec![letter(1), letter(MAX_RELAYED_MESSAGE_BYTES + 1)],
-        vec![letter(0)],
+    let mut second = Forwarder::start(address, 2);
+    let message = |length: usize| RelayedMessage { to: 2, bytes: vec![7; length] };
+    let invalid = [
+        vec![message(1); MAX_MESSAGES_PER_RELAY + 1],
+        vec![message(1), message(MAX_RELAYED_MESSAGE_BYTES + 1)],
+        vec![message(0)],
     ];
-    for (i, wrong) in wrong.into_iter().enumerate() {
-        let mut one = Forwarder::start(address, 1);
-        one.says(&letters(1, wrong));
-        wait_for("refusal", || planner.rejected_connections() == i as u64 + 1);
+    for (i, messages) in invalid.into_iter().enumerate() {
+        let mut first = Forwarder::start(address, 1);
+        first.send(&relay(1, messages));
+        wait_for("rejection", || planner.rejected_connections() == i as u64 + 1);
     }
     assert_eq!(planner.relay_counts().delivered, 0);
-    two.says(&ForwarderMessage::Heartbeat { number: 2 });
-    assert!(matches!(two.next(), PlannerMessage::HeartbeatReply { number: 2, .. }), "nothing else came");
+    second.send(&ForwarderMessage::Heartbeat { number: 2 });
+    assert!(
+        matches!(second.receive(), PlannerMessage::HeartbeatReply { number: 2, .. }),
+        "no other message was received"
+    );
 }
 
 #[test]
-fn one_that_writes_without_end_and_one_that_reads_nothing_keep_no_drain_from_others() {
+fn one_that_writes_without_end_and_one_that_never_reads_keep_no_drain_from_others() {
     let (planner, address) = planner();
-    let (mut one, mut two) = (Forwarder::start(address, 1), Forwarder::start(address, 2));
-    let _reads_nothing = Forwarder::start(address, 3);
+    let (mut first, mut second) = (Forwarder::start(address, 1), Forwarder::start(address, 2));
+    let _never_reads = Forwarder::start(address, 3);
     let flood = std::thread::spawn(move || {
-        let all = (0..MAX_MESSAGES_PER_RELAY as u64)
+        let messages = (0..MAX_MESSAGES_PER_RELAY as u64)
             .map(|i| RelayedMessage { to: 2 + i % 2, bytes: vec![7; MAX_RELAYED_MESSAGE_BYTES] });
-        let message = write_forwarder_message(&letters(1, all.collect()));
-        let ended = (0..2000).find(|_| one.0.write_all(&message).is_err());
-        assert_eq!(ended, None, "it is heard all the while");
+        let frame = write_forwarder_message(&relay(1, messages.collect()));
+        let failed_write = (0..2000).find(|_| first.0.write_all(&frame).is_err());
+        assert_eq!(failed_write, None, "the planner keeps reading");
     });
     for sequence in 1..=20 {
         planner.announce_drains(vec![PlannerMessage::Drain {
@@ -126,28 +129,28 @@
             announcement_version: AnnouncementVersion { epoch: 1, sequence },
             id: "n".into(),
         }]);
-        let drain = two.until(|told| matches!(told, PlannerMessage::Drain { .. }));
+        let drain = second.receive_until(|message| matches!(message, PlannerMessage::Drain { .. }));
         assert!(
             matches!(drain, PlannerMessage::Drain { announcement_version: AnnouncementVersion { sequence: s, .. }, .. } if s == sequence)
         );
     }
-    let reading = std::thread::spawn(move || while two.0.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {});
+    let reading = std::thread::spawn(move || while second.0.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {});
     flood.join().unwrap();
-    wait_for("most of it dropped", || {
+    wait_for("dropped messages", || {
         planner.relay_counts().dropped > 2000 * MAX_MESSAGES_PER_RELAY as u64 / 2
     });
     drop(planner);
     drop(reading);
 }
 
-/// As letters are to a planner of the version before, and whatever comes after them is to this one.
+/// Guards the rule that unknown kinds of messages are skipped, on which older planners rely.
 #[test]
-fn what_a_newer_forwarder_says_is_passed_over() {
+fn unknown_kind_of_message_is_skipped() {
     let (planner, address) = planner();
-    let mut one = Forwarder::start(address, 1);
+    let mut first = Forwarder::start(address, 1);
     let newer = [0xf8, 0x07, 1];
-    one.0.write_all(&[&(newer.len() as u32).to_le_bytes()[..], &newer].concat()).unwrap();
-    one.says(&ForwarderMessage::Heartbeat { number: 2 });
-    assert!(matches!(one.next(), PlannerMessage::HeartbeatReply { number: 2, .. }));
+    first.0.write_all(&[&(newer.len() as u32).to_le_bytes()[..], &newer].concat()).unwrap();
+    first.send(&ForwarderMessage::Heartbeat { number: 2 });
+    assert!(matches!(first.receive(), PlannerMessage::HeartbeatReply { number: 2, .. }));
     assert_eq!(planner.rejected_connections(), 0);
 }
--- a/crates/plan/tests/memory.rs
+++ b/crates/plan/tests/memory.rs
@@ -1,4 +1,4 @@
-//! What a forwarder keeps of a plan grows with its part of the fleet, not with the fleet.
+//! Memory of a follower grows with its slice, not with the fleet.
 
 #[path = "../../inventory/tests/common/counting.rs"]
 mod counting;
@@ -25,23 +25,29 @@
 #[global_allocator]
 static COUNTING: counting::Counting = counting::Counting;
 
-/// What a follower holds once it has such a plan.
-fn held(slice: Option<Slice>, nodes: usize) -> usize {
+/// Bytes allocated by a follower of such a plan.
+fn allocated_bytes(slice: Option<Slice>, nodes: usize) -> usize {
     let now = || counting::NOW.load(std::sync::atomic::Ordering::Relaxed);
     let before = now();
     let mut follower = Follower::with_slice(slice);
     follower.receive(0, PlannerMessage::Full(plan(nodes)));
-    let held = now() - before;
+    let allocated = now() - before;
     assert_eq!(follower.planned_nodes().len(), slice.map_or(nodes, |s| s.size()));
-    held
+    allocated
 }
 
-// One test alone: what runs beside it would be counted.
+// The only test in this file: the counting allocator would also count parallel tests.
 #[test]
-fn a_part_of_a_fleet_twenty_times_as_large_takes_no_more() {
-    let part = Some(Slice::new("f", 64));
-    let [small, large] = [1000, 20_000].map(|nodes| held(part, nodes));
-    println!("64 nodes of 1,000: {small} bytes; of 20,000: {large}; all of 20,000: {}", held(None, 20_000));
+fn slice_of_a_twenty_times_larger_fleet_takes_no_more_memory() {
+    let slice = Some(Slice::new("f", 64));
+    let [small, large] = [1000, 20_000].map(|nodes| allocated_bytes(slice, nodes));
+    println!(
+        "64 nodes of 1,000: {small} bytes; of 20,000: {large}; all of 20,000: {}",
+        allocated_bytes(None, 20_000)
+    );
     assert!(large < small + small / 4 && large < 32_000, "{small} and {large}");
-    assert!(held(None, 20_000) > 100 * large, "it does measure");
+    assert!(
+        allocated_bytes(None, 20_000) > 100 * large,
+        "expected the whole plan to take more than 100 times the slice"
+    );
 }
