--- a/crates/dewpier/src/config/planners.rs
+++ b/crates/dewpier/src/config/planners.rs
@@ -5,7 +5,7 @@
 use super::secured::{RawTls, drain_bound, fitting, reached, secured};
 use dewpier_plan::io::CertificateFiles;
 use dewpier_plan::{DrainBound, MAX_NAME_BYTES, MAX_NODES, MAX_PLANNERS};
-use gannetproxy::engine::MOST_HELD;
+use gannetproxy::engine::MAX_QUEUED_SECONDS;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -65,7 +65,7 @@
     let drains = drain_bound(&raw.drain_ms)?;
     let beat =
         fitting(&raw.beat_ms, "beat_ms", drains, drains.heartbeat_range(), drains.default_heartbeat())?;
-    let spreads = drains.spread_range(beat, Duration::from_secs_f64(MOST_HELD));
+    let spreads = drains.spread_range(beat, Duration::from_secs_f64(MAX_QUEUED_SECONDS));
     let spread = drains.remaining_lease(beat);
     let spread = fitting(&raw.own_watch_spread_ms, "own_watch_spread_ms", drains, spreads, spread)?;
     Ok(Planners {
