--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -11,7 +11,7 @@
     AttemptEnd, BootTime, Kind, ListedNode, LiveState, NodeId, OperatorOverrides, OverrideKind, ProcessId,
     Snapshot, SnapshotError, VerdictSummary, Verdicts,
 };
-use gannetproxy::engine::{Engine, Seen, Upstream};
+use gannetproxy::engine::{AttemptEvent, Engine, Upstream};
 use gannetproxy::{BackendId, Outcome};
 use serde::Serialize;
 use std::cell::RefCell;
@@ -206,23 +206,23 @@
     /// Goes by what an engine sees.
     pub fn watch<U: Upstream>(self: &Rc<Self>, engine: &Engine<U>) {
         let fleet = self.clone();
-        engine.observe(move |id, attempt, seen| {
+        engine.set_observer(move |id, attempt, seen| {
             let now = fleet.now();
             let mut state = fleet.state.borrow_mut();
             match seen {
-                Seen::Began(backend, class) => {
+                AttemptEvent::Started(backend, class) => {
                     if let Some(node) = state.nodes.get(&backend).copied() {
                         state.verdicts.record_start((id.0, attempt), node, class, now);
                     }
                 }
-                Seen::Ended(outcome) => {
+                AttemptEvent::Ended(outcome) => {
                     let end = match outcome {
                         Outcome::Served => AttemptEnd::Served,
                         Outcome::Error | Outcome::Reset => AttemptEnd::Failed,
                         Outcome::NoConnection => AttemptEnd::Unreached,
                         Outcome::Timeout => AttemptEnd::Silent,
                         Outcome::Cancelled => AttemptEnd::Cancelled,
-                        Outcome::Full | Outcome::NeverSent => AttemptEnd::Inconclusive,
+                        Outcome::Rejected | Outcome::NeverSent => AttemptEnd::Inconclusive,
                     };
                     state.verdicts.record_end((id.0, attempt), end, now);
                 }
@@ -255,7 +255,7 @@
                 rounds.tick().await;
                 let changed = self.judge();
                 if !changed.is_empty() {
-                    engine.believe(&changed);
+                    engine.apply_backend_hints(&changed);
                 }
             }
         };
--- a/crates/dewpier/src/members.rs
+++ b/crates/dewpier/src/members.rs
@@ -1,18 +1,18 @@
 //! Inventories as news of the list: which nodes are new, which return, which go. No I/O.
 
 use crate::fleet::Node;
-use dewpier_http::listing::{self, Names};
+use dewpier_http::listing::{self, BackendIds};
 use dewpier_inventory::{Backend, State};
 use dewpier_verdicts::NodeId;
-use gannetproxy::engine::{Listed, News};
-use gannetproxy::{Entry, Status, Time};
+use gannetproxy::engine::{BackendListUpdate, ListedBackend};
+use gannetproxy::{BackendEntry, Status, Time};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 /// What is remembered of a node that is listed.
 #[derive(Clone, Debug)]
 struct Member {
-    entry: Entry,
+    entry: BackendEntry,
     address: SocketAddr,
     serving: bool,
 }
@@ -20,7 +20,7 @@
 /// The nodes of the last list. Bounded by the inventory's own bound: what leaves is forgotten.
 #[derive(Debug)]
 pub struct Members {
-    names: Names,
+    names: BackendIds,
     zones: Vec<String>,
     members: HashMap<String, Member>,
     first: bool,
@@ -36,7 +36,7 @@
     /// No list yet. `zones` are those that have numbers.
     pub fn new(zones: Vec<String>) -> Self {
         Self {
-            names: Names::new(Vec::new()),
+            names: BackendIds::new(Vec::new()),
             zones,
             members: HashMap::new(),
             first: true,
@@ -49,7 +49,12 @@
     /// started, as far as anyone can tell: it is sent only what a cold one can take. Which number
     /// it has follows from its id alone, whatever its row or address. `ages` says how long ago nodes started,
     /// in seconds, where somebody else has watched for longer.
-    pub fn news(&mut self, list: &[(&Backend, SocketAddr)], ages: &HashMap<String, f64>, now: Time) -> News {
+    pub fn news(
+        &mut self,
+        list: &[(&Backend, SocketAddr)],
+        ages: &HashMap<String, f64>,
+        now: Time,
+    ) -> BackendListUpdate {
         let before = std::mem::take(&mut self.members);
         let mut listed = Vec::with_capacity(list.len());
         for (backend, address) in list {
@@ -62,36 +67,36 @@
                 (None, None) if self.first => None,
                 (None, None) => Some(now),
             };
-            let entry = Entry {
-                id: self.names.id(&backend.id),
+            let entry = BackendEntry {
+                id: self.names.id_for(&backend.id),
                 cell: backend.cell,
                 zone: self.zone(&backend.zone),
                 weight: if backend.weight > 0.0 { backend.weight } else { 1.0 },
                 status: if serving { Status::InService } else { Status::Draining },
                 started,
-                usual: self.usual.get(&backend.id).copied(),
+                usual_rate: self.usual.get(&backend.id).copied(),
             };
             let member = Member { entry: entry.clone(), address: *address, serving };
             self.members.insert(backend.id.clone(), member);
-            listed.push(Listed { entry, address: *address });
+            listed.push(ListedBackend { entry, address: *address });
         }
         self.first = false;
-        News::Full(listed)
+        BackendListUpdate::Full(listed)
     }
 
     /// What cold nodes may be sent, as planners say now. The news is of those for which that has changed.
-    pub fn budgets(&mut self, usual: HashMap<String, f64>) -> News {
+    pub fn budgets(&mut self, usual: HashMap<String, f64>) -> BackendListUpdate {
         let before = std::mem::replace(&mut self.usual, usual);
         let mut changed = Vec::new();
         for id in before.keys().chain(self.usual.keys()) {
             let Some(member) = self.members.get_mut(id) else { continue };
             let usual = self.usual.get(id).copied();
-            if member.entry.usual != usual {
-                member.entry.usual = usual;
-                changed.push(Listed { entry: member.entry.clone(), address: member.address });
+            if member.entry.usual_rate != usual {
+                member.entry.usual_rate = usual;
+                changed.push(ListedBackend { entry: member.entry.clone(), address: member.address });
             }
         }
-        News::Changes(changed)
+        BackendListUpdate::Changes(changed)
     }
 
     /// The nodes, as a fleet knows them.
@@ -113,7 +118,7 @@
 
     /// Forgets the numbers of nodes that nothing names any more.
     pub fn forget(&mut self, known: impl Fn(gannetproxy::BackendId) -> bool) {
-        self.names.forget(known);
+        self.names.retain(known);
     }
 
     fn zone(&mut self, name: &str) -> u32 {
@@ -129,11 +134,11 @@
     use super::*;
     use dewpier_inventory::Options;
 
-    fn list(members: &mut Members, text: &str, now: Time) -> Vec<Listed> {
+    fn list(members: &mut Members, text: &str, now: Time) -> Vec<ListedBackend> {
         let read = dewpier_inventory::read(text.as_bytes(), "n.csv", &Options::default()).unwrap();
         let all: Vec<_> = read.backends.iter().map(|b| (b, b.address.socket().unwrap())).collect();
         match members.news(&all, &HashMap::new(), now) {
-            News::Full(list) => list,
+            BackendListUpdate::Full(list) => list,
             other => panic!("{other:?}"),
         }
     }
@@ -151,7 +156,7 @@
     #[test]
     fn what_returns_is_cold_and_what_stays_is_not() {
         let mut members = Members::new(Vec::new());
-        let started = |l: &[Listed]| l.iter().map(|l| l.entry.started).collect::<Vec<_>>();
+        let started = |l: &[ListedBackend]| l.iter().map(|l| l.entry.started).collect::<Vec<_>>();
         let row = |state: &str| format!("id,address,state\na,10.0.0.1:1,\nb,10.0.0.1:2,{state}\n");
         assert_eq!(started(&list(&mut members, &row("serving"), 0.0)), [None, None]);
         let drained = list(&mut members, &row("draining"), 1.0);
@@ -179,17 +184,19 @@
         let read = read.unwrap();
         let all: Vec<_> = read.backends.iter().map(|b| (b, b.address.socket().unwrap())).collect();
         let ages = HashMap::from([("b".to_string(), 3.0)]);
-        let News::Full(list) = members.news(&all, &ages, 10.0) else { panic!() };
+        let BackendListUpdate::Full(list) = members.news(&all, &ages, 10.0) else { panic!() };
         assert_eq!([list[0].entry.started, list[1].entry.started], [None, Some(7.0)]);
         // What it has seen itself is not forgotten for it.
-        let News::Full(list) = members.news(&all, &HashMap::from([("a".to_string(), 0.0)]), 12.0) else {
+        let BackendListUpdate::Full(list) =
+            members.news(&all, &HashMap::from([("a".to_string(), 0.0)]), 12.0)
+        else {
             panic!()
         };
         assert_eq!([list[0].entry.started, list[1].entry.started], [None, Some(7.0)]);
         let mut told = |usual: &[(&str, f64)]| {
             let usual = usual.iter().map(|(id, rate)| (id.to_string(), *rate)).collect();
-            let News::Changes(list) = members.budgets(usual) else { panic!() };
-            list.iter().map(|l| l.entry.usual).collect::<Vec<_>>()
+            let BackendListUpdate::Changes(list) = members.budgets(usual) else { panic!() };
+            list.iter().map(|l| l.entry.usual_rate).collect::<Vec<_>>()
         };
         assert_eq!(told(&[("b", 5.0), ("unknown", 1.0)]), [Some(5.0)]);
         assert_eq!(told(&[("b", 5.0)]), [None; 0]);
--- a/crates/plan/src/io/mod.rs
+++ b/crates/plan/src/io/mod.rs
@@ -1,12 +1,14 @@
-//! Plans over TCP: a planner that tells, and a forwarder that follows several planners at once.
+//! Carries the messages between planners and forwarders over TCP: a planner serves many followers, and a
+//! forwarder follows several planners at once.
 //!
-//! Both ends show certificates of one authority, each for its part; plain connections are for loopback.
+//! Both sides present certificates of one authority, each for its role; plain connections are for loopback
+//! only.
 
 mod follow;
 pub mod frame;
 mod planner;
 mod security;
 
-pub use follow::{Following, Mail, Seen, follow};
-pub use planner::{Lease, Planner};
-pub use security::{Files, Part, Security, SecurityError, Stream};
+pub use follow::{FollowEvent, FollowSettings, RelayChannel, follow};
+pub use planner::{LeaseSource, Planner};
+pub use security::{CertificateFiles, Role, Security, SecurityError, Stream};
