--- a/crates/dewpier/src/config/mysql.rs
+++ b/crates/dewpier/src/config/mysql.rs
@@ -2,7 +2,7 @@
 
 use super::check::{ConfigError, HOUR, Wrong, address, beside, millis, parse, text, whole, wrong};
 use super::inventory::{Inventory, RawInventory, inventory};
-use dewpier_mysql::auth::Kept;
+use dewpier_mysql::auth::PasswordHash;
 use dewpier_mysql::io::FrontSettings;
 use dewpier_mysql::login::Credentials;
 use gannetproxy::{Class, Effect, Settings};
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 pub struct Secrets {
     /// Clients, and what is kept of their passwords.
-    pub users: HashMap<String, Kept>,
+    pub users: HashMap<String, PasswordHash>,
     /// Who the proxy is to servers.
     pub own: Credentials,
 }
@@ -140,11 +140,11 @@
             ..Settings::default()
         },
         front: FrontSettings {
-            version: version.to_string(),
-            most_sessions: whole(&raw.max_sessions, "max_sessions", [1, 100_000], 1000)? as usize,
-            idle: millis(&raw.idle_ms, "idle_ms", [1000, 7 * DAY], 8 * HOUR)?,
-            most_command: megabytes(&raw.max_command_mb, "max_command_mb", 64)?,
-            own_writes: millis(&raw.read_own_writes_ms, "read_own_writes_ms", [0, HOUR], 1000)?,
+            server_version: version.to_string(),
+            max_sessions: whole(&raw.max_sessions, "max_sessions", [1, 100_000], 1000)? as usize,
+            idle_timeout: millis(&raw.idle_ms, "idle_ms", [1000, 7 * DAY], 8 * HOUR)?,
+            max_command_bytes: megabytes(&raw.max_command_mb, "max_command_mb", 64)?,
+            read_own_writes_window: millis(&raw.read_own_writes_ms, "read_own_writes_ms", [0, HOUR], 1000)?,
             deadlines: [read.as_secs_f64(), write.as_secs_f64()],
         },
         drain_grace: millis(&raw.drain_grace_ms, "drain_grace_ms", [10, 60_000], 500)?,
@@ -176,7 +176,7 @@
     }
 }
 
-fn users(file: RawUsers, _: &Path) -> Result<HashMap<String, Kept>, Wrong> {
+fn users(file: RawUsers, _: &Path) -> Result<HashMap<String, PasswordHash>, Wrong> {
     let named = file.users.get_ref();
     if named.is_empty() || named.len() > MOST_USERS {
         return wrong(file.users.span(), "users", &format!("1 to {MOST_USERS}"), named.len());
@@ -189,10 +189,10 @@
     named.iter().map(hash).collect()
 }
 
-fn kept(text: &str) -> Option<Kept> {
+fn kept(text: &str) -> Option<PasswordHash> {
     match text.strip_prefix("sha2:") {
-        Some(digits) => bytes(digits).map(Kept::Sha2),
-        None => bytes(text.strip_prefix('*')?).map(Kept::Native),
+        Some(digits) => bytes(digits).map(PasswordHash::Sha2),
+        None => bytes(text.strip_prefix('*')?).map(PasswordHash::Native),
     }
 }
 
@@ -210,10 +210,11 @@
 /// What is to stand in a file of users for such a password, for `caching_sha2_password`, or for
 /// `mysql_native_password` where clients know no other.
 pub fn hash(password: &str, native: bool) -> String {
-    let (mark, bytes) = match if native { Kept::native(password) } else { Kept::sha2(password) } {
-        Kept::Native(bytes) => ("*", bytes.to_vec()),
-        Kept::Sha2(bytes) => ("sha2:", bytes.to_vec()),
-    };
+    let (mark, bytes) =
+        match if native { PasswordHash::native(password) } else { PasswordHash::sha2(password) } {
+            PasswordHash::Native(bytes) => ("*", bytes.to_vec()),
+            PasswordHash::Sha2(bytes) => ("sha2:", bytes.to_vec()),
+        };
     let digits: String = bytes.iter().map(|byte| format!("{byte:02X}")).collect();
     format!("{mark}{digits}")
 }
@@ -225,7 +226,7 @@
     #[test]
     fn users_are_read_by_their_hashes_and_what_is_none_is_told_with_its_place() {
         let read = |text: &str| parse(text, Path::new("/u.toml"), users).map_err(|error| error.to_string());
-        for (native, kept) in [(true, Kept::native("oak")), (false, Kept::sha2("oak"))] {
+        for (native, kept) in [(true, PasswordHash::native("oak")), (false, PasswordHash::sha2("oak"))] {
             let good = format!("[users]\nplanner = \"{}\"\n", hash("oak", native));
             assert_eq!(read(&good).unwrap(), [("planner".to_string(), kept)].into());
         }
--- a/crates/dewpier/src/mysql.rs
+++ b/crates/dewpier/src/mysql.rs
@@ -4,7 +4,7 @@
 use crate::error::ServeError;
 use crate::feed::{Feed, seed};
 use crate::lists::Lists;
-use dewpier_mysql::io::{Front, MySql, Role};
+use dewpier_mysql::io::{Front, MySqlUpstream, Role};
 use dewpier_mysql::login::Credentials;
 use gannetproxy::engine::{Budget, Engine, EngineLimits};
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 /// An engine, and the lists that it is fed.
 struct Fed {
     feed: Feed,
-    engine: Rc<Engine<MySql>>,
+    engine: Rc<Engine<MySqlUpstream>>,
 }
 
 impl Fed {
@@ -36,18 +36,18 @@
     ) -> Result<Self, ServeError> {
         let lists = Lists::of_inventory(inventory.clone())?;
         let mut feed = Feed::first(lists, vec![config.zone.clone()]).await?;
-        let upstream = MySql {
-            connections: connections.clone(),
-            answers: answers.clone(),
-            held: config.held,
-            most_packet: config.most_packet,
+        let upstream = MySqlUpstream {
+            connection_budget: connections.clone(),
+            response_budget: answers.clone(),
+            max_buffered_bytes: config.held,
+            max_packet_bytes: config.most_packet,
             connect_timeout: config.connect_timeout,
-            idle_close: config.idle_close,
-            own: own.clone(),
+            server_idle_timeout: config.idle_close,
+            credentials: own.clone(),
             role,
         };
         let bounds =
-            EngineLimits { drain_grace: config.drain_grace, max_open_requests: config.front.most_sessions };
+            EngineLimits { drain_grace: config.drain_grace, max_open_requests: config.front.max_sessions };
         let engine =
             Engine::start_with_lease(config.settings.clone(), bounds, seed(), upstream, feed.lease());
         feed.begin(&engine);
--- a/crates/mysql/src/auth.rs
+++ b/crates/mysql/src/auth.rs
@@ -14,7 +14,7 @@
 
 /// What is kept of a password: who has it can check a proof, and can't make one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept {
+pub enum PasswordHash {
     /// For [`NATIVE`]: `SHA1(SHA1(p))`.
     Native([u8; 20]),
     /// For [`SHA2`]: `SHA256(SHA256(p))`.
@@ -36,7 +36,7 @@
     hash::<Sha256, 32>(parts)
 }
 
-impl Kept {
+impl PasswordHash {
     /// What is kept of a password for [`NATIVE`].
     pub fn native(password: &str) -> Self {
         Self::Native(sha1(&[&sha1(&[password.as_bytes()])]))
@@ -48,7 +48,7 @@
     }
 
     /// The method that it is for.
-    pub fn method(&self) -> &'static str {
+    pub fn plugin(&self) -> &'static str {
         match self {
             Self::Native(_) => NATIVE,
             Self::Sha2(_) => SHA2,
@@ -56,7 +56,7 @@
     }
 
     /// A proof is one of the password of which this was kept.
-    pub fn proves(&self, nonce: &[u8; NONCE], proof: &[u8]) -> bool {
+    pub fn verify_response(&self, nonce: &[u8; NONCE], proof: &[u8]) -> bool {
         match self {
             Self::Native(kept) => {
                 let Ok(proof) = <[u8; 20]>::try_from(proof) else { return false };
@@ -104,20 +104,21 @@
     #[test]
     fn a_proof_holds_for_its_password_and_its_nonce_alone() {
         let nonce: [u8; NONCE] = std::array::from_fn(|i| i as u8 + 1);
-        for (kept, other) in
-            [(Kept::native("shop"), Kept::native("Shop")), (Kept::sha2("shop"), Kept::sha2("Shop"))]
-        {
-            let proof = proof(kept.method(), "shop", &nonce).unwrap();
-            assert!(kept.proves(&nonce, &proof));
-            assert!(!other.proves(&nonce, &proof));
-            assert!(!kept.proves(&[9; NONCE], &proof));
+        for (kept, other) in [
+            (PasswordHash::native("shop"), PasswordHash::native("Shop")),
+            (PasswordHash::sha2("shop"), PasswordHash::sha2("Shop")),
+        ] {
+            let proof = proof(kept.plugin(), "shop", &nonce).unwrap();
+            assert!(kept.verify_response(&nonce, &proof));
+            assert!(!other.verify_response(&nonce, &proof));
+            assert!(!kept.verify_response(&[9; NONCE], &proof));
             for wrong in [&proof[1..], &[], &[0; 20], &[0; 32]] {
-                assert!(!kept.proves(&nonce, wrong));
+                assert!(!kept.verify_response(&nonce, wrong));
             }
         }
         assert_eq!(proof("dialog", "shop", &nonce), None);
         // As the manual's PASSWORD('mypass') has it.
-        let Kept::Native(kept) = Kept::native("mypass") else { panic!("another method") };
+        let PasswordHash::Native(kept) = PasswordHash::native("mypass") else { panic!("another method") };
         let hex: String = kept.iter().map(|b| format!("{b:02X}")).collect();
         assert_eq!(hex, "6C8989366EAF75BB670AD8EA7A7FC1176A95CEF4");
     }
--- a/crates/mysql/src/io/answer.rs
+++ b/crates/mysql/src/io/answer.rs
@@ -113,10 +113,10 @@
                 Some(_) => {}
                 None => {
                     while room.len() * PIECE < frames.len() {
-                        let Some(permit) = self.answers.try_acquire(PIECE) else { break };
+                        let Some(permit) = self.response_budget.try_acquire(PIECE) else { break };
                         room.push(permit);
                     }
-                    if frames.len() > self.held || room.len() * PIECE < frames.len() {
+                    if frames.len() > self.max_buffered_bytes || room.len() * PIECE < frames.len() {
                         let (sender, receiver) = mpsc::channel(AHEAD);
                         let (frames, next) = (frames.split().freeze(), wire.sequence());
                         let rest = Rest::Streams(receiver);
--- a/crates/mysql/src/io/conn.rs
+++ b/crates/mysql/src/io/conn.rs
@@ -54,13 +54,13 @@
 impl Ways {
     /// A new connection, logged in.
     pub(super) async fn connect(&self, address: SocketAddr, shape: Shape, session: u64) -> Option<Conn> {
-        let permit = self.connections.try_acquire(1)?;
+        let permit = self.connection_budget.try_acquire(1)?;
         let connected = async {
             let mut wire = Wire::new(TcpStream::connect(address).await.ok()?, MOST_PACKET);
             let mut entry = Entry::new(shape);
             loop {
                 let said = wire.next().await.ok()?;
-                match entry.packet(&said, &self.own) {
+                match entry.packet(&said, &self.credentials) {
                     Ok(Step::Say(packet)) => wire.send(&packet).await.ok()?,
                     Ok(Step::Wait) => {}
                     Ok(Step::Done) => break,
@@ -70,7 +70,7 @@
                     }
                 }
             }
-            wire.bound(self.most_packet);
+            wire.bound(self.max_packet_bytes);
             Some(Conn { wire, _permit: permit, shape, database: None, session, prepared: HashMap::new() })
         };
         timeout(self.connect_timeout, connected).await.ok().flatten()
--- a/crates/mysql/src/io/front.rs
+++ b/crates/mysql/src/io/front.rs
@@ -2,9 +2,9 @@
 
 use super::answer::{Piece, Rest, Served};
 use super::conn::Wanted;
-use super::upstream::{MySql, Payload, Role, Slot};
+use super::upstream::{MySqlUpstream, Payload, Role, Slot};
 use super::wire::{Wire, WireError};
-use crate::auth::{Kept, NONCE};
+use crate::auth::{NONCE, PasswordHash};
 use crate::error::{CON_COUNT, Error, NET_READ, PACKET_TOO_LARGE, PACKETS_OUT_OF_ORDER};
 use crate::login::{Door, Guest, MOST_PACKET, Next};
 use crate::packet::FrameError;
@@ -34,15 +34,15 @@
 #[derive(Clone, Debug)]
 pub struct FrontSettings {
     /// The version that clients are told.
-    pub version: String,
+    pub server_version: String,
     /// Sessions at once.
-    pub most_sessions: usize,
+    pub max_sessions: usize,
     /// A session that asks for nothing for so long is closed.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// The longest command, in bytes.
-    pub most_command: usize,
+    pub max_command_bytes: usize,
     /// So long after a session has written its reads go to the primary as well.
-    pub own_writes: Duration,
+    pub read_own_writes_window: Duration,
     /// The patience of statements that read, and of those that may write, in seconds.
     pub deadlines: [Time; 2],
 }
@@ -50,11 +50,11 @@
 /// Answers MySQL clients. Reads are of an engine's class 0, all else of class 1.
 pub struct Front {
     /// The servers that do all, or all but reads.
-    primary: Rc<Engine<MySql>>,
+    primary: Rc<Engine<MySqlUpstream>>,
     /// Those that read.
-    replicas: Option<Rc<Engine<MySql>>>,
+    replicas: Option<Rc<Engine<MySqlUpstream>>>,
     /// Clients, and what is kept of their passwords.
-    users: HashMap<String, Kept>,
+    users: HashMap<String, PasswordHash>,
     settings: FrontSettings,
     sessions: Cell<usize>,
     /// Numbers that are never used twice.
@@ -63,7 +63,7 @@
 }
 
 /// Tells the engine that the client has left, if it is dropped before the answer.
-struct Leaving<'a>(&'a Engine<MySql>, RequestId);
+struct Leaving<'a>(&'a Engine<MySqlUpstream>, RequestId);
 
 impl Drop for Leaving<'_> {
     fn drop(&mut self) {
@@ -83,9 +83,9 @@
     /// One before such servers, for clients of whose passwords that is kept. Where there are replicas, what only
     /// reads goes to them.
     pub fn new(
-        primary: Rc<Engine<MySql>>,
-        replicas: Option<Rc<Engine<MySql>>>,
-        users: HashMap<String, Kept>,
+        primary: Rc<Engine<MySqlUpstream>>,
+        replicas: Option<Rc<Engine<MySqlUpstream>>>,
+        users: HashMap<String, PasswordHash>,
         settings: FrontSettings,
     ) -> Rc<Self> {
         let closing = watch::Sender::new(false);
@@ -142,16 +142,16 @@
             let front = &counted.0;
             let mut wire = Wire::new(stream, MOST_PACKET);
             // Beyond that newcomers are not even told.
-            if front.sessions.get() > 2 * front.settings.most_sessions {
+            if front.sessions.get() > 2 * front.settings.max_sessions {
                 return;
             }
-            if front.sessions.get() > front.settings.most_sessions {
+            if front.sessions.get() > front.settings.max_sessions {
                 let error = Error::new(CON_COUNT, b"08004", "Too many connections");
                 let _ = timeout(LOGIN_WITHIN, wire.send(&error.packet())).await;
                 return wire.close().await;
             }
             if let Ok(Some(guest)) = timeout(LOGIN_WITHIN, front.login(&mut wire)).await {
-                wire.bound(front.settings.most_command);
+                wire.bound(front.settings.max_command_bytes);
                 front.serve(&mut wire, guest).await;
             }
             wire.close().await;
@@ -161,7 +161,7 @@
     async fn login(&self, wire: &mut Wire) -> Option<Guest> {
         // Clients that take a zero for the end of the nonce would make another proof.
         let nonce: [u8; NONCE] = std::array::from_fn(|_| rand::random_range(1..=127));
-        let (mut door, greeting) = Door::new(nonce, self.number() as u32, &self.settings.version);
+        let (mut door, greeting) = Door::new(nonce, self.number() as u32, &self.settings.server_version);
         wire.send(&greeting).await.ok()?;
         loop {
             let packet = match wire.next().await {
@@ -190,7 +190,7 @@
 
     /// One command after the other, until the client leaves, is to be closed, or breaks the protocol.
     async fn serve(&self, wire: &mut Wire, guest: Guest) {
-        let mut session = Session::new(&guest, self.settings.most_command);
+        let mut session = Session::new(&guest, self.settings.max_command_bytes);
         let (mut number, slot) = (self.number(), Rc::new(Slot::default()));
         let wrote = Cell::new(None);
         let mut closing = self.closing.subscribe();
@@ -254,7 +254,7 @@
 
     /// The next command; none where the client has been idle for too long or stops halfway.
     async fn command(&self, wire: &mut Wire) -> Option<Result<bytes::BytesMut, WireError>> {
-        timeout(self.settings.idle, wire.begun()).await.ok()?;
+        timeout(self.settings.idle_timeout, wire.begun()).await.ok()?;
         timeout(READ_WITHIN, wire.next()).await.ok()
     }
 
@@ -327,8 +327,8 @@
     }
 
     /// Where a statement goes that no connection holds.
-    fn engine(&self, asked: &Asked<'_>, sent: &Sent) -> &Rc<Engine<MySql>> {
-        let wrote = asked.wrote.get().is_some_and(|at| at.elapsed() < self.settings.own_writes);
+    fn engine(&self, asked: &Asked<'_>, sent: &Sent) -> &Rc<Engine<MySqlUpstream>> {
+        let wrote = asked.wrote.get().is_some_and(|at| at.elapsed() < self.settings.read_own_writes_window);
         let replicas = self.replicas.as_ref().filter(|_| sent.read && !wrote);
         replicas.unwrap_or(&self.primary)
     }
--- a/crates/mysql/src/io/mod.rs
+++ b/crates/mysql/src/io/mod.rs
@@ -10,4 +10,4 @@
 pub use answer::{Piece, Rest, Served};
 pub use conn::Wanted;
 pub use front::{Front, FrontSettings};
-pub use upstream::{Endpoint, MySql, Payload, Role, Slot};
+pub use upstream::{Endpoint, MySqlUpstream, Payload, Role, Slot};
--- a/crates/mysql/src/io/upstream.rs
+++ b/crates/mysql/src/io/upstream.rs
@@ -107,41 +107,41 @@
 }
 
 /// All servers, and what holds for each.
-pub struct MySql {
+pub struct MySqlUpstream {
     /// Connections that may be open at once, to all of them.
-    pub connections: Rc<Budget>,
+    pub connection_budget: Rc<Budget>,
     /// Bytes of answers that may be held at once.
-    pub answers: Rc<Budget>,
+    pub response_budget: Rc<Budget>,
     /// So much of an answer is held before any of it goes to the client, in bytes: up to there it can be asked
     /// for again. Less where there is no room.
-    pub held: usize,
+    pub max_buffered_bytes: usize,
     /// The longest packet that is carried, in bytes: a row.
-    pub most_packet: usize,
+    pub max_packet_bytes: usize,
     /// A connection that is not up and logged in by then never is.
     pub connect_timeout: Duration,
     /// Servers close idle connections after this.
-    pub idle_close: Duration,
+    pub server_idle_timeout: Duration,
     /// Who the proxy is to them.
-    pub own: Rc<Credentials>,
+    pub credentials: Rc<Credentials>,
     /// What they are for.
     pub role: Role,
 }
 
-impl MySql {
+impl MySqlUpstream {
     fn ways(&self) -> Ways {
         Ways {
-            connections: self.connections.clone(),
-            answers: self.answers.clone(),
-            held: self.held,
-            most_packet: self.most_packet,
+            connection_budget: self.connection_budget.clone(),
+            response_budget: self.response_budget.clone(),
+            max_buffered_bytes: self.max_buffered_bytes,
+            max_packet_bytes: self.max_packet_bytes,
             connect_timeout: self.connect_timeout,
-            keep: self.idle_close.mul_f64(REUSE_WITHIN),
-            own: self.own.clone(),
+            reuse_timeout: self.server_idle_timeout.mul_f64(REUSE_WITHIN),
+            credentials: self.credentials.clone(),
         }
     }
 }
 
-impl Upstream for MySql {
+impl Upstream for MySqlUpstream {
     type Payload = Payload;
     type Reply = Served;
     type Endpoint = Endpoint;
@@ -161,12 +161,12 @@
     }
 
     fn close_expired(&self, endpoint: &Endpoint) {
-        let within = self.idle_close.mul_f64(REUSE_WITHIN);
+        let within = self.server_idle_timeout.mul_f64(REUSE_WITHIN);
         endpoint.idle.borrow_mut().retain(|idle| idle.since.elapsed() < within && idle.conn.wire.quiet());
     }
 
     fn is_full(&self) -> bool {
-        self.connections.is_full()
+        self.connection_budget.is_full()
     }
 
     fn oldest_idle_since(&self, endpoint: &Endpoint) -> Option<Instant> {
@@ -240,7 +240,7 @@
     let mut conn = loop {
         let kept = match payload.held {
             true => payload.slot.take().filter(|conn| conn.wire.quiet()),
-            false => endpoint.kept(&payload.wanted, ways.keep),
+            false => endpoint.kept(&payload.wanted, ways.reuse_timeout),
         };
         let new = kept.is_none();
         let conn = match (kept, payload.held) {
@@ -297,7 +297,7 @@
         Err(Cut::Long) => {
             let text = format!(
                 "dewpier: the statement has run; a row of its answer is over {} bytes",
-                ways.most_packet
+                ways.max_packet_bytes
             );
             let error = Error::new(UNKNOWN, GENERAL, text);
             return done(Outcome::Served, Some(worded(&error, Hold::default())));
--- a/crates/mysql/src/io/ways.rs
+++ b/crates/mysql/src/io/ways.rs
@@ -8,11 +8,11 @@
 /// The bounds, and who the proxy is to servers.
 #[derive(Clone)]
 pub(super) struct Ways {
-    pub(super) connections: Rc<Budget>,
-    pub(super) answers: Rc<Budget>,
-    pub(super) held: usize,
-    pub(super) most_packet: usize,
+    pub(super) connection_budget: Rc<Budget>,
+    pub(super) response_budget: Rc<Budget>,
+    pub(super) max_buffered_bytes: usize,
+    pub(super) max_packet_bytes: usize,
     pub(super) connect_timeout: Duration,
-    pub(super) keep: Duration,
-    pub(super) own: Rc<Credentials>,
+    pub(super) reuse_timeout: Duration,
+    pub(super) credentials: Rc<Credentials>,
 }
--- a/crates/mysql/src/login.rs
+++ b/crates/mysql/src/login.rs
@@ -1,6 +1,6 @@
 //! Logins as state machines, on both sides: a client's to the proxy, and the proxy's to a server. No I/O.
 
-use crate::auth::{self, Kept, NATIVE, NONCE, SHA2};
+use crate::auth::{self, NATIVE, NONCE, PasswordHash, SHA2};
 use crate::capability::{CONNECT_ATTRS, CONNECT_WITH_DB, NEEDED, OFFERED, SHAPING};
 use crate::error::{ACCESS_DENIED, Error, NOT_SUPPORTED, UNKNOWN};
 use crate::fields::Short;
@@ -74,7 +74,7 @@
     }
 
     /// A packet of the client.
-    pub fn packet(&mut self, packet: &[u8], users: &HashMap<String, Kept>) -> Next {
+    pub fn packet(&mut self, packet: &[u8], users: &HashMap<String, PasswordHash>) -> Next {
         let (login, proof) = match self.asked.take() {
             Some(login) => (login, packet.to_vec()),
             None => match Login::read(packet) {
@@ -91,14 +91,14 @@
         }
         // One who is not known takes the same way as one with a wrong password.
         let kept = users.get(&login.user);
-        let method = kept.map_or(NATIVE, Kept::method);
+        let method = kept.map_or(NATIVE, PasswordHash::plugin);
         let named = if login.method.is_empty() { NATIVE } else { login.method.as_str() };
         if named != method {
             let switch = Switch { method: method.into(), nonce: self.nonce };
             self.asked = Some(Login { method: method.into(), ..login });
             return Next::Ask(switch.packet());
         }
-        if !kept.is_some_and(|kept| kept.proves(&self.nonce, &proof)) {
+        if !kept.is_some_and(|kept| kept.verify_response(&self.nonce, &proof)) {
             let text = format!("Access denied for user '{}'", login.user);
             return Next::Out(Error::new(ACCESS_DENIED, b"28000", text));
         }
@@ -219,8 +219,12 @@
     use super::*;
     use crate::capability::{DEPRECATE_EOF, PROTOCOL_41};
 
-    fn users() -> HashMap<String, Kept> {
-        [("planner".to_string(), Kept::native("oak")), ("maker".to_string(), Kept::sha2("ash"))].into()
+    fn users() -> HashMap<String, PasswordHash> {
+        [
+            ("planner".to_string(), PasswordHash::native("oak")),
+            ("maker".to_string(), PasswordHash::sha2("ash")),
+        ]
+        .into()
     }
 
     fn login(user: &str, password: &str, nonce: &[u8; NONCE]) -> Login {
--- a/crates/mysql/tests/common/mod.rs
+++ b/crates/mysql/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! The proxy on a thread of its own, between stand-in servers and real client libraries.
 #![allow(dead_code)]
 
-use dewpier_mysql::auth::Kept;
-use dewpier_mysql::io::{Front, FrontSettings, MySql, Role};
+use dewpier_mysql::auth::PasswordHash;
+use dewpier_mysql::io::{Front, FrontSettings, MySqlUpstream, Role};
 use dewpier_mysql::login::Credentials;
 use dewpier_standins::mysql::{Asked, MySqlServer, Reply};
 use gannetproxy::engine::{BackendListUpdate, Budget, Engine, EngineLimits, ListedBackend};
@@ -78,15 +78,15 @@
                     max_retry_after: 1.0,
                     ..Settings::default()
                 };
-                let upstream = |role| MySql {
+                let upstream = |role| MySqlUpstream {
                     role,
-                    connections: Budget::new(200),
-                    answers: Budget::new(64 << 20),
-                    held,
-                    most_packet: 64 << 20,
+                    connection_budget: Budget::new(200),
+                    response_budget: Budget::new(64 << 20),
+                    max_buffered_bytes: held,
+                    max_packet_bytes: 64 << 20,
                     connect_timeout: Duration::from_secs(2),
-                    idle_close: Duration::from_secs(60),
-                    own: Rc::new(Credentials { user: "dewpier".into(), password: OWN.into() }),
+                    server_idle_timeout: Duration::from_secs(60),
+                    credentials: Rc::new(Credentials { user: "dewpier".into(), password: OWN.into() }),
                 };
                 let bounds = EngineLimits { drain_grace: GRACE, max_open_requests: 1000 };
                 let engine = Engine::start(settings.clone(), bounds, 7, upstream(Role::Primary));
@@ -97,16 +97,16 @@
                     engine
                 });
                 let front = FrontSettings {
-                    version: "8.0.40-dewpier".into(),
-                    most_sessions: 300,
-                    idle: Duration::from_secs(600),
-                    most_command: 64 << 20,
-                    own_writes: Duration::from_secs(1),
+                    server_version: "8.0.40-dewpier".into(),
+                    max_sessions: 300,
+                    idle_timeout: Duration::from_secs(600),
+                    max_command_bytes: 64 << 20,
+                    read_own_writes_window: Duration::from_secs(1),
                     deadlines: [3.0, 3.0],
                 };
                 let users = [
-                    ("planner".to_string(), Kept::native(CLIENT)),
-                    ("maker".to_string(), Kept::sha2(CLIENT)),
+                    ("planner".to_string(), PasswordHash::native(CLIENT)),
+                    ("maker".to_string(), PasswordHash::sha2(CLIENT)),
                 ]
                 .into();
                 let front = Front::new(engine.clone(), replicas, users, front);
