--- a/crates/http/src/peer.rs
+++ b/crates/http/src/peer.rs
@@ -236,8 +236,8 @@
 }
 
 /// Connects to `address`.
-pub async fn connect(address: SocketAddr, within: Duration) -> io::Result<Connection> {
-    let stream = tokio::time::timeout(within, TcpStream::connect(address)).await??;
+pub async fn connect(address: SocketAddr, connect_timeout: Duration) -> io::Result<Connection> {
+    let stream = tokio::time::timeout(connect_timeout, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
     let last_received = LastReceived::default();
     let transmission = Arc::new(RequestTransmission::default());
@@ -261,9 +261,9 @@
 }
 
 impl Connection {
-    /// Waits for `wanted` while driving the connection. Returns `None` if the connection ends first.
-    pub async fn drive<F: Future>(&mut self, wanted: F) -> Option<F::Output> {
-        self.driver.drive(wanted).await
+    /// Waits for `future` while driving the connection. Returns `None` if the connection ends first.
+    pub async fn drive<F: Future>(&mut self, future: F) -> Option<F::Output> {
+        self.driver.drive(future).await
     }
 
     /// Sends a request and waits for the head of the response.
@@ -291,18 +291,18 @@
         last_received.set(None);
         let transmission = self.transmission.clone();
         transmission.begin(attempt_counter, upload.as_ref().map(|(progress, _)| progress.clone()), reused);
-        let reset_on_informational = last_received.clone();
+        let informational_reset = last_received.clone();
         // Informational responses may arrive long before the final one.
-        hyper::ext::on_informational(&mut request, move |_| reset_on_informational.set(None));
-        let answered = async {
-            let answer = match self.send(request).await {
+        hyper::ext::on_informational(&mut request, move |_| informational_reset.set(None));
+        let response = async {
+            let response = match self.send(request).await {
                 Some(Ok(_)) if transmission.rejects_early_data() => return Err(ExchangeError::Unsent),
-                Some(Ok(answer)) => answer,
+                Some(Ok(response)) => response,
                 // The connection ended before the request was sent.
                 _ if !transmission.sent.load(Ordering::Relaxed) => return Err(ExchangeError::Unsent),
                 _ => return Err(ExchangeError::NoReply),
             };
-            let (head, mut body) = answer.into_parts();
+            let (head, mut body) = response.into_parts();
             let has_ambiguous_length =
                 [TRANSFER_ENCODING, CONTENT_LENGTH].iter().all(|n| head.headers.contains_key(n));
             if has_ambiguous_length || head.status.is_informational() {
@@ -325,7 +325,7 @@
             }
         };
         tokio::select! {
-            answered = answered => answered,
+            response = response => response,
             () = last_received.wait_until_stalled() => Err(ExchangeError::NoReply),
             () = wait_for_reply_timeout(upload) => Err(ExchangeError::ReplyTimeout),
         }
@@ -359,11 +359,11 @@
         self.ended = self.ended || self.connection.as_mut().poll(cx).is_ready();
     }
 
-    async fn drive<F: Future>(&mut self, wanted: F) -> Option<F::Output> {
-        let mut wanted = pin!(wanted);
+    async fn drive<F: Future>(&mut self, future: F) -> Option<F::Output> {
+        let mut future = pin!(future);
         std::future::poll_fn(|cx| {
             self.poll(cx);
-            match wanted.as_mut().poll(cx) {
+            match future.as_mut().poll(cx) {
                 Poll::Ready(output) => Poll::Ready(Some(output)),
                 Poll::Pending if self.ended => Poll::Ready(None),
                 Poll::Pending => Poll::Pending,
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -231,12 +231,12 @@
     let client_request_id =
         single_header(headers, "x-txn")?.filter(is_hex_id).and_then(|id| u64::from_str_radix(id, 16).ok());
     let client_request_id = client_request_id.ok_or(invalid("X-Txn", "16 hex digits"))?;
-    let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
-    let class_index = single_header(headers, "x-lane")?.and_then(|c| position(&wire.classes, c));
+    let find_position = |names: &[String], name: &str| names.iter().position(|n| n == name);
+    let class_index = single_header(headers, "x-lane")?.and_then(|c| find_position(&wire.classes, c));
     let class_index = class_index.ok_or(invalid("X-Lane", "a known class"))?;
     let tenant = match single_header(headers, "x-org")? {
         Some(name) if !wire.tenants.is_empty() => {
-            Some(position(&wire.tenants, name).ok_or(invalid("X-Org", "a known tenant"))?)
+            Some(find_position(&wire.tenants, name).ok_or(invalid("X-Org", "a known tenant"))?)
         }
         _ => None,
     };
