--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -291,14 +291,14 @@
         match call {
             Call::Verdicts => self.verdicts(),
             Call::VerdictsJson => self.verdicts_json(),
-            Call::Rule { node, says } => self.rule(&node, says),
+            Call::Override { node, action } => self.rule(&node, action),
             Call::Vars => self.figures(answered(Call::Vars)),
             call => answered(call),
         }
     }
 
     /// An operator says what is to hold of a node, in the whole fleet.
-    fn rule(&self, node: &str, says: calls::Says) -> String {
+    fn rule(&self, node: &str, action: calls::NodeOverride) -> String {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let named = state.names.iter().filter(|(_, (_, name))| name == node).map(|(id, _)| *id);
@@ -310,10 +310,10 @@
                 ids.len()
             );
         };
-        let (says, seconds) = match says {
-            calls::Says::Avoid(seconds) => (Some(Says::Avoid), seconds),
-            calls::Says::Trust(seconds) => (Some(Says::Trust), seconds),
-            calls::Says::AsSeen => (None, 0),
+        let (says, seconds) = match action {
+            calls::NodeOverride::Avoid(seconds) => (Some(Says::Avoid), seconds),
+            calls::NodeOverride::Trust(seconds) => (Some(Says::Trust), seconds),
+            calls::NodeOverride::AsSeen => (None, 0),
         };
         match state.rulings.rule(id, says, Duration::from_secs(seconds), now) {
             Ok(()) => {
--- a/crates/dewpier/src/platform.rs
+++ b/crates/dewpier/src/platform.rs
@@ -7,8 +7,8 @@
 use dewpier_http::limits::{Budget, Caps};
 use dewpier_http::request::Dialect;
 use dewpier_http::server::{self, Server};
-use dewpier_operate::figures::Figures;
 use dewpier_operate::io as operators;
+use dewpier_operate::metrics::Metrics;
 use gannetproxy::engine::Engine;
 use std::rc::Rc;
 use std::time::Duration;
@@ -46,7 +46,7 @@
     if let Some(operators) = &operators {
         eprintln!("dewpier: operators call at {}", operators.local_addr()?);
     }
-    let figures = Figures::new(config.wire.classes.clone());
+    let figures = Metrics::new(config.wire.classes.clone());
     let caps = Caps::new(config.sockets, config.memory);
     let upstream = Http {
         connections: Budget::new(caps.backends),
@@ -55,7 +55,7 @@
         probe_path: if config.settings.probe_for_reports { "/-/load" } else { "/-/healthy" },
         reuse: Reuse::new(config.wire.handshake_price),
         answers: Answers::Platform,
-        attempts: figures.attempts_counter(),
+        attempts: figures.attempt_counter(),
     };
     let engine = Engine::start(config.settings.clone(), config.wire.bounds(), config.seed, upstream);
     let discovery = Discovery::start(
--- a/crates/dewpier/src/run.rs
+++ b/crates/dewpier/src/run.rs
@@ -12,8 +12,8 @@
 use dewpier_http::limits::{Budget, Caps};
 use dewpier_http::request::Dialect;
 use dewpier_http::server::{self, Server};
-use dewpier_operate::figures::Figures;
 use dewpier_operate::io as operators;
+use dewpier_operate::metrics::Metrics;
 use dewpier_peers::Name;
 use gannetproxy::engine::Engine;
 use std::net::SocketAddr;
@@ -63,7 +63,7 @@
     };
     let mut feed = Feed::first(lists, wire.zones.clone()).await?;
 
-    let figures = Figures::new(wire.classes.clone());
+    let figures = Metrics::new(wire.classes.clone());
     let caps = Caps::new(descriptors, memory);
     let upstream = Http {
         connections: Budget::new(caps.backends),
@@ -72,7 +72,7 @@
         probe_path: "/-/healthy",
         reuse: Reuse::new(wire.handshake_price),
         answers: Answers::Plain,
-        attempts: figures.attempts_counter(),
+        attempts: figures.attempt_counter(),
     };
     let listener = server::bind(listen)?;
     let address = listener.local_addr()?;
--- a/crates/http/src/backend.rs
+++ b/crates/http/src/backend.rs
@@ -6,7 +6,7 @@
 use crate::limits::{Budget, Permit};
 use crate::payload::Payload;
 use crate::peer::{Came, HELD, Peer, Spoilt, connect};
-use dewpier_operate::figures::Attempts;
+use dewpier_operate::metrics::AttemptCounter;
 use dewpier_reuse::{Odds, Price, Shared, Stake};
 use gannetproxy::engine::{Attempt, Done, Upstream};
 use gannetproxy::{Outcome, Report};
@@ -191,7 +191,7 @@
     /// What counts as served.
     pub answers: Answers,
     /// Where attempts are counted; probes are none.
-    pub attempts: Attempts,
+    pub attempts: AttemptCounter,
 }
 
 impl Upstream for Http {
@@ -303,7 +303,7 @@
 /// How an exchange goes.
 struct Asks<'a> {
     answers: Answers,
-    counts: Option<Attempts>,
+    counts: Option<AttemptCounter>,
     /// What is lost with a kept connection; none: it may not go on one.
     stake: Option<Stake>,
     /// Set where a kept connection loses it.
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -4,7 +4,7 @@
 use crate::clients::Client;
 use crate::limits::Permit;
 use bytes::Bytes;
-use dewpier_operate::figures::{Ending, Taken};
+use dewpier_operate::metrics::{OpenRequest, RequestOutcome};
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::io;
@@ -185,13 +185,13 @@
 /// An answer that is passed on, and what ends with it.
 pub struct Ends {
     passed: Passed,
-    taken: Option<Taken>,
+    taken: Option<OpenRequest>,
     client: Rc<Client>,
 }
 
 impl Answering {
     /// An answer of a request of that client.
-    pub fn passed(passed: Passed, taken: Taken, client: Rc<Client>) -> Self {
+    pub fn passed(passed: Passed, taken: OpenRequest, client: Rc<Client>) -> Self {
         client.passes(true);
         Self::Passed(Box::new(Ends { passed, taken: Some(taken), client }))
     }
@@ -199,7 +199,7 @@
 
 impl Ends {
     fn completed(&mut self) {
-        self.taken.take().into_iter().for_each(|taken| taken.end(Ending::Completed));
+        self.taken.take().into_iter().for_each(|taken| taken.end(RequestOutcome::Completed));
     }
 }
 
--- a/crates/http/src/peer.rs
+++ b/crates/http/src/peer.rs
@@ -3,7 +3,7 @@
 use crate::body::{Outgoing, Progress};
 use crate::limits::{MOST_BODY, MOST_HEAD};
 use bytes::{Bytes, BytesMut};
-use dewpier_operate::figures::Attempts;
+use dewpier_operate::metrics::AttemptCounter;
 use gannetproxy::Outcome;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -64,7 +64,7 @@
     /// All that was to be written has gone out.
     whole: AtomicBool,
     /// Where to count that, if it is to be counted.
-    counts: Mutex<Option<Attempts>>,
+    counts: Mutex<Option<AttemptCounter>>,
     /// How far its body has come, where that is passed on.
     progress: Mutex<Option<Progress>>,
     /// Nothing may come before all of it has gone out: what does is left over from an exchange before.
@@ -72,7 +72,7 @@
 }
 
 impl Way {
-    fn begin(&self, counts: Option<Attempts>, progress: Option<Progress>, kept: bool) {
+    fn begin(&self, counts: Option<AttemptCounter>, progress: Option<Progress>, kept: bool) {
         self.first_word.store(kept && progress.is_none(), Ordering::Relaxed);
         if let Ok(mut followed) = self.progress.lock() {
             *followed = progress;
@@ -97,7 +97,7 @@
         self.whole.store(true, Ordering::Relaxed);
         // Taken, as one request may be flushed more than once.
         if let Some(attempts) = self.counts.lock().ok().and_then(|mut counts| counts.take()) {
-            attempts.count();
+            attempts.increment();
         }
     }
 }
@@ -264,7 +264,7 @@
     pub async fn exchange(
         &mut self,
         mut request: Request<Outgoing>,
-        counts: Option<Attempts>,
+        counts: Option<AttemptCounter>,
         passes: Option<(Progress, Duration)>,
         kept: bool,
     ) -> Result<Came, Spoilt> {
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -10,8 +10,8 @@
 use crate::socket::Socket;
 use bytes::Bytes;
 use dewpier_operate::calls::{self, Call};
-use dewpier_operate::figures::{Ending, Figures, Members};
-use dewpier_operate::life::Life;
+use dewpier_operate::lifecycle::Lifecycle;
+use dewpier_operate::metrics::{BackendCounts, Metrics, RequestOutcome};
 use gannetproxy::engine::{Answer, Engine};
 use gannetproxy::{RequestId, Settings, Time};
 use http_body_util::Full;
@@ -51,8 +51,8 @@
     dialect: Dialect,
     start: Instant,
     /// What the process is at: whether it takes clients, and which of them are to go.
-    life: RefCell<Life>,
-    figures: Rc<Figures>,
+    life: RefCell<Lifecycle>,
+    figures: Rc<Metrics>,
     /// Idle connections are to be closed.
     closing: watch::Sender<bool>,
     clients: Rc<Clients>,
@@ -124,7 +124,7 @@
         wire: WireSettings,
         dialect: Dialect,
         caps: Caps,
-        figures: Rc<Figures>,
+        figures: Rc<Metrics>,
     ) -> Rc<Self> {
         let longest = settings.classes.iter().map(|c| c.deadline).fold(0.0, Time::max);
         Rc::new(Self {
@@ -133,7 +133,7 @@
             wire,
             dialect,
             start: Instant::now(),
-            life: RefCell::new(Life::new(longest)),
+            life: RefCell::new(Lifecycle::new(longest)),
             figures,
             closing: watch::Sender::new(false),
             clients: Clients::new(caps.clients),
@@ -152,12 +152,12 @@
         let accepting = self.clone().accept(&listener);
         let stopped = async {
             stop.await;
-            let serves = self.life.borrow_mut().stop(self.now());
-            let left = self.life.borrow().left(self.now());
+            let serves = self.life.borrow_mut().begin_stop(self.now());
+            let left = self.life.borrow().request_time_left(self.now());
             left.into_iter().for_each(|left| self.engine.answer_within(left));
             let waits = async {
                 // After a handover nobody new comes, and who is left is told with an answer.
-                while self.life.borrow().accepts() || !self.clients.is_empty() {
+                while self.life.borrow().is_accepting() || !self.clients.is_empty() {
                     tokio::time::sleep(STEP).await;
                 }
             };
@@ -172,7 +172,7 @@
         if let Some(stream) = self.in_hand.take() {
             self.clone().serve(stream, self.clients.admit());
         }
-        while self.life.borrow().accepts()
+        while self.life.borrow().is_accepting()
             && let Some(stream) = accept_waiting(&listener)
         {
             self.clone().serve(stream, self.clients.admit());
@@ -183,7 +183,7 @@
         let mut idle = 0;
         while !self.clients.is_empty() && idle < IDLE_STEPS && self.may_go_on() {
             self.clients.one_left(STEP).await;
-            let left = self.life.borrow().left(self.now()).is_none_or(|left| !left.is_zero());
+            let left = self.life.borrow().request_time_left(self.now()).is_none_or(|left| !left.is_zero());
             let coming = self.figures.pending() > 0 || self.clients.are_reading();
             let owes = self.engine.owes_answers() || (coming && left);
             idle = if owes { 0 } else { idle + 1 };
@@ -192,7 +192,7 @@
 
     /// The process need not have ended yet.
     fn may_go_on(&self) -> bool {
-        self.life.borrow().ends_within(self.now()).is_none_or(|within| !within.is_zero())
+        self.life.borrow().time_until_exit(self.now()).is_none_or(|within| !within.is_zero())
     }
 
     /// There is a list to go by.
@@ -219,7 +219,7 @@
 
     /// It is gone again.
     pub fn take_back(&self) {
-        self.life.borrow_mut().take_back();
+        self.life.borrow_mut().resume_accepting();
         self.changed.notify_one();
     }
 
@@ -228,20 +228,22 @@
         let mut life = self.life.borrow_mut();
         match call {
             Call::Check if !self.engine.listed() => "NO no list of backends yet\n".into(),
-            Call::Check if !life.takes_clients() => "NO takes no clients\n".into(),
+            Call::Check if !life.is_taking_clients() => "NO takes no clients\n".into(),
             Call::Check => "YES takes clients\n".into(),
             Call::Vars => {
                 let (listed, avoided) = self.engine.members();
-                calls::vars(&self.figures, Members { listed, avoided })
+                calls::format_metrics(&self.figures, BackendCounts { listed, avoided })
+            }
+            Call::Verdicts | Call::VerdictsJson | Call::Override { .. } => {
+                "NO it belongs to no fleet\n".into()
             }
-            Call::Verdicts | Call::VerdictsJson | Call::Rule { .. } => "NO it belongs to no fleet\n".into(),
             Call::DrainOn => {
-                life.drain_on(self.now());
+                life.start_drain(self.now());
                 "YES drains\n".into()
             }
             Call::DrainOff => {
-                life.drain_off();
-                match life.takes_clients() {
+                life.cancel_drain();
+                match life.is_taking_clients() {
                     true => "YES takes clients\n".into(),
                     false => "NO it stops, or another process has its address\n".into(),
                 }
@@ -256,7 +258,7 @@
     async fn sweep(&self) {
         loop {
             tokio::time::sleep(clients::STEP).await;
-            let rested = self.life.borrow().closes_rested(self.now());
+            let rested = self.life.borrow().idle_close_threshold(self.now());
             self.clients.sweep(rested);
         }
     }
@@ -264,7 +266,7 @@
     async fn accept(self: Rc<Self>, listener: &TcpListener) {
         let mut failing = false;
         loop {
-            if !self.life.borrow().accepts() {
+            if !self.life.borrow().is_accepting() {
                 self.changed.notified().await;
                 continue;
             }
@@ -318,7 +320,7 @@
                 // What is wrong once is not given another try on the same connection: the rest of
                 // it may be anything, and each try has its price.
                 let wrong = reply.extensions().get::<Unusable>().is_some();
-                let goes = server.life.borrow().says_close(server.now()) || *server.closing.borrow();
+                let goes = server.life.borrow().is_announcing_close(server.now()) || *server.closing.borrow();
                 if full || wrong || goes || unsure || watched.flooded() {
                     reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
@@ -365,7 +367,7 @@
 
     async fn reply(&self, request: hyper::Request<Incoming>, client: &Rc<Client>, full: bool) -> Reply {
         if request.uri().path() == "/-/ready" {
-            return match self.engine.listed() && self.life.borrow().ready() {
+            return match self.engine.listed() && self.life.borrow().is_ready() {
                 true => plain(StatusCode::OK, "ready\n"),
                 false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             };
@@ -380,12 +382,12 @@
             client.passes(true);
         }
         let _room = asked.room;
-        let taken = self.figures.take(asked.request.class);
+        let taken = self.figures.begin_request(asked.request.class);
         if full {
-            taken.end(Ending::Rejected);
+            taken.end(RequestOutcome::Rejected);
             return plain(StatusCode::SERVICE_UNAVAILABLE, "too many connections\n");
         }
-        if let Some(left) = self.life.borrow().left(self.now()) {
+        if let Some(left) = self.life.borrow().request_time_left(self.now()) {
             asked.request.budget = asked.request.budget.min(left.as_secs_f64());
         }
         let Some((id, answer)) = self.engine.request(asked.txn, asked.request, asked.payload) else {
@@ -396,7 +398,7 @@
         let answer = answer.await;
         drop(leaving); // it has had its answer: nothing is told
         if let Ok(Answer::Served(_)) = answer {
-            self.life.borrow_mut().served(self.now(), asked.elapsed());
+            self.life.borrow_mut().record_served(self.now(), asked.elapsed());
         }
         let answer = match answer {
             Ok(Answer::Served(Served { status, headers, body: Given::Passed(passed) })) => {
@@ -408,9 +410,9 @@
             answer => answer,
         };
         taken.end(match answer {
-            Ok(Answer::Served(_)) => Ending::Completed,
-            Ok(Answer::Refused(..)) => Ending::Rejected,
-            Ok(Answer::Failed(_)) | Err(_) => Ending::Failed,
+            Ok(Answer::Served(_)) => RequestOutcome::Completed,
+            Ok(Answer::Refused(..)) => RequestOutcome::Rejected,
+            Ok(Answer::Failed(_)) | Err(_) => RequestOutcome::Failed,
         });
         match answer {
             // 503 says that trying again does no harm, whoever words it: a backend's own does not
--- a/crates/operate/src/calls.rs
+++ b/crates/operate/src/calls.rs
@@ -1,18 +1,18 @@
 //! What operators ask, read from a line, and what they are told. No I/O.
 
-use crate::figures::{Figures, Members};
+use crate::metrics::{BackendCounts, Metrics};
 use std::fmt::Write;
 
 /// What each figure's name begins with.
 const PREFIX: &str = "edge_relay";
 /// The longest line that is a call, in bytes, its end not counted: one that names a node.
-pub const MOST_LINE: usize = 160;
+pub const MAX_LINE_BYTES: usize = 160;
 /// As much of an unknown call is shown again.
 const SHOWN: usize = 32;
 
 /// What an operator says of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Says {
+pub enum NodeOverride {
     /// Keep it out for so many seconds.
     Avoid(u64),
     /// Have no verdict keep it out for so many seconds.
@@ -37,11 +37,11 @@
     /// The same as JSON.
     VerdictsJson,
     /// What is to hold of a node in the whole fleet.
-    Rule {
+    Override {
         /// Its name in the list.
         node: String,
         /// What.
-        says: Says,
+        action: NodeOverride,
     },
 }
 
@@ -60,10 +60,13 @@
 
 impl Call {
     /// Reads a line, its end left off. What is no call is answered with what is given here.
-    pub fn read(line: &[u8]) -> Result<Self, String> {
+    pub fn parse(line: &[u8]) -> Result<Self, String> {
         let names = || format!("{}, {RULES}", CALLS.map(|(name, _)| name).join(", "));
-        if line.len() > MOST_LINE {
-            return Err(format!("NO line too long: expected {}, got more than {MOST_LINE} bytes\n", names()));
+        if line.len() > MAX_LINE_BYTES {
+            return Err(format!(
+                "NO line too long: expected {}, got more than {MAX_LINE_BYTES} bytes\n",
+                names()
+            ));
         }
         let text = line.trim_ascii();
         let found = CALLS.iter().find(|(name, _)| name.as_bytes() == text);
@@ -82,23 +85,23 @@
         let (seconds, node) = rest.trim_start().split_once(' ')?;
         Some((seconds.parse().ok()?, node))
     };
-    let (says, node) = match name {
-        "avoid" => timed().map(|(seconds, node)| (Says::Avoid(seconds), node))?,
-        "trust" => timed().map(|(seconds, node)| (Says::Trust(seconds), node))?,
-        "as-seen" => (Says::AsSeen, rest),
+    let (action, node) = match name {
+        "avoid" => timed().map(|(seconds, node)| (NodeOverride::Avoid(seconds), node))?,
+        "trust" => timed().map(|(seconds, node)| (NodeOverride::Trust(seconds), node))?,
+        "as-seen" => (NodeOverride::AsSeen, rest),
         _ => return None,
     };
     let node = node.trim().to_string();
-    (!node.is_empty()).then_some(Call::Rule { node, says })
+    (!node.is_empty()).then_some(Call::Override { node, action })
 }
 
 /// The figures as text, a line each, and a line that ends them.
-pub fn vars(figures: &Figures, members: Members) -> String {
+pub fn format_metrics(figures: &Metrics, members: BackendCounts) -> String {
     let mut text = String::new();
     let mut line = |name: std::fmt::Arguments<'_>, value: u64| {
         let _ = writeln!(text, "{PREFIX}.{name}={value}"); // writing to a string does not fail
     };
-    for (class, tally) in figures.classes() {
+    for (class, tally) in figures.counters_by_class() {
         line(format_args!("downstream_requests.{class}.completed"), tally.completed);
         line(format_args!("downstream_requests.{class}.rejected"), tally.rejected);
         line(format_args!("downstream_requests.{class}.failed"), tally.failed);
@@ -118,11 +121,11 @@
     #[test]
     fn calls_are_read_and_all_else_is_told_what_was_expected() {
         for (name, call) in CALLS {
-            assert_eq!(Call::read(name.as_bytes()), Ok(call.clone()));
-            assert_eq!(Call::read(format!("{name} \r").as_bytes()), Ok(call));
+            assert_eq!(Call::parse(name.as_bytes()), Ok(call.clone()));
+            assert_eq!(Call::parse(format!("{name} \r").as_bytes()), Ok(call));
         }
         for line in [&b""[..], b"drain", b"CHECK", b"vars vars", b"\xff\x00\n", &[b'a'; 161]] {
-            let no = Call::read(line).unwrap_err();
+            let no = Call::parse(line).unwrap_err();
             assert!(no.starts_with("NO ") && no.contains("check, vars, drain-on, drain-off"), "{no}");
             assert!(no.is_ascii() && no.len() < 300 && no.matches('\n').count() == 1, "{no}");
         }
@@ -130,10 +133,10 @@
 
     #[test]
     fn what_is_said_of_a_node_is_read() {
-        let rule = |node: &str, says| Ok(Call::Rule { node: node.into(), says });
-        assert_eq!(Call::read(b"avoid 600 pricing-02"), rule("pricing-02", Says::Avoid(600)));
-        assert_eq!(Call::read("trust 5 түйін бір \r".as_bytes()), rule("түйін бір", Says::Trust(5)));
-        assert_eq!(Call::read(b"as-seen 7"), rule("7", Says::AsSeen));
+        let rule = |node: &str, action| Ok(Call::Override { node: node.into(), action });
+        assert_eq!(Call::parse(b"avoid 600 pricing-02"), rule("pricing-02", NodeOverride::Avoid(600)));
+        assert_eq!(Call::parse("trust 5 түйін бір \r".as_bytes()), rule("түйін бір", NodeOverride::Trust(5)));
+        assert_eq!(Call::parse(b"as-seen 7"), rule("7", NodeOverride::AsSeen));
         for line in [
             "avoid",
             "avoid 5",
@@ -143,17 +146,17 @@
             "as-seen ",
             "avoid 99999999999999999999 n",
         ] {
-            assert!(Call::read(line.as_bytes()).is_err(), "{line}");
+            assert!(Call::parse(line.as_bytes()).is_err(), "{line}");
         }
     }
 
     #[test]
     fn figures_are_lines_and_end() {
-        let figures = Figures::new(vec!["look".into(), "save".into()]);
-        let (one, _two) = (figures.take(0), figures.take(1));
-        one.end(crate::figures::Ending::Completed);
+        let figures = Metrics::new(vec!["look".into(), "save".into()]);
+        let (one, _two) = (figures.begin_request(0), figures.begin_request(1));
+        one.end(crate::metrics::RequestOutcome::Completed);
         figures.count_attempt();
-        let text = vars(&figures, Members { listed: 5, avoided: 2 });
+        let text = format_metrics(&figures, BackendCounts { listed: 5, avoided: 2 });
         let lines: Vec<_> = text.lines().collect();
         for line in [
             "edge_relay.downstream_requests.look.completed=1",
--- a/crates/operate/src/io/mod.rs
+++ b/crates/operate/src/io/mod.rs
@@ -1,6 +1,6 @@
 //! The operators' server: a thin shell that hands lines to whoever answers them.
 
-use crate::calls::{Call, MOST_LINE};
+use crate::calls::{Call, MAX_LINE_BYTES};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 /// Callers that are served at once: their descriptors are out of those kept for the process's own use. For one more
 /// the one goes that has been here longest, which has said nothing for so long.
-pub const MOST_CALLERS: usize = 8;
+pub const MAX_CALLERS: usize = 8;
 /// A caller must have sent its line by then,
 const SAID_WITHIN: Duration = Duration::from_millis(800);
 /// and taken its answer so long after that.
@@ -28,7 +28,7 @@
             Ok((stream, _)) => {
                 failing = false;
                 callers.retain(|caller| !caller.is_finished());
-                if callers.len() >= MOST_CALLERS {
+                if callers.len() >= MAX_CALLERS {
                     callers.remove(0).abort();
                 }
                 callers.push(tokio::task::spawn_local(one(stream, answer.clone())));
@@ -47,7 +47,7 @@
 async fn one(mut stream: TcpStream, answer: Rc<dyn Fn(Call) -> String>) {
     // Who says nothing, or stops half way, is let go without a word: no call has come.
     let Ok(Ok(line)) = tokio::time::timeout(SAID_WITHIN, line(&mut stream)).await else { return };
-    let text = match Call::read(&line) {
+    let text = match Call::parse(&line) {
         Ok(call) => answer(call),
         Err(no) => no,
     };
@@ -60,7 +60,7 @@
 
 /// A line, its end left off; more than a call can have where it is too long.
 async fn line(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
-    let (mut line, mut part) = (Vec::new(), [0; MOST_LINE]);
+    let (mut line, mut part) = (Vec::new(), [0; MAX_LINE_BYTES]);
     loop {
         let read = stream.read(&mut part).await?;
         line.extend_from_slice(&part[..read]);
@@ -68,7 +68,7 @@
             line.truncate(end);
             return Ok(line);
         }
-        if read == 0 || line.len() > MOST_LINE {
+        if read == 0 || line.len() > MAX_LINE_BYTES {
             return Ok(line);
         }
     }
--- a/crates/operate/src/life.rs
+++ b/crates/operate/src/lifecycle.rs
@@ -2,7 +2,7 @@
 //! `/-/ready`, whether connections are taken, and which are closed. No I/O and no clock: times are counted from any
 //! moment that stays.
 
-use crate::stopping::Stopping;
+use crate::stopping::StopTiming;
 use gannetproxy::Time;
 use std::time::Duration;
 
@@ -17,35 +17,35 @@
 /// connections close.
 const CLOSE_SAID_AFTER: f64 = 0.8;
 
-/// Where a process stands. Each way on from here is one of the methods of [`Life`].
-pub struct Life {
+/// Where a process stands. Each way on from here is one of the methods of [`Lifecycle`].
+pub struct Lifecycle {
     /// When a drain began, if one is on.
     draining: Option<Duration>,
     /// When another process took over the address, if one has.
     handed_over: Option<Duration>,
     /// When it was told to stop, and for how long it goes on as before.
     stopping: Option<(Duration, Duration)>,
-    stops: Stopping,
+    stops: StopTiming,
 }
 
-impl Life {
+impl Lifecycle {
     /// Of a proxy whose classes have deadlines up to that, in seconds.
     pub fn new(longest: Time) -> Self {
-        Self { draining: None, handed_over: None, stopping: None, stops: Stopping::new(longest) }
+        Self { draining: None, handed_over: None, stopping: None, stops: StopTiming::new(longest) }
     }
 
     /// A request was served, and that took so long.
-    pub fn served(&mut self, now: Duration, took: Duration) {
-        self.stops.served(now, took);
+    pub fn record_served(&mut self, now: Duration, took: Duration) {
+        self.stops.record_served(now, took);
     }
 
     /// Empty the proxy. One that drains already goes on with that.
-    pub fn drain_on(&mut self, now: Duration) {
+    pub fn start_drain(&mut self, now: Duration) {
         self.draining.get_or_insert(now);
     }
 
     /// Take clients again. Does nothing for one that stops.
-    pub fn drain_off(&mut self) {
+    pub fn cancel_drain(&mut self) {
         self.draining = None;
     }
 
@@ -55,40 +55,40 @@
     }
 
     /// That one is gone again.
-    pub fn take_back(&mut self) {
+    pub fn resume_accepting(&mut self) {
         self.handed_over = None;
     }
 
     /// It is told to stop: clients are served for so long as before. Being told again changes nothing.
-    pub fn stop(&mut self, now: Duration) -> Duration {
-        self.stopping.get_or_insert_with(|| (now, self.stops.serves())).1
+    pub fn begin_stop(&mut self, now: Duration) -> Duration {
+        self.stopping.get_or_insert_with(|| (now, self.stops.serving_duration())).1
     }
 
     /// The time for serving clients as before is over.
-    pub fn closes(&self, now: Duration) -> bool {
+    pub fn is_closing(&self, now: Duration) -> bool {
         self.stopping.is_some_and(|(since, serves)| now.saturating_sub(since) >= serves)
     }
 
     /// This process takes clients.
-    pub fn takes_clients(&self) -> bool {
+    pub fn is_taking_clients(&self) -> bool {
         self.draining.is_none() && self.handed_over.is_none() && self.stopping.is_none()
     }
 
     /// It takes connections from the system. One that drains does: the front deals them out for a while yet.
-    pub fn accepts(&self) -> bool {
+    pub fn is_accepting(&self) -> bool {
         self.handed_over.is_none()
     }
 
     /// What `/-/ready` says, where there is a list. It speaks for the address: a process that has handed it over says
     /// yes for the one that took it, also while it stops.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.draining.is_none() && (self.handed_over.is_some() || self.stopping.is_none())
     }
 
     /// Clients are told with each answer that their connection closes behind it. One that stops begins with that
     /// towards the end of the time for which it serves: a client that is sent away before may find nobody yet, and
     /// one that is never told could ask in the very moment of the end.
-    pub fn says_close(&self, now: Duration) -> bool {
+    pub fn is_announcing_close(&self, now: Duration) -> bool {
         let ends = |(since, serves): (Duration, Duration)| {
             now.saturating_sub(since) >= serves.mul_f64(CLOSE_SAID_AFTER)
         };
@@ -96,14 +96,14 @@
     }
 
     /// How long the process may still take to end, where it is to stop.
-    pub fn ends_within(&self, now: Duration) -> Option<Duration> {
-        self.stopping.map(|(since, _)| self.stops.ends_within(now.saturating_sub(since)))
+    pub fn time_until_exit(&self, now: Duration) -> Option<Duration> {
+        self.stopping.map(|(since, _)| self.stops.time_until_exit(now.saturating_sub(since)))
     }
 
     /// A connection with no request in hand that has rested for so long is to be closed now; none where it
     /// need not be.
-    pub fn closes_rested(&self, now: Duration) -> Option<Duration> {
-        if self.closes(now) {
+    pub fn idle_close_threshold(&self, now: Duration) -> Option<Duration> {
+        if self.is_closing(now) {
             return Some(Duration::ZERO);
         }
         let drains = now.saturating_sub(self.draining?);
@@ -115,7 +115,7 @@
     }
 
     /// How long a request may take that comes now, where the process is to stop.
-    pub fn left(&self, now: Duration) -> Option<Duration> {
-        self.stopping.map(|(since, _)| self.stops.left(now.saturating_sub(since)))
+    pub fn request_time_left(&self, now: Duration) -> Option<Duration> {
+        self.stopping.map(|(since, _)| self.stops.request_time_left(now.saturating_sub(since)))
     }
 }
--- a/crates/operate/src/figures.rs
+++ b/crates/operate/src/metrics.rs
@@ -7,7 +7,7 @@
 
 /// How a request ended, as its client was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// Served.
     Completed,
     /// Refused: trying again is harmless.
@@ -18,7 +18,7 @@
 
 /// Requests of a class that have ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct ClassCounters {
     /// Served.
     pub completed: u64,
     /// Refused.
@@ -29,94 +29,94 @@
 
 /// The list as it is now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Members {
+pub struct BackendCounts {
     /// Backends in it.
     pub listed: usize,
     /// Those of them that are avoided.
     pub avoided: usize,
 }
 
-/// Attempts that were written whole. It may be counted on from where only shared things go.
+/// AttemptCounter that were written whole. It may be counted on from where only shared things go.
 #[derive(Clone, Debug, Default)]
-pub struct Attempts(Arc<AtomicU64>);
+pub struct AttemptCounter(Arc<AtomicU64>);
 
-impl Attempts {
+impl AttemptCounter {
     /// One more.
-    pub fn count(&self) {
+    pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 /// What a process has done since it started. Its size is that of the list of classes.
 #[derive(Debug)]
-pub struct Figures {
+pub struct Metrics {
     names: Vec<String>,
-    ended: RefCell<Vec<Tally>>,
+    ended: RefCell<Vec<ClassCounters>>,
     taken: Cell<u64>,
     pending: Cell<u64>,
-    attempts: Attempts,
+    attempts: AttemptCounter,
 }
 
 /// A request that was taken and has not ended. Dropped, it has failed: whoever held it is gone without a word.
 #[derive(Debug)]
-pub struct Taken {
-    figures: Rc<Figures>,
+pub struct OpenRequest {
+    figures: Rc<Metrics>,
     class: usize,
-    ending: Ending,
+    ending: RequestOutcome,
 }
 
-impl Taken {
+impl OpenRequest {
     /// It ends like this.
-    pub fn end(mut self, ending: Ending) {
+    pub fn end(mut self, ending: RequestOutcome) {
         self.ending = ending;
     }
 }
 
-impl Drop for Taken {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.figures.pending.set(self.figures.pending.get().saturating_sub(1));
         if let Some(tally) = self.figures.ended.borrow_mut().get_mut(self.class) {
             match self.ending {
-                Ending::Completed => tally.completed += 1,
-                Ending::Rejected => tally.rejected += 1,
-                Ending::Failed => tally.failed += 1,
+                RequestOutcome::Completed => tally.completed += 1,
+                RequestOutcome::Rejected => tally.rejected += 1,
+                RequestOutcome::Failed => tally.failed += 1,
             }
         }
     }
 }
 
-impl Figures {
+impl Metrics {
     /// None yet, of classes with these names.
     pub fn new(names: Vec<String>) -> Rc<Self> {
-        let ended = RefCell::new(vec![Tally::default(); names.len()]);
+        let ended = RefCell::new(vec![ClassCounters::default(); names.len()]);
         let (taken, pending) = (Cell::new(0), Cell::new(0));
-        Rc::new(Self { names, ended, taken, pending, attempts: Attempts::default() })
+        Rc::new(Self { names, ended, taken, pending, attempts: AttemptCounter::default() })
     }
 
     /// A request of a class has been taken.
-    pub fn take(self: &Rc<Self>, class: usize) -> Taken {
+    pub fn begin_request(self: &Rc<Self>, class: usize) -> OpenRequest {
         self.taken.set(self.taken.get() + 1);
         self.pending.set(self.pending.get() + 1);
-        Taken { figures: self.clone(), class, ending: Ending::Failed }
+        OpenRequest { figures: self.clone(), class, ending: RequestOutcome::Failed }
     }
 
     /// Where attempts are counted.
-    pub fn attempts_counter(&self) -> Attempts {
+    pub fn attempt_counter(&self) -> AttemptCounter {
         self.attempts.clone()
     }
 
     /// An attempt was written whole.
     pub fn count_attempt(&self) {
-        self.attempts.count();
+        self.attempts.increment();
     }
 
-    /// Attempts that were written whole.
+    /// AttemptCounter that were written whole.
     pub fn attempts(&self) -> u64 {
         self.attempts.0.load(Ordering::Relaxed)
     }
 
     /// Requests that were taken.
-    pub fn taken(&self) -> u64 {
+    pub fn received(&self) -> u64 {
         self.taken.get()
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// The others, by class.
-    pub fn classes(&self) -> Vec<(&str, Tally)> {
+    pub fn counters_by_class(&self) -> Vec<(&str, ClassCounters)> {
         self.names.iter().map(String::as_str).zip(self.ended.borrow().iter().copied()).collect()
     }
 }
@@ -140,23 +140,23 @@
         /// Whatever happens in whichever order, what was taken is what has ended and what has not.
         #[test]
         fn nothing_is_lost_or_counted_twice(steps in prop::collection::vec((0..4u8, 0..3usize, any::<prop::sample::Index>()), 0..300)) {
-            let figures = Figures::new(vec!["a".into(), "b".into(), "c".into()]);
-            let mut open: Vec<(usize, Taken)> = Vec::new();
-            let mut expected = [Tally::default(); 3];
+            let figures = Metrics::new(vec!["a".into(), "b".into(), "c".into()]);
+            let mut open: Vec<(usize, OpenRequest)> = Vec::new();
+            let mut expected = [ClassCounters::default(); 3];
             for (step, class, index) in steps {
                 if step == 0 || open.is_empty() {
-                    open.push((class, figures.take(class)));
+                    open.push((class, figures.begin_request(class)));
                 } else {
                     let (class, taken) = open.swap_remove(index.index(open.len()));
                     match step {
-                        1 => { expected[class].completed += 1; taken.end(Ending::Completed); }
-                        2 => { expected[class].rejected += 1; taken.end(Ending::Rejected); }
+                        1 => { expected[class].completed += 1; taken.end(RequestOutcome::Completed); }
+                        2 => { expected[class].rejected += 1; taken.end(RequestOutcome::Rejected); }
                         _ => { expected[class].failed += 1; drop(taken); }
                     }
                 }
-                let classes = figures.classes();
+                let classes = figures.counters_by_class();
                 let ended: u64 = classes.iter().map(|(_, t)| t.completed + t.rejected + t.failed).sum();
-                prop_assert_eq!(figures.taken(), ended + figures.pending());
+                prop_assert_eq!(figures.received(), ended + figures.pending());
                 prop_assert_eq!(figures.pending(), open.len() as u64);
                 prop_assert_eq!(classes.iter().map(|(_, t)| *t).collect::<Vec<_>>(), expected.to_vec());
             }
--- a/crates/operate/src/stopping.rs
+++ b/crates/operate/src/stopping.rs
@@ -36,12 +36,12 @@
 }
 
 /// What a stop allows.
-pub struct Stopping {
+pub struct StopTiming {
     notice: Duration,
     recent: Option<Recent>,
 }
 
-impl Stopping {
+impl StopTiming {
     /// Of a proxy whose classes have deadlines up to that, in seconds.
     pub fn new(longest: Time) -> Self {
         let longest = Duration::try_from_secs_f64(longest).map_or(LONGEST, |longest| longest.min(LONGEST));
@@ -53,7 +53,7 @@
     }
 
     /// A request was served at `now`, and that took so long.
-    pub fn served(&mut self, now: Duration, took: Duration) {
+    pub fn record_served(&mut self, now: Duration, took: Duration) {
         let Some(Recent { now: latest, before, since }) = &mut self.recent else { return };
         if now.saturating_sub(*since) >= KEPT {
             std::mem::swap(latest, before);
@@ -72,19 +72,19 @@
     }
 
     /// For how long after SIGTERM clients are served as ever.
-    pub fn serves(&self) -> Duration {
+    pub fn serving_duration(&self) -> Duration {
         let [least, most] = LINGER.map(|part| self.notice.mul_f64(part));
-        let usual = self.usual().map(|usual| self.left(usual));
+        let usual = self.usual().map(|usual| self.request_time_left(usual));
         usual.map_or(least, |until| until.clamp(least, most))
     }
 
     /// How long the process may still take to end so long after SIGTERM.
-    pub fn ends_within(&self, since: Duration) -> Duration {
+    pub fn time_until_exit(&self, since: Duration) -> Duration {
         (self.notice - END_SPARE).saturating_sub(since)
     }
 
     /// How long a request may take that comes so long after SIGTERM.
-    pub fn left(&self, since: Duration) -> Duration {
+    pub fn request_time_left(&self, since: Duration) -> Duration {
         (self.notice - SPARE).saturating_sub(since)
     }
 }
