--- a/crates/dewpier/src/beside.rs
+++ b/crates/dewpier/src/beside.rs
@@ -1,8 +1,8 @@
 //! A platform's proxy that is started while an older one serves its address: takes the socket over, and gives it to
 //! the next one.
 
-use dewpier_handover::giver::Do;
-use dewpier_handover::io::{self as handover, Found};
+use dewpier_handover::io::{self as handover, HandoverReply};
+use dewpier_handover::sender::Action;
 use dewpier_http::server::{self, Server};
 use std::io;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 /// Where the process that serves an address is asked for its socket, if there is a folder for that.
 pub fn place(address: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
-    Some(handover::place(Path::new(&folder), address))
+    Some(handover::socket_path(Path::new(&folder), address))
 }
 
 /// The process that was here before.
@@ -31,7 +31,7 @@
     /// There was none.
     None,
     /// It gave its socket.
-    Given(handover::Before),
+    Given(handover::PredecessorConnection),
     /// It is there, and did not.
     Hidden,
     /// The same, and it goes on being asked by others.
@@ -52,7 +52,7 @@
     /// Tells it that this process accepts now.
     pub async fn taking(&mut self) {
         if let Self::Given(before) = self
-            && let Err(error) = before.taking().await
+            && let Err(error) = before.announce_accepting().await
         {
             tracing::warn!(%error, "the process before is gone");
         }
@@ -68,7 +68,7 @@
     pub async fn ended(&mut self) {
         match self {
             Self::None => {}
-            Self::Given(before) => before.ended().await,
+            Self::Given(before) => before.wait_for_exit().await,
             Self::Hidden | Self::Asked => tokio::time::sleep(THERE_FOR).await,
         }
     }
@@ -77,19 +77,19 @@
 /// The listening socket: the one of the process before if it gives it, else one of this process's own.
 pub async fn listener(address: SocketAddr, place: Option<&Path>) -> io::Result<(TcpListener, Before)> {
     let found = match place {
-        Some(place) => handover::ask(place).await,
-        None => Found::Nobody,
+        Some(place) => handover::request_listener(place).await,
+        None => HandoverReply::NoPredecessor,
     };
     let before = match found {
-        Found::Given(listener, before) if listener.local_addr()? == address => {
+        HandoverReply::ListenerReceived(listener, before) if listener.local_addr()? == address => {
             return Ok((TcpListener::from_std(listener)?, Before::Given(before)));
         }
-        Found::Given(..) | Found::Nobody => Before::None,
-        Found::Busy => {
+        HandoverReply::ListenerReceived(..) | HandoverReply::NoPredecessor => Before::None,
+        HandoverReply::Busy => {
             tracing::warn!("the process before gives its socket to another one: listening beside");
             Before::Asked
         }
-        Found::Kept(why) => {
+        HandoverReply::Refused(why) => {
             tracing::warn!(why, "the process before gives no socket: listening beside");
             Before::Hidden
         }
@@ -116,25 +116,25 @@
         };
         // A process that took over and is gone has left the place to nobody.
         tokio::select! {
-            () = handover::attend(door, listener.clone(), act(server.clone(), again.clone())) => {}
+            () = handover::serve_handovers(door, listener.clone(), act(server.clone(), again.clone())) => {}
             () = again.notified() => {}
         }
     }
 }
 
 /// What this process does about a newer one.
-fn act(server: Rc<Server>, again: Rc<Notify>) -> impl Fn(Do) + 'static {
+fn act(server: Rc<Server>, again: Rc<Notify>) -> impl Fn(Action) + 'static {
     move |done| match done {
-        Do::Beside(beside) => server.beside(beside),
-        Do::HandOver => {
+        Action::ShareLimits(beside) => server.beside(beside),
+        Action::StopAccepting => {
             tracing::info!("a new process takes the address over");
             server.hand_over();
         }
-        Do::TakeBack => {
+        Action::ResumeAccepting => {
             tracing::warn!("the new process is gone: taking clients again");
             server.take_back();
             again.notify_one();
         }
-        Do::Give(_) | Do::Tell(..) | Do::Drop(_) => {}
+        Action::SendSocket(_) | Action::SendMessage(..) | Action::Disconnect(_) => {}
     }
 }
--- a/crates/handover/src/io/mod.rs
+++ b/crates/handover/src/io/mod.rs
@@ -1,7 +1,7 @@
 //! The thin part: a Unix socket beside the clients' address, and descriptors sent over it.
 
-use crate::giver::{Do, Event, Giver, Peer};
-use crate::message::{MOST_LINE, Message, VERSION};
+use crate::message::{MAX_LINE_BYTES, Message, PROTOCOL_VERSION};
+use crate::sender::{Action, ConnectionId, Event, HandoverSender};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
@@ -27,71 +27,71 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// Where the process that serves an address is asked for its socket.
-pub fn place(folder: &Path, address: SocketAddr) -> PathBuf {
+pub fn socket_path(folder: &Path, address: SocketAddr) -> PathBuf {
     folder.join(format!("dewpier-{address}.handover"))
 }
 
 /// What a process that starts has found.
 #[derive(Debug)]
-pub enum Found {
+pub enum HandoverReply {
     /// Nobody serves the address, as far as can be told.
-    Nobody,
+    NoPredecessor,
     /// Somebody does, and gave its socket.
-    Given(TcpListener, Before),
+    ListenerReceived(TcpListener, PredecessorConnection),
     /// Somebody does, and gives it to another new process just now.
     Busy,
     /// Somebody does, and gave none: why.
-    Kept(String),
+    Refused(String),
 }
 
 /// The connection to the process that gave its socket.
 #[derive(Debug)]
-pub struct Before {
+pub struct PredecessorConnection {
     stream: UnixStream,
 }
 
-impl Before {
+impl PredecessorConnection {
     /// Tells the other one that this process accepts now.
-    pub async fn taking(&mut self) -> io::Result<()> {
+    pub async fn announce_accepting(&mut self) -> io::Result<()> {
         self.stream.write_all(Message::Taking.to_string().as_bytes()).await
     }
 
     /// Waits until the other one has ended.
-    pub async fn ended(&mut self) {
-        let mut space = [0; MOST_LINE];
+    pub async fn wait_for_exit(&mut self) {
+        let mut space = [0; MAX_LINE_BYTES];
         // It has nothing more to say; whatever comes is passed over.
         while self.stream.read(&mut space).await.is_ok_and(|read| read > 0) {}
     }
 }
 
 /// Asks the process that serves the address, if there is one, for its socket.
-pub async fn ask(place: &Path) -> Found {
-    let Ok(stream) = UnixStream::connect(place).await else { return Found::Nobody };
+pub async fn request_listener(place: &Path) -> HandoverReply {
+    let Ok(stream) = UnixStream::connect(place).await else { return HandoverReply::NoPredecessor };
     match tokio::time::timeout(ANSWERED_WITHIN, asked(stream)).await {
         Ok(Ok(found)) => found,
-        Ok(Err(error)) => Found::Kept(error.to_string()),
-        Err(_) => Found::Kept("no answer in time".into()),
+        Ok(Err(error)) => HandoverReply::Refused(error.to_string()),
+        Err(_) => HandoverReply::Refused("no answer in time".into()),
     }
 }
 
-async fn asked(mut stream: UnixStream) -> io::Result<Found> {
-    stream.write_all(Message::Hello(VERSION).to_string().as_bytes()).await?;
+async fn asked(mut stream: UnixStream) -> io::Result<HandoverReply> {
+    stream.write_all(Message::Hello(PROTOCOL_VERSION).to_string().as_bytes()).await?;
     let (line, descriptor) = stream.async_io(Interest::READABLE, || receive(&stream)).await?;
-    match (Message::read(&line), descriptor) {
+    match (Message::parse(&line), descriptor) {
         (Some(Message::Listener), Some(descriptor)) => {
             let listener = TcpListener::from(descriptor);
             listener.local_addr()?; // a socket of another kind is none
             listener.set_nonblocking(true)?;
-            Ok(Found::Given(listener, Before { stream }))
+            Ok(HandoverReply::ListenerReceived(listener, PredecessorConnection { stream }))
         }
-        (Some(Message::Busy), None) => Ok(Found::Busy),
-        (Some(no), None) => Ok(Found::Kept(no.to_string().trim_end().to_string())),
-        _ => Ok(Found::Kept("an answer that makes no sense".into())),
+        (Some(Message::Busy), None) => Ok(HandoverReply::Busy),
+        (Some(no), None) => Ok(HandoverReply::Refused(no.to_string().trim_end().to_string())),
+        _ => Ok(HandoverReply::Refused("an answer that makes no sense".into())),
     }
 }
 
 fn receive(stream: &UnixStream) -> io::Result<(Vec<u8>, Option<OwnedFd>)> {
-    let mut line = [0; MOST_LINE];
+    let mut line = [0; MAX_LINE_BYTES];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let mut parts = [IoSliceMut::new(&mut line)];
@@ -100,7 +100,7 @@
         RecvAncillaryMessage::ScmRights(mut rights) => rights.next(),
         _ => None,
     });
-    Ok((line[..received.bytes.min(MOST_LINE)].to_vec(), rights))
+    Ok((line[..received.bytes.min(MAX_LINE_BYTES)].to_vec(), rights))
 }
 
 fn send(stream: &UnixStream, listener: &impl AsFd) -> io::Result<()> {
@@ -129,9 +129,13 @@
 
 /// Gives `listener` to new processes, one at a time, until it is dropped. It is held weakly: a process that closes it
 /// takes nothing more, whoever attends here. What the process itself has to do about it goes to `act`.
-pub async fn attend(door: UnixListener, listener: Weak<impl AsFd + 'static>, act: impl Fn(Do) + 'static) {
+pub async fn serve_handovers(
+    door: UnixListener,
+    listener: Weak<impl AsFd + 'static>,
+    act: impl Fn(Action) + 'static,
+) {
     let shared = Rc::new(Shared { giver: RefCell::default(), listener, act });
-    let mut next: Peer = 0;
+    let mut next: ConnectionId = 0;
     let mut peers = tokio::task::JoinSet::new();
     loop {
         while peers.len() >= MOST_PEERS {
@@ -151,23 +155,23 @@
 }
 
 struct Shared<L, A> {
-    giver: RefCell<Giver>,
+    giver: RefCell<HandoverSender>,
     listener: Weak<L>,
     act: A,
 }
 
-impl<L: AsFd, A: Fn(Do)> Shared<L, A> {
-    async fn serve(self: Rc<Self>, peer: Peer, mut stream: UnixStream) {
+impl<L: AsFd, A: Fn(Action)> Shared<L, A> {
+    async fn serve(self: Rc<Self>, peer: ConnectionId, mut stream: UnixStream) {
         // Its first line must come; after that the connection stands for as long as the process lives.
         let mut within = SAID_WITHIN;
         while let Ok(Ok(line)) = tokio::time::timeout(within, line(&mut stream)).await {
-            let Some(message) = Message::read(&line) else { break };
-            if !self.handle(Event::Said(peer, message), &mut stream).await {
+            let Some(message) = Message::parse(&line) else { break };
+            if !self.handle(Event::MessageReceived(peer, message), &mut stream).await {
                 break;
             }
             within = Duration::from_secs(u64::from(u32::MAX));
         }
-        self.handle(Event::Gone(peer), &mut stream).await;
+        self.handle(Event::Disconnected(peer), &mut stream).await;
     }
 
     /// False where the connection is to end.
@@ -176,19 +180,19 @@
         let mut stays = true;
         for done in todo {
             let sent = match done {
-                Do::Give(_) => {
+                Action::SendSocket(_) => {
                     let give = || match self.listener.upgrade() {
                         Some(listener) => send(stream, &*listener),
                         None => Err(io::ErrorKind::NotConnected.into()),
                     };
                     stream.async_io(Interest::WRITABLE, give).await
                 }
-                Do::Tell(_, message) => stream.write_all(message.to_string().as_bytes()).await,
-                Do::Drop(_) => {
+                Action::SendMessage(_, message) => stream.write_all(message.to_string().as_bytes()).await,
+                Action::Disconnect(_) => {
                     stays = false;
                     Ok(())
                 }
-                Do::Beside(_) | Do::HandOver | Do::TakeBack => {
+                Action::ShareLimits(_) | Action::StopAccepting | Action::ResumeAccepting => {
                     (self.act)(done);
                     Ok(())
                 }
@@ -203,7 +207,7 @@
 async fn line(stream: &mut UnixStream) -> io::Result<Vec<u8>> {
     let mut line = Vec::new();
     while line.last() != Some(&b'\n') {
-        if line.len() >= MOST_LINE {
+        if line.len() >= MAX_LINE_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
         line.push(stream.read_u8().await?);
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -3,9 +3,9 @@
 use std::fmt;
 
 /// The format's version.
-pub const VERSION: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 /// The longest line, in bytes, its end included.
-pub const MOST_LINE: usize = 64;
+pub const MAX_LINE_BYTES: usize = 64;
 
 /// A line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 
 impl Message {
     /// Reads a line; none where it makes no sense.
-    pub fn read(line: &[u8]) -> Option<Self> {
+    pub fn parse(line: &[u8]) -> Option<Self> {
         let text = std::str::from_utf8(line).ok()?.strip_suffix('\n')?;
         let number = |text: &str| text.parse().ok();
         match text.split(' ').collect::<Vec<_>>()[..] {
@@ -58,7 +58,7 @@
     #[test]
     fn what_is_said_is_what_is_read() {
         let all = [
-            Message::Hello(VERSION),
+            Message::Hello(PROTOCOL_VERSION),
             Message::Listener,
             Message::Busy,
             Message::Version(u32::MAX),
@@ -66,20 +66,20 @@
         ];
         for message in all {
             let line = message.to_string();
-            assert!(line.len() <= MOST_LINE);
-            assert_eq!(Message::read(line.as_bytes()), Some(message));
+            assert!(line.len() <= MAX_LINE_BYTES);
+            assert_eq!(Message::parse(line.as_bytes()), Some(message));
         }
         for line in ["", "\n", "hello\n", "hello -1\n", "hello 1 2\n", "taking", "no\n", "hello 4294967296\n"]
         {
-            assert_eq!(Message::read(line.as_bytes()), None, "{line:?}");
+            assert_eq!(Message::parse(line.as_bytes()), None, "{line:?}");
         }
     }
 
     proptest! {
         #[test]
         fn any_bytes_are_read_or_refused(line in prop::collection::vec(any::<u8>(), 0..80)) {
-            if let Some(message) = Message::read(&line) {
-                prop_assert_eq!(Message::read(message.to_string().as_bytes()), Some(message));
+            if let Some(message) = Message::parse(&line) {
+                prop_assert_eq!(Message::parse(message.to_string().as_bytes()), Some(message));
             }
         }
     }
