--- a/crates/dewpier/benches/day.rs
+++ b/crates/dewpier/benches/day.rs
@@ -392,7 +392,7 @@
             match action {
                 Action::Send { id, backend, timeout } => {
                     let forwarder = &mut self.forwarders[f];
-                    let node = forwarder.members.names().get(&backend).and_then(|n| n[1..].parse().ok());
+                    let node = forwarder.members.node_names().get(&backend).and_then(|n| n[1..].parse().ok());
                     let open = forwarder.open.get_mut(&id.0).expect("it came");
                     let attempt = open.attempts.len();
                     open.attempts.push(Attempt { backend, sent: self.now, ended: false, written: true });
--- a/crates/dewpier/examples/mysql.rs
+++ b/crates/dewpier/examples/mysql.rs
@@ -2,7 +2,7 @@
 //! others and one that dies and comes back. Clients of a real library read, write and run transactions. Prints what
 //! they got. Ends by itself, with status 1 if a write reached servers twice, or one that was told as done never did.
 
-use dewpier::config::{Config, hash};
+use dewpier::config::{Config, hash_password};
 use dewpier::run;
 use dewpier_standins::mysql::{Asked, MySqlServer, Reply};
 use mysql::prelude::Queryable;
@@ -85,7 +85,10 @@
 
 fn play(folder: &Path) -> Result<bool, Box<dyn Error>> {
     let servers = [Duration::from_millis(20), Duration::from_millis(2), Duration::from_millis(2)].map(server);
-    std::fs::write(folder.join("users.toml"), format!("[users]\nplanner = \"{}\"\n", hash("oak", false)))?;
+    std::fs::write(
+        folder.join("users.toml"),
+        format!("[users]\nplanner = \"{}\"\n", hash_password("oak", false)),
+    )?;
     std::fs::write(folder.join("password"), "elm\n")?;
     let rows: String =
         servers.iter().enumerate().map(|(i, s)| format!("replica-{i},{}\n", s.address)).collect();
--- a/crates/dewpier/src/command.rs
+++ b/crates/dewpier/src/command.rs
@@ -1,7 +1,7 @@
 //! The command line. Without arguments the program is the platform's proxy, as ever.
 
 use clap::{Args, Parser, Subcommand};
-use dewpier::config::{Config, ListFrom, MySqlConfig, PlannerConfig, hash};
+use dewpier::config::{Config, ListFrom, MySqlConfig, PlannerConfig, hash_password};
 use dewpier::error::ServeError;
 use dewpier::{planner, run, status};
 use dewpier_inventory::io::{confirm, read_file};
@@ -185,7 +185,7 @@
             let options = Options { format, encoding, group, default_port, ..Options::default() };
             check_inventory(&file, &options, json)
         }
-        Command::Mysql(OfMysql::Hash { native }) => hash_password(native),
+        Command::Mysql(OfMysql::Hash { native }) => print_password_hash(native),
         Command::Inventory(OfInventory::Confirm { file }) => {
             match confirm(&file, Options::default().max_bytes) {
                 Ok(beside) => {
@@ -325,14 +325,14 @@
 /// The longest password that is read, in bytes.
 const MOST_PASSWORD: u64 = 1024;
 
-fn hash_password(native: bool) -> ExitCode {
+fn print_password_hash(native: bool) -> ExitCode {
     let mut password = String::new();
     match std::io::stdin().lock().take(MOST_PASSWORD + 1).read_line(&mut password) {
         Ok(1..)
             if password.len() as u64 <= MOST_PASSWORD
                 && !password.trim_end_matches(['\r', '\n']).is_empty() =>
         {
-            println!("{}", hash(password.trim_end_matches(['\r', '\n']), native));
+            println!("{}", hash_password(password.trim_end_matches(['\r', '\n']), native));
             ExitCode::SUCCESS
         }
         Ok(_) => bad(format!("standard input: expected a password of 1 to {MOST_PASSWORD} bytes")),
--- a/crates/dewpier/src/config/mod.rs
+++ b/crates/dewpier/src/config/mod.rs
@@ -14,7 +14,7 @@
 pub use check::ConfigError;
 pub use fleet::{Carrier, Fleet};
 pub use inventory::Inventory;
-pub use mysql::{MySqlConfig, Secrets, hash};
+pub use mysql::{MySqlConfig, Secrets, hash_password};
 pub use planner::PlannerConfig;
 pub use planners::Planners;
 
--- a/crates/dewpier/src/config/mysql.rs
+++ b/crates/dewpier/src/config/mysql.rs
@@ -209,7 +209,7 @@
 
 /// What is to stand in a file of users for such a password, for `caching_sha2_password`, or for
 /// `mysql_native_password` where clients know no other.
-pub fn hash(password: &str, native: bool) -> String {
+pub fn hash_password(password: &str, native: bool) -> String {
     let (mark, bytes) = match if native { Kept::native(password) } else { Kept::sha2(password) } {
         Kept::Native(bytes) => ("*", bytes.to_vec()),
         Kept::Sha2(bytes) => ("sha2:", bytes.to_vec()),
@@ -226,10 +226,10 @@
     fn users_are_read_by_their_hashes_and_what_is_none_is_told_with_its_place() {
         let read = |text: &str| parse(text, Path::new("/u.toml"), users).map_err(|error| error.to_string());
         for (native, kept) in [(true, Kept::native("oak")), (false, Kept::sha2("oak"))] {
-            let good = format!("[users]\nplanner = \"{}\"\n", hash("oak", native));
+            let good = format!("[users]\nplanner = \"{}\"\n", hash_password("oak", native));
             assert_eq!(read(&good).unwrap(), [("planner".to_string(), kept)].into());
         }
-        let good = format!("[users]\nplanner = \"{}\"\n", hash("oak", true));
+        let good = format!("[users]\nplanner = \"{}\"\n", hash_password("oak", true));
         for (text, place) in [
             ("[users]\nplanner = \"oak\"\n".to_string(), "2:11"),
             (good.replace('*', ""), "2:11"),
--- a/crates/dewpier/src/feed.rs
+++ b/crates/dewpier/src/feed.rs
@@ -51,7 +51,7 @@
     /// Hands the first list to an engine.
     pub fn begin<U: Upstream>(&mut self, engine: &Engine<U>) {
         let first = std::mem::take(&mut self.first);
-        let news = self.members.news(&pairs(&first), &self.lists.ages(), engine.clock().now());
+        let news = self.members.update_nodes(&pairs(&first), &self.lists.ages(), engine.clock().now());
         self.fleet.iter().for_each(|fleet| fleet.list(self.members.nodes()));
         engine.news(match news {
             News::Full(list) => News::Remembered(list),
@@ -72,20 +72,20 @@
             tokio::select! {
                 news = lists.next() => match news {
                     Ok(list) => {
-                        let news = members.news(&pairs(&list), &lists.ages(), engine.clock().now());
+                        let news = members.update_nodes(&pairs(&list), &lists.ages(), engine.clock().now());
                         fleet.iter().for_each(|fleet| fleet.list(members.nodes()));
                         engine.news(news);
                         lists.taken();
-                        members.forget(|id| engine.knows(id));
+                        members.forget_unknown_ids(|id| engine.knows(id));
                         eprintln!("dewpier: {}", summary(&list, lists.from()));
                     }
                     Err(why) => eprintln!("dewpier: the last good list serves on: {why}"),
                 },
-                usual = Lists::budgets(&mut budgets) => engine.news(members.budgets(usual)),
+                usual = Lists::budgets(&mut budgets) => engine.news(members.update_budgets(usual)),
                 _ = digest.tick(), if digests.is_some() => {
                     let span = last.elapsed();
                     last = Instant::now();
-                    let seen = digested(engine.take_counts(), &members.names(), span);
+                    let seen = digested(engine.take_counts(), &members.node_names(), span);
                     digests.iter().for_each(|d| drop(d.send_replace(seen.clone())));
                 }
                 () = reload.notified() => lists.reload(),
--- a/crates/dewpier/src/lists/mod.rs
+++ b/crates/dewpier/src/lists/mod.rs
@@ -7,7 +7,7 @@
 pub mod watched;
 
 use self::lent::Lent;
-use self::nodes::backend;
+use self::nodes::backend_from_node;
 use self::planned::Ends;
 use self::resolve::Resolved;
 use self::watched::{Watched, in_time};
@@ -120,7 +120,7 @@
                 while latest.changed().await.is_err() {
                     std::future::pending::<()>().await;
                 }
-                Ok(latest.borrow_and_update().iter().map(backend).collect())
+                Ok(latest.borrow_and_update().iter().map(backend_from_node).collect())
             }
         }
     }
--- a/crates/dewpier/src/lists/nodes.rs
+++ b/crates/dewpier/src/lists/nodes.rs
@@ -4,7 +4,7 @@
 use dewpier_plan::Node;
 
 /// A node of a plan as a backend of an inventory, and where it listens.
-pub fn backend(node: &Node) -> (Backend, std::net::SocketAddr) {
+pub fn backend_from_node(node: &Node) -> (Backend, std::net::SocketAddr) {
     let backend = Backend {
         id: node.id.clone(),
         address: Address { host: Host::Ip(node.address.ip()), port: node.address.port() },
@@ -18,7 +18,7 @@
 }
 
 /// A node as a planner tells of it.
-pub fn node(backend: &Backend, address: std::net::SocketAddr) -> Node {
+pub fn node_from_backend(backend: &Backend, address: std::net::SocketAddr) -> Node {
     Node {
         id: backend.id.clone(),
         address,
--- a/crates/dewpier/src/lists/planned.rs
+++ b/crates/dewpier/src/lists/planned.rs
@@ -1,7 +1,7 @@
 //! A forwarder's lists: its planners' while they can be heard, and its own watch's while they can't.
 
 use super::lent::Lent;
-use super::nodes::node;
+use super::nodes::node_from_backend;
 use super::resolve::Resolved;
 use super::watched::Watched;
 use crate::config::Planners;
@@ -105,7 +105,7 @@
     }
 
     fn own(&self, list: &Resolved) {
-        let nodes: Vec<Node> = list.iter().map(|(b, a)| node(b, *a)).collect();
+        let nodes: Vec<Node> = list.iter().map(|(b, a)| node_from_backend(b, *a)).collect();
         let follower = self.follower.borrow();
         let mut standby = self.standby.borrow_mut();
         if standby.own(&follower, nodes) {
--- a/crates/dewpier/src/members.rs
+++ b/crates/dewpier/src/members.rs
@@ -49,7 +49,12 @@
     /// started, as far as anyone can tell: it is sent only what a cold one can take. Which number
     /// it has follows from its id alone, whatever its row or address. `ages` says how long ago nodes started,
     /// in seconds, where somebody else has watched for longer.
-    pub fn news(&mut self, list: &[(&Backend, SocketAddr)], ages: &HashMap<String, f64>, now: Time) -> News {
+    pub fn update_nodes(
+        &mut self,
+        list: &[(&Backend, SocketAddr)],
+        ages: &HashMap<String, f64>,
+        now: Time,
+    ) -> News {
         let before = std::mem::take(&mut self.members);
         let mut listed = Vec::with_capacity(list.len());
         for (backend, address) in list {
@@ -80,7 +85,7 @@
     }
 
     /// What cold nodes may be sent, as planners say now. The news is of those for which that has changed.
-    pub fn budgets(&mut self, usual: HashMap<String, f64>) -> News {
+    pub fn update_budgets(&mut self, usual: HashMap<String, f64>) -> News {
         let before = std::mem::replace(&mut self.usual, usual);
         let mut changed = Vec::new();
         for id in before.keys().chain(self.usual.keys()) {
@@ -107,12 +112,12 @@
     }
 
     /// The names of nodes by their numbers.
-    pub fn names(&self) -> HashMap<gannetproxy::BackendId, &str> {
+    pub fn node_names(&self) -> HashMap<gannetproxy::BackendId, &str> {
         self.members.iter().map(|(name, member)| (member.entry.id, name.as_str())).collect()
     }
 
     /// Forgets the numbers of nodes that nothing names any more.
-    pub fn forget(&mut self, known: impl Fn(gannetproxy::BackendId) -> bool) {
+    pub fn forget_unknown_ids(&mut self, known: impl Fn(gannetproxy::BackendId) -> bool) {
         self.names.forget(known);
     }
 
@@ -132,7 +137,7 @@
     fn list(members: &mut Members, text: &str, now: Time) -> Vec<Listed> {
         let read = dewpier_inventory::read(text.as_bytes(), "n.csv", &Options::default()).unwrap();
         let all: Vec<_> = read.backends.iter().map(|b| (b, b.address.socket().unwrap())).collect();
-        match members.news(&all, &HashMap::new(), now) {
+        match members.update_nodes(&all, &HashMap::new(), now) {
             News::Full(list) => list,
             other => panic!("{other:?}"),
         }
@@ -179,16 +184,17 @@
         let read = read.unwrap();
         let all: Vec<_> = read.backends.iter().map(|b| (b, b.address.socket().unwrap())).collect();
         let ages = HashMap::from([("b".to_string(), 3.0)]);
-        let News::Full(list) = members.news(&all, &ages, 10.0) else { panic!() };
+        let News::Full(list) = members.update_nodes(&all, &ages, 10.0) else { panic!() };
         assert_eq!([list[0].entry.started, list[1].entry.started], [None, Some(7.0)]);
         // What it has seen itself is not forgotten for it.
-        let News::Full(list) = members.news(&all, &HashMap::from([("a".to_string(), 0.0)]), 12.0) else {
+        let News::Full(list) = members.update_nodes(&all, &HashMap::from([("a".to_string(), 0.0)]), 12.0)
+        else {
             panic!()
         };
         assert_eq!([list[0].entry.started, list[1].entry.started], [None, Some(7.0)]);
         let mut told = |usual: &[(&str, f64)]| {
             let usual = usual.iter().map(|(id, rate)| (id.to_string(), *rate)).collect();
-            let News::Changes(list) = members.budgets(usual) else { panic!() };
+            let News::Changes(list) = members.update_budgets(usual) else { panic!() };
             list.iter().map(|l| l.entry.usual).collect::<Vec<_>>()
         };
         assert_eq!(told(&[("b", 5.0), ("unknown", 1.0)]), [Some(5.0)]);
--- a/crates/dewpier/src/planner.rs
+++ b/crates/dewpier/src/planner.rs
@@ -2,7 +2,7 @@
 
 use crate::config::PlannerConfig;
 use crate::error::ServeError;
-use crate::lists::nodes::node;
+use crate::lists::nodes::node_from_backend;
 use crate::lists::resolve::Resolved;
 use crate::lists::watched::Watched;
 use crate::tls;
@@ -36,7 +36,7 @@
         security: security.clone(),
     });
     let take = |list: &Resolved, from: &str| {
-        cluster.observe(list.iter().map(|(b, a)| node(b, *a)).collect());
+        cluster.observe(list.iter().map(|(b, a)| node_from_backend(b, *a)).collect());
         eprintln!("dewpier: {} backends from {from}", list.len());
     };
     take(&first, lists.from());
--- a/crates/dewpier/tests/levels/forwarder.rs
+++ b/crates/dewpier/tests/levels/forwarder.rs
@@ -1,6 +1,6 @@
 //! A forwarder: its cores, its decision module, and what the engine does round it.
 
-use dewpier::lists::nodes::backend;
+use dewpier::lists::nodes::backend_from_node;
 use dewpier::members::Members;
 use dewpier_plan::{Counts, Digest, DrainBound, Follower, Node, Rules, Slice, Standby};
 use gannetproxy::engine::{Listed, News};
@@ -84,12 +84,12 @@
     }
 
     pub fn take(&mut self, now: u64, nodes: &[Node], actions: &mut Vec<Action>) {
-        let list: Vec<_> = nodes.iter().map(backend).collect();
+        let list: Vec<_> = nodes.iter().map(backend_from_node).collect();
         let pairs: Vec<_> = list.iter().map(|(b, a)| (b, *a)).collect();
         let age = |n: &Node| Some((n.id.clone(), n.age_ms? as f64 / 1000.0));
         let ages = nodes.iter().filter_map(age).collect();
         let grace = if self.lent(now) { self.grace } else { 0 };
-        let news = self.members.news(&pairs, &ages, now as f64 / 1e6);
+        let news = self.members.update_nodes(&pairs, &ages, now as f64 / 1e6);
         let News::Full(list) = news else { panic!("{news:?}") };
         for (id, gate) in &mut self.gates {
             if list.iter().all(|l| l.entry.id != *id) {
@@ -110,7 +110,7 @@
     }
 
     pub fn budgets(&mut self, now: u64, actions: &mut Vec<Action>) {
-        if let News::Changes(list) = self.members.budgets(self.follower.budgets()) {
+        if let News::Changes(list) = self.members.update_budgets(self.follower.budgets()) {
             let entries: Vec<Entry> = list.into_iter().map(|l| l.entry).collect();
             self.event(now, Event::List(ListUpdate::Changes(&entries)), actions);
         }
@@ -121,7 +121,7 @@
     }
 
     pub fn digest(&mut self, span: u64) -> Digest {
-        let names = self.members.names();
+        let names = self.members.node_names();
         let named =
             |(id, counts): (BackendId, Counts)| Some(Counts { id: names.get(&id)?.to_string(), ..counts });
         let nodes = self.counts.drain().filter_map(named).collect();
--- a/crates/dewpier/tests/levels/world.rs
+++ b/crates/dewpier/tests/levels/world.rs
@@ -991,7 +991,7 @@
             return self.later(who, 0, What::Done { request, attempt, outcome });
         }
         made.written = true;
-        let names = forwarder.members.names();
+        let names = forwarder.members.node_names();
         // What has left the list keeps its number for as long as something may be sent there.
         let node = names.get(&backend).and_then(|name| name[1..].parse::<usize>().ok());
         if let Some(node) = node {
