--- a/crates/operate/src/calls.rs
+++ b/crates/operate/src/calls.rs
@@ -1,54 +1,54 @@
-//! What operators ask, read from a line, and what they are told. No I/O.
+//! Parses operator calls, one per line, and formats the metrics that answer `vars`. No I/O.
 
 use crate::metrics::{BackendCounts, Metrics};
 use std::fmt::Write;
 
-/// What each figure's name begins with.
+/// Prefix of every metric name.
 const PREFIX: &str = "edge_relay";
-/// The longest line that is a call, in bytes, its end not counted: one that names a node.
+/// Longest call in bytes, without the line end; leaves space for a node's name.
 pub const MAX_LINE_BYTES: usize = 160;
-/// As much of an unknown call is shown again.
-const SHOWN: usize = 32;
+/// How many bytes of an unknown call its error message quotes.
+const MAX_QUOTED_BYTES: usize = 32;
 
-/// What an operator says of a node.
+/// An operator's override of the fleet's verdict on a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeOverride {
-    /// Keep it out for so many seconds.
+    /// Avoids the node for this many seconds.
     Avoid(u64),
-    /// Have no verdict keep it out for so many seconds.
+    /// Ignores verdicts on the node for this many seconds.
     Trust(u64),
-    /// Go by what is seen again.
+    /// Removes an override: verdicts apply again.
     AsSeen,
 }
 
-/// What an operator asks.
+/// An operator call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Does this process take clients?
+    /// Asks whether the process takes clients.
     Check,
-    /// The figures.
+    /// Asks for the metrics.
     Vars,
-    /// Empty the proxy.
+    /// Starts to drain the proxy.
     DrainOn,
-    /// Take clients again.
+    /// Ends a drain: the proxy takes clients again.
     DrainOff,
-    /// What the fleet holds of nodes.
+    /// Asks for the fleet's verdicts on nodes, as text.
     Verdicts,
-    /// The same as JSON.
+    /// Asks for the fleet's verdicts on nodes, as JSON.
     VerdictsJson,
-    /// What is to hold of a node in the whole fleet.
+    /// Overrides the verdict on a node in the whole fleet.
     Override {
-        /// Its name in the list.
+        /// The node's name in the backend list.
         node: String,
-        /// What.
+        /// The override.
         action: NodeOverride,
     },
 }
 
-/// Calls about a node, as their lines are written.
-const RULES: &str = "avoid SECONDS NODE, trust SECONDS NODE, as-seen NODE";
+/// The syntax of the calls that name a node, for error messages.
+const OVERRIDE_SYNTAX: &str = "avoid SECONDS NODE, trust SECONDS NODE, as-seen NODE";
 
-/// The calls by their names.
+/// The calls without arguments, by name.
 const CALLS: [(&str, Call); 6] = [
     ("check", Call::Check),
     ("vars", Call::Vars),
@@ -59,9 +59,9 @@
 ];
 
 impl Call {
-    /// Reads a line, its end left off. What is no call is answered with what is given here.
+    /// Parses a line without its line end. The error is the answer to send, a line that begins with `NO`.
     pub fn parse(line: &[u8]) -> Result<Self, String> {
-        let names = || format!("{}, {RULES}", CALLS.map(|(name, _)| name).join(", "));
+        let names = || format!("{}, {OVERRIDE_SYNTAX}", CALLS.map(|(name, _)| name).join(", "));
         if line.len() > MAX_LINE_BYTES {
             return Err(format!(
                 "NO line too long: expected {}, got more than {MAX_LINE_BYTES} bytes\n",
@@ -70,24 +70,24 @@
         }
         let text = line.trim_ascii();
         let found = CALLS.iter().find(|(name, _)| name.as_bytes() == text);
-        found.map(|(_, call)| call.clone()).or_else(|| rule(text)).ok_or_else(|| {
-            let got = text[..text.len().min(SHOWN)].escape_ascii();
+        found.map(|(_, call)| call.clone()).or_else(|| parse_override(text)).ok_or_else(|| {
+            let got = text[..text.len().min(MAX_QUOTED_BYTES)].escape_ascii();
             format!("NO unknown call: expected {}, got '{got}'\n", names())
         })
     }
 }
 
-/// A call about a node. The node's name comes last, as it may have spaces in it.
-fn rule(text: &[u8]) -> Option<Call> {
+/// Parses a call that names a node. The node's name comes last, because it may contain spaces.
+fn parse_override(text: &[u8]) -> Option<Call> {
     let text = std::str::from_utf8(text).ok()?;
     let (name, rest) = text.split_once(' ')?;
-    let timed = || {
+    let seconds_and_node = || {
         let (seconds, node) = rest.trim_start().split_once(' ')?;
         Some((seconds.parse().ok()?, node))
     };
     let (action, node) = match name {
-        "avoid" => timed().map(|(seconds, node)| (NodeOverride::Avoid(seconds), node))?,
-        "trust" => timed().map(|(seconds, node)| (NodeOverride::Trust(seconds), node))?,
+        "avoid" => seconds_and_node().map(|(seconds, node)| (NodeOverride::Avoid(seconds), node))?,
+        "trust" => seconds_and_node().map(|(seconds, node)| (NodeOverride::Trust(seconds), node))?,
         "as-seen" => (NodeOverride::AsSeen, rest),
         _ => return None,
     };
@@ -95,21 +95,21 @@
     (!node.is_empty()).then_some(Call::Override { node, action })
 }
 
-/// The figures as text, a line each, and a line that ends them.
-pub fn format_metrics(figures: &Metrics, members: BackendCounts) -> String {
+/// Formats the metrics as `name=value` lines, followed by the line `END`.
+pub fn format_metrics(metrics: &Metrics, backends: BackendCounts) -> String {
     let mut text = String::new();
     let mut line = |name: std::fmt::Arguments<'_>, value: u64| {
         let _ = writeln!(text, "{PREFIX}.{name}={value}"); // writing to a string does not fail
     };
-    for (class, tally) in figures.counters_by_class() {
-        line(format_args!("downstream_requests.{class}.completed"), tally.completed);
-        line(format_args!("downstream_requests.{class}.rejected"), tally.rejected);
-        line(format_args!("downstream_requests.{class}.failed"), tally.failed);
+    for (class, counters) in metrics.counters_by_class() {
+        line(format_args!("downstream_requests.{class}.completed"), counters.completed);
+        line(format_args!("downstream_requests.{class}.rejected"), counters.rejected);
+        line(format_args!("downstream_requests.{class}.failed"), counters.failed);
     }
-    line(format_args!("upstream_requests"), figures.attempts());
-    line(format_args!("pending"), figures.pending());
-    line(format_args!("members"), members.listed as u64);
-    line(format_args!("members_unavailable"), members.avoided as u64);
+    line(format_args!("upstream_requests"), metrics.attempts());
+    line(format_args!("pending"), metrics.pending());
+    line(format_args!("members"), backends.listed as u64);
+    line(format_args!("members_unavailable"), backends.avoided as u64);
     text.push_str("END\n");
     text
 }
@@ -119,24 +119,30 @@
     use super::*;
 
     #[test]
-    fn calls_are_read_and_all_else_is_told_what_was_expected() {
+    fn known_calls_parse_and_other_lines_get_the_list_of_calls() {
         for (name, call) in CALLS {
             assert_eq!(Call::parse(name.as_bytes()), Ok(call.clone()));
             assert_eq!(Call::parse(format!("{name} \r").as_bytes()), Ok(call));
         }
         for line in [&b""[..], b"drain", b"CHECK", b"vars vars", b"\xff\x00\n", &[b'a'; 161]] {
-            let no = Call::parse(line).unwrap_err();
-            assert!(no.starts_with("NO ") && no.contains("check, vars, drain-on, drain-off"), "{no}");
-            assert!(no.is_ascii() && no.len() < 300 && no.matches('\n').count() == 1, "{no}");
+            let error = Call::parse(line).unwrap_err();
+            assert!(
+                error.starts_with("NO ") && error.contains("check, vars, drain-on, drain-off"),
+                "{error}"
+            );
+            assert!(error.is_ascii() && error.len() < 300 && error.matches('\n').count() == 1, "{error}");
         }
     }
 
     #[test]
-    fn what_is_said_of_a_node_is_read() {
-        let rule = |node: &str, action| Ok(Call::Override { node: node.into(), action });
-        assert_eq!(Call::parse(b"avoid 600 pricing-02"), rule("pricing-02", NodeOverride::Avoid(600)));
-        assert_eq!(Call::parse("trust 5 түйін бір \r".as_bytes()), rule("түйін бір", NodeOverride::Trust(5)));
-        assert_eq!(Call::parse(b"as-seen 7"), rule("7", NodeOverride::AsSeen));
+    fn node_overrides_parse() {
+        let parsed = |node: &str, action| Ok(Call::Override { node: node.into(), action });
+        assert_eq!(Call::parse(b"avoid 600 pricing-02"), parsed("pricing-02", NodeOverride::Avoid(600)));
+        assert_eq!(
+            Call::parse("trust 5 түйін бір \r".as_bytes()),
+            parsed("түйін бір", NodeOverride::Trust(5))
+        );
+        assert_eq!(Call::parse(b"as-seen 7"), parsed("7", NodeOverride::AsSeen));
         for line in [
             "avoid",
             "avoid 5",
@@ -151,12 +157,12 @@
     }
 
     #[test]
-    fn figures_are_lines_and_end() {
-        let figures = Metrics::new(vec!["look".into(), "save".into()]);
-        let (one, _two) = (figures.begin_request(0), figures.begin_request(1));
-        one.end(crate::metrics::RequestOutcome::Completed);
-        figures.count_attempt();
-        let text = format_metrics(&figures, BackendCounts { listed: 5, avoided: 2 });
+    fn metrics_are_formatted_as_lines_that_end_with_end() {
+        let metrics = Metrics::new(vec!["look".into(), "save".into()]);
+        let (completed, _open) = (metrics.begin_request(0), metrics.begin_request(1));
+        completed.end(crate::metrics::RequestOutcome::Completed);
+        metrics.count_attempt();
+        let text = format_metrics(&metrics, BackendCounts { listed: 5, avoided: 2 });
         let lines: Vec<_> = text.lines().collect();
         for line in [
             "edge_relay.downstream_requests.look.completed=1",
--- a/crates/operate/src/io/mod.rs
+++ b/crates/operate/src/io/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' server: a thin shell that hands lines to whoever answers them.
+//! TCP server for operators: reads one call per connection and writes its answer.
 
 use crate::calls::{Call, MAX_LINE_BYTES};
 use std::io;
@@ -8,18 +8,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// Callers that are served at once: their descriptors are out of those kept for the process's own use. For one more
-/// the one goes that has been here longest, which has said nothing for so long.
+/// Maximum number of callers served at once; part of the descriptors reserved for the process itself. One more
+/// caller replaces the one that connected first.
 pub const MAX_CALLERS: usize = 8;
-/// A caller must have sent its line by then,
-const SAID_WITHIN: Duration = Duration::from_millis(800);
-/// and taken its answer so long after that.
-const TAKEN_WITHIN: Duration = Duration::from_secs(2);
-/// After an accept that failed.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Time in which a caller must send its line.
+const READ_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time in which a caller must read its answer.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Serves operators until it is dropped. Runs on a [`tokio::task::LocalSet`]; `answer` is asked between two turns of
-/// all else there.
+/// Serves operators until it is dropped. Runs on a [`tokio::task::LocalSet`]; `answer` is called between the turns of
+/// the other tasks there.
 pub async fn serve(listener: TcpListener, answer: Rc<dyn Fn(Call) -> String>) {
     let mut callers: Vec<JoinHandle<()>> = Vec::new();
     let mut failing = false;
@@ -31,39 +31,40 @@
                 if callers.len() >= MAX_CALLERS {
                     callers.remove(0).abort();
                 }
-                callers.push(tokio::task::spawn_local(one(stream, answer.clone())));
+                callers.push(tokio::task::spawn_local(serve_caller(stream, answer.clone())));
             }
             Err(error) => {
-                // One event for as long as it lasts: callers could fill the log with them.
+                // Logged once per series of failures: callers could fill the log otherwise.
                 if !std::mem::replace(&mut failing, true) {
-                    tracing::warn!(%error, "operators' calls can't be taken");
+                    tracing::warn!(%error, "accepting an operator connection failed, retrying");
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn one(mut stream: TcpStream, answer: Rc<dyn Fn(Call) -> String>) {
-    // Who says nothing, or stops half way, is let go without a word: no call has come.
-    let Ok(Ok(line)) = tokio::time::timeout(SAID_WITHIN, line(&mut stream)).await else { return };
+/// Answers one caller.
+async fn serve_caller(mut stream: TcpStream, answer: Rc<dyn Fn(Call) -> String>) {
+    // A caller that sends no complete line in time is disconnected without an answer.
+    let Ok(Ok(line)) = tokio::time::timeout(READ_TIMEOUT, read_line(&mut stream)).await else { return };
     let text = match Call::parse(&line) {
         Ok(call) => answer(call),
-        Err(no) => no,
+        Err(error) => error,
     };
-    let told = async {
+    let sent = async {
         stream.write_all(text.as_bytes()).await?;
         stream.shutdown().await
     };
-    let _ = tokio::time::timeout(TAKEN_WITHIN, told).await; // one that takes nothing is let go
+    let _ = tokio::time::timeout(WRITE_TIMEOUT, sent).await; // a caller that doesn't read is disconnected
 }
 
-/// A line, its end left off; more than a call can have where it is too long.
-async fn line(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
-    let (mut line, mut part) = (Vec::new(), [0; MAX_LINE_BYTES]);
+/// Reads a line and removes its end. Returns more than [`MAX_LINE_BYTES`] bytes for a line that is too long.
+async fn read_line(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
+    let (mut line, mut buffer) = (Vec::new(), [0; MAX_LINE_BYTES]);
     loop {
-        let read = stream.read(&mut part).await?;
-        line.extend_from_slice(&part[..read]);
+        let read = stream.read(&mut buffer).await?;
+        line.extend_from_slice(&buffer[..read]);
         if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
             line.truncate(end);
             return Ok(line);
--- a/crates/operate/src/lib.rs
+++ b/crates/operate/src/lib.rs
@@ -1,7 +1,8 @@
-//! What staff need to run a proxy every day: their calls and the answers to them, figures that add up at every
-//! moment, and the life of a process, which drains and stops go through alike.
+//! Operating a proxy: operator calls and their answers, request metrics, and the lifecycle of the process
+//! through drains, handovers and stops.
 //!
-//! [`calls`], [`metrics`], [`lifecycle`] and [`stopping`] do no I/O and keep no clock; [`io`] is a thin server.
+//! [`calls`], [`metrics`], [`lifecycle`] and [`stopping`] do no I/O and read no clock; [`io`] is the TCP server
+//! in front of [`calls`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/operate/src/lifecycle.rs
+++ b/crates/operate/src/lifecycle.rs
@@ -1,121 +1,126 @@
-//! The life of a process: serving, draining, handed over to another one, stopping. It says what is answered at
-//! `/-/ready`, whether connections are taken, and which are closed. No I/O and no clock: times are counted from any
-//! moment that stays.
+//! Lifecycle of a proxy process: serving, draining, handed over to a successor, stopping. Decides the answer at
+//! `/-/ready`, whether connections are accepted, and which ones are closed. No I/O and no clock: times are durations
+//! since any fixed moment.
 
 use crate::stopping::StopTiming;
 use gannetproxy::Time;
 use std::time::Duration;
 
-/// The front goes on dealing out connections for so long after a drain began: what is closed before comes back.
-const FRONT_SEES: Duration = Duration::from_millis(500);
-/// From then on a connection is closed that has rested for so long between two requests,
-const RESTED: Duration = Duration::from_millis(100);
-/// and so long after the drain began any that has no request in hand.
-const EMPTY_BY: Duration = Duration::from_secs(2);
+/// How long after the start of a drain the front still assigns new connections to this process. Clients whose
+/// connections were closed within this time would come back.
+const FRONT_REACTION_TIME: Duration = Duration::from_millis(500);
+/// After [`FRONT_REACTION_TIME`], a drain closes connections that have been idle for this long.
+const DRAIN_IDLE_TIME: Duration = Duration::from_millis(100);
+/// How long after the start of a drain every connection without a request in progress is closed.
+const CLOSE_ALL_IDLE_AFTER: Duration = Duration::from_secs(2);
 
-/// Part of the time for which a process that stops serves clients as before, after which answers say that their
-/// connections close.
-const CLOSE_SAID_AFTER: f64 = 0.8;
+/// Fraction of a stopping process's serving time after which its responses announce that the connection closes.
+const CLOSE_ANNOUNCED_AFTER_FRACTION: f64 = 0.8;
 
-/// Where a process stands. Each way on from here is one of the methods of [`Lifecycle`].
+/// The state of a process: whether it drains, has handed over its address, or stops.
 pub struct Lifecycle {
-    /// When a drain began, if one is on.
+    /// When the current drain began.
     draining: Option<Duration>,
-    /// When another process took over the address, if one has.
+    /// When a successor took over the address.
     handed_over: Option<Duration>,
-    /// When it was told to stop, and for how long it goes on as before.
+    /// When the stop began, and how long clients are served after that as before.
     stopping: Option<(Duration, Duration)>,
-    stops: StopTiming,
+    stop_timing: StopTiming,
 }
 
 impl Lifecycle {
-    /// Of a proxy whose classes have deadlines up to that, in seconds.
-    pub fn new(longest: Time) -> Self {
-        Self { draining: None, handed_over: None, stopping: None, stops: StopTiming::new(longest) }
+    /// A serving process whose classes have deadlines up to `longest_deadline`, in seconds.
+    pub fn new(longest_deadline: Time) -> Self {
+        Self {
+            draining: None,
+            handed_over: None,
+            stopping: None,
+            stop_timing: StopTiming::new(longest_deadline),
+        }
     }
 
-    /// A request was served, and that took so long.
-    pub fn record_served(&mut self, now: Duration, took: Duration) {
-        self.stops.record_served(now, took);
+    /// Records at `now` that a request was served in `response_time`.
+    pub fn record_served(&mut self, now: Duration, response_time: Duration) {
+        self.stop_timing.record_served(now, response_time);
     }
 
-    /// Empty the proxy. One that drains already goes on with that.
+    /// Starts a drain. A drain that is already on continues unchanged.
     pub fn start_drain(&mut self, now: Duration) {
         self.draining.get_or_insert(now);
     }
 
-    /// Take clients again. Does nothing for one that stops.
+    /// Ends a drain: the process takes clients again unless it stops.
     pub fn cancel_drain(&mut self) {
         self.draining = None;
     }
 
-    /// Another process takes what comes to the address from now on.
+    /// A successor accepts the connections to the address from now on.
     pub fn hand_over(&mut self, now: Duration) {
         self.handed_over.get_or_insert(now);
     }
 
-    /// That one is gone again.
+    /// The successor has exited: this process accepts connections again.
     pub fn resume_accepting(&mut self) {
         self.handed_over = None;
     }
 
-    /// It is told to stop: clients are served for so long as before. Being told again changes nothing.
+    /// Begins a stop and returns how long clients are served as before. A repeated call changes nothing.
     pub fn begin_stop(&mut self, now: Duration) -> Duration {
-        self.stopping.get_or_insert_with(|| (now, self.stops.serving_duration())).1
+        self.stopping.get_or_insert_with(|| (now, self.stop_timing.serving_duration())).1
     }
 
-    /// The time for serving clients as before is over.
+    /// The process stops and its time for serving clients is over.
     pub fn is_closing(&self, now: Duration) -> bool {
-        self.stopping.is_some_and(|(since, serves)| now.saturating_sub(since) >= serves)
+        self.stopping.is_some_and(|(since, serving)| now.saturating_sub(since) >= serving)
     }
 
-    /// This process takes clients.
+    /// The process takes clients: it neither drains nor stops, and has not handed over its address.
     pub fn is_taking_clients(&self) -> bool {
         self.draining.is_none() && self.handed_over.is_none() && self.stopping.is_none()
     }
 
-    /// It takes connections from the system. One that drains does: the front deals them out for a while yet.
+    /// The process accepts connections. A draining one does, because the front still assigns some to it.
     pub fn is_accepting(&self) -> bool {
         self.handed_over.is_none()
     }
 
-    /// What `/-/ready` says, where there is a list. It speaks for the address: a process that has handed it over says
-    /// yes for the one that took it, also while it stops.
+    /// Whether `/-/ready` answers yes, given a backend list. The answer is for the address: a process that has handed
+    /// it over answers yes on behalf of its successor, even while it stops.
     pub fn is_ready(&self) -> bool {
         self.draining.is_none() && (self.handed_over.is_some() || self.stopping.is_none())
     }
 
-    /// Clients are told with each answer that their connection closes behind it. One that stops begins with that
-    /// towards the end of the time for which it serves: a client that is sent away before may find nobody yet, and
-    /// one that is never told could ask in the very moment of the end.
+    /// Responses announce that their connection closes. A stopping process announces it late in its serving time:
+    /// clients sent away earlier might find no replacement yet, and clients without the announcement might send a
+    /// request just as the connection closes.
     pub fn is_announcing_close(&self, now: Duration) -> bool {
-        let ends = |(since, serves): (Duration, Duration)| {
-            now.saturating_sub(since) >= serves.mul_f64(CLOSE_SAID_AFTER)
+        let is_ending = |(since, serving): (Duration, Duration)| {
+            now.saturating_sub(since) >= serving.mul_f64(CLOSE_ANNOUNCED_AFTER_FRACTION)
         };
-        self.draining.is_some() || self.handed_over.is_some() || self.stopping.is_some_and(ends)
+        self.draining.is_some() || self.handed_over.is_some() || self.stopping.is_some_and(is_ending)
     }
 
-    /// How long the process may still take to end, where it is to stop.
+    /// How long a stopping process may still run; none if it does not stop.
     pub fn time_until_exit(&self, now: Duration) -> Option<Duration> {
-        self.stopping.map(|(since, _)| self.stops.time_until_exit(now.saturating_sub(since)))
+        self.stopping.map(|(since, _)| self.stop_timing.time_until_exit(now.saturating_sub(since)))
     }
 
-    /// A connection with no request in hand that has rested for so long is to be closed now; none where it
-    /// need not be.
+    /// Connections without a request in progress that have been idle for this long are closed now; none if idle
+    /// connections stay open.
     pub fn idle_close_threshold(&self, now: Duration) -> Option<Duration> {
         if self.is_closing(now) {
             return Some(Duration::ZERO);
         }
-        let drains = now.saturating_sub(self.draining?);
-        match drains {
-            drains if drains >= EMPTY_BY => Some(Duration::ZERO),
-            drains if drains >= FRONT_SEES => Some(RESTED),
+        let draining_for = now.saturating_sub(self.draining?);
+        match draining_for {
+            draining_for if draining_for >= CLOSE_ALL_IDLE_AFTER => Some(Duration::ZERO),
+            draining_for if draining_for >= FRONT_REACTION_TIME => Some(DRAIN_IDLE_TIME),
             _ => None,
         }
     }
 
-    /// How long a request may take that comes now, where the process is to stop.
+    /// How long a request that is received now may take in a stopping process; none if the process does not stop.
     pub fn request_time_left(&self, now: Duration) -> Option<Duration> {
-        self.stopping.map(|(since, _)| self.stops.request_time_left(now.saturating_sub(since)))
+        self.stopping.map(|(since, _)| self.stop_timing.request_time_left(now.saturating_sub(since)))
     }
 }
--- a/crates/operate/src/metrics.rs
+++ b/crates/operate/src/metrics.rs
@@ -1,133 +1,133 @@
-//! The one place where requests end and are counted, and where attempts are. No I/O.
+//! Counts requests by class and outcome, and attempts. No I/O.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// How a request ended, as its client was told.
+/// How a request ended, as reported to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Served.
+    /// The request was served.
     Completed,
-    /// Refused: trying again is harmless.
+    /// The request was rejected: it is harmless to retry.
     Rejected,
-    /// Anything else.
+    /// Any other end, including a client that disconnected.
     Failed,
 }
 
-/// Requests of a class that have ended.
+/// Ended requests of one class, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Served.
+    /// Requests that were served.
     pub completed: u64,
-    /// Refused.
+    /// Requests that were rejected.
     pub rejected: u64,
-    /// Failed, and those whose client left.
+    /// Requests that failed or whose client disconnected.
     pub failed: u64,
 }
 
-/// The list as it is now.
+/// Numbers of backends in the current backend list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackendCounts {
-    /// Backends in it.
+    /// Listed backends.
     pub listed: usize,
-    /// Those of them that are avoided.
+    /// Listed backends that are avoided at present.
     pub avoided: usize,
 }
 
-/// AttemptCounter that were written whole. It may be counted on from where only shared things go.
+/// A shared counter of attempts that were written completely; usable from any thread.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptCounter(Arc<AtomicU64>);
 
 impl AttemptCounter {
-    /// One more.
+    /// Counts one attempt.
     pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// What a process has done since it started. Its size is that of the list of classes.
+/// Request and attempt counters of a process since its start. Its size is that of the list of classes.
 #[derive(Debug)]
 pub struct Metrics {
-    names: Vec<String>,
+    class_names: Vec<String>,
     ended: RefCell<Vec<ClassCounters>>,
-    taken: Cell<u64>,
+    received: Cell<u64>,
     pending: Cell<u64>,
     attempts: AttemptCounter,
 }
 
-/// A request that was taken and has not ended. Dropped, it has failed: whoever held it is gone without a word.
+/// A request that has begun and not ended. Dropping it without [`OpenRequest::end`] counts it as failed.
 #[derive(Debug)]
 pub struct OpenRequest {
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     class: usize,
-    ending: RequestOutcome,
+    outcome: RequestOutcome,
 }
 
 impl OpenRequest {
-    /// It ends like this.
-    pub fn end(mut self, ending: RequestOutcome) {
-        self.ending = ending;
+    /// Ends the request with this outcome.
+    pub fn end(mut self, outcome: RequestOutcome) {
+        self.outcome = outcome;
     }
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.figures.pending.set(self.figures.pending.get().saturating_sub(1));
-        if let Some(tally) = self.figures.ended.borrow_mut().get_mut(self.class) {
-            match self.ending {
-                RequestOutcome::Completed => tally.completed += 1,
-                RequestOutcome::Rejected => tally.rejected += 1,
-                RequestOutcome::Failed => tally.failed += 1,
+        self.metrics.pending.set(self.metrics.pending.get().saturating_sub(1));
+        if let Some(counters) = self.metrics.ended.borrow_mut().get_mut(self.class) {
+            match self.outcome {
+                RequestOutcome::Completed => counters.completed += 1,
+                RequestOutcome::Rejected => counters.rejected += 1,
+                RequestOutcome::Failed => counters.failed += 1,
             }
         }
     }
 }
 
 impl Metrics {
-    /// None yet, of classes with these names.
-    pub fn new(names: Vec<String>) -> Rc<Self> {
-        let ended = RefCell::new(vec![ClassCounters::default(); names.len()]);
-        let (taken, pending) = (Cell::new(0), Cell::new(0));
-        Rc::new(Self { names, ended, taken, pending, attempts: AttemptCounter::default() })
+    /// Zeroed counters for classes with these names.
+    pub fn new(class_names: Vec<String>) -> Rc<Self> {
+        let ended = RefCell::new(vec![ClassCounters::default(); class_names.len()]);
+        let (received, pending) = (Cell::new(0), Cell::new(0));
+        Rc::new(Self { class_names, ended, received, pending, attempts: AttemptCounter::default() })
     }
 
-    /// A request of a class has been taken.
+    /// Counts a received request of the class with this index.
     pub fn begin_request(self: &Rc<Self>, class: usize) -> OpenRequest {
-        self.taken.set(self.taken.get() + 1);
+        self.received.set(self.received.get() + 1);
         self.pending.set(self.pending.get() + 1);
-        OpenRequest { figures: self.clone(), class, ending: RequestOutcome::Failed }
+        OpenRequest { metrics: self.clone(), class, outcome: RequestOutcome::Failed }
     }
 
-    /// Where attempts are counted.
+    /// The counter of attempts, to share with other threads.
     pub fn attempt_counter(&self) -> AttemptCounter {
         self.attempts.clone()
     }
 
-    /// An attempt was written whole.
+    /// Counts an attempt that was written completely.
     pub fn count_attempt(&self) {
         self.attempts.increment();
     }
 
-    /// AttemptCounter that were written whole.
+    /// Number of attempts that were written completely.
     pub fn attempts(&self) -> u64 {
         self.attempts.0.load(Ordering::Relaxed)
     }
 
-    /// Requests that were taken.
+    /// Number of requests received, ended or not.
     pub fn received(&self) -> u64 {
-        self.taken.get()
+        self.received.get()
     }
 
-    /// Those that have not ended.
+    /// Number of requests that have not ended.
     pub fn pending(&self) -> u64 {
         self.pending.get()
     }
 
-    /// The others, by class.
+    /// Counters of ended requests by the name of their class.
     pub fn counters_by_class(&self) -> Vec<(&str, ClassCounters)> {
-        self.names.iter().map(String::as_str).zip(self.ended.borrow().iter().copied()).collect()
+        self.class_names.iter().map(String::as_str).zip(self.ended.borrow().iter().copied()).collect()
     }
 }
 
@@ -137,28 +137,30 @@
     use proptest::prelude::*;
 
     proptest! {
-        /// Whatever happens in whichever order, what was taken is what has ended and what has not.
+        /// In any order of events, received requests equal ended plus pending ones, and each is counted once.
         #[test]
-        fn nothing_is_lost_or_counted_twice(steps in prop::collection::vec((0..4u8, 0..3usize, any::<prop::sample::Index>()), 0..300)) {
-            let figures = Metrics::new(vec!["a".into(), "b".into(), "c".into()]);
+        fn requests_are_neither_lost_nor_counted_twice(
+            steps in prop::collection::vec((0..4u8, 0..3usize, any::<prop::sample::Index>()), 0..300),
+        ) {
+            let metrics = Metrics::new(vec!["a".into(), "b".into(), "c".into()]);
             let mut open: Vec<(usize, OpenRequest)> = Vec::new();
             let mut expected = [ClassCounters::default(); 3];
             for (step, class, index) in steps {
                 if step == 0 || open.is_empty() {
-                    open.push((class, figures.begin_request(class)));
+                    open.push((class, metrics.begin_request(class)));
                 } else {
-                    let (class, taken) = open.swap_remove(index.index(open.len()));
+                    let (class, request) = open.swap_remove(index.index(open.len()));
                     match step {
-                        1 => { expected[class].completed += 1; taken.end(RequestOutcome::Completed); }
-                        2 => { expected[class].rejected += 1; taken.end(RequestOutcome::Rejected); }
-                        _ => { expected[class].failed += 1; drop(taken); }
+                        1 => { expected[class].completed += 1; request.end(RequestOutcome::Completed); }
+                        2 => { expected[class].rejected += 1; request.end(RequestOutcome::Rejected); }
+                        _ => { expected[class].failed += 1; drop(request); }
                     }
                 }
-                let classes = figures.counters_by_class();
-                let ended: u64 = classes.iter().map(|(_, t)| t.completed + t.rejected + t.failed).sum();
-                prop_assert_eq!(figures.received(), ended + figures.pending());
-                prop_assert_eq!(figures.pending(), open.len() as u64);
-                prop_assert_eq!(classes.iter().map(|(_, t)| *t).collect::<Vec<_>>(), expected.to_vec());
+                let classes = metrics.counters_by_class();
+                let ended: u64 = classes.iter().map(|(_, c)| c.completed + c.rejected + c.failed).sum();
+                prop_assert_eq!(metrics.received(), ended + metrics.pending());
+                prop_assert_eq!(metrics.pending(), open.len() as u64);
+                prop_assert_eq!(classes.iter().map(|(_, c)| *c).collect::<Vec<_>>(), expected.to_vec());
             }
         }
     }
--- a/crates/operate/src/stopping.rs
+++ b/crates/operate/src/stopping.rs
@@ -1,90 +1,103 @@
-//! How a proxy that is told to stop divides the time that it has left. No I/O and no clock: times are counted
-//! from any moment that stays.
+//! Divides the time between SIGTERM and SIGKILL: how long a stopping proxy goes on serving clients, how long its
+//! requests may take, and by when the process exits. No I/O and no clock: times are durations since any fixed moment.
 
 use gannetproxy::Time;
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// SIGKILL follows SIGTERM after the longest deadline, or this if that is less,
-const LONGEST: Duration = Duration::from_secs(3);
-/// and so much more.
-const MORE: Duration = Duration::from_millis(700);
-/// What is taken after SIGTERM is answered so long before SIGKILL.
-const SPARE: Duration = Duration::from_millis(200);
-/// The process has ended so long before it.
-const END_SPARE: Duration = Duration::from_millis(100);
-/// Parts of the time from SIGTERM to SIGKILL in which clients are served as ever, on connections that they have
-/// and on new ones: at least the first, and up to the second as long as what comes can be answered in what is
-/// then left. Guards against a time with no proxy at all: in a rolling restart the front may not have taken in
-/// the one before yet. It could do harm where the time to SIGKILL is much shorter than the operators state, as
-/// what is taken late is then lost.
-const LINGER: [f64; 2] = [0.5, 0.8];
-/// So many of a hundred requests must be answered in it.
-const ANSWERED: f64 = 95.0;
-/// Answers that tell how long answers take; with fewer there is no telling.
-const TELLING: u64 = 20;
-/// Answers are remembered for as long as this, and up to twice as long.
-const KEPT: Duration = Duration::from_secs(20);
-/// The longest answer that is told from longer ones, in milliseconds.
-const MOST: u64 = 60_000;
+/// Upper limit of the longest deadline that the time to SIGKILL is derived from.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Time to SIGKILL beyond the longest deadline.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+/// Time before SIGKILL by which requests received after SIGTERM are answered.
+const ANSWER_MARGIN: Duration = Duration::from_millis(200);
+/// Time before SIGKILL by which the process has exited.
+const EXIT_MARGIN: Duration = Duration::from_millis(100);
+/// Minimum fraction of the time to SIGKILL in which clients are served as before the stop: in a rolling restart the
+/// front may not use the replacement yet.
+const MIN_SERVING_FRACTION: f64 = 0.5;
+/// Maximum fraction of the time to SIGKILL in which clients are served as before the stop. Requests that are received
+/// late are lost if SIGKILL comes earlier than expected.
+const MAX_SERVING_FRACTION: f64 = 0.8;
+/// Percentile of recent response times that must fit into the time left after serving ends.
+const RESPONSE_TIME_PERCENTILE: f64 = 95.0;
+/// Minimum number of recorded responses; with fewer, the minimum serving time applies.
+const MIN_RESPONSES: u64 = 20;
+/// Period that one histogram covers. Responses are remembered for one to two periods.
+const HISTOGRAM_PERIOD: Duration = Duration::from_secs(20);
+/// Longest response time that the histograms distinguish, in milliseconds.
+const MAX_RECORDED_MILLIS: u64 = 60_000;
 
-/// How long answers have taken of late: two histograms of fixed size, to two digits.
-struct Recent {
-    now: Histogram<u32>,
-    before: Histogram<u32>,
-    since: Duration,
+/// Recent response times in milliseconds: two histograms of fixed size, to two significant digits.
+struct ResponseTimes {
+    current: Histogram<u32>,
+    previous: Histogram<u32>,
+    current_since: Duration,
 }
 
-/// What a stop allows.
+/// Divides the time between SIGTERM and SIGKILL.
 pub struct StopTiming {
-    notice: Duration,
-    recent: Option<Recent>,
+    time_to_kill: Duration,
+    response_times: Option<ResponseTimes>,
 }
 
 impl StopTiming {
-    /// Of a proxy whose classes have deadlines up to that, in seconds.
-    pub fn new(longest: Time) -> Self {
-        let longest = Duration::try_from_secs_f64(longest).map_or(LONGEST, |longest| longest.min(LONGEST));
-        // The bounds are constants, and good ones: without them it would serve for the least time.
-        let histogram = || Histogram::new_with_bounds(1, MOST, 2).ok();
-        let recent = histogram().zip(histogram());
-        let recent = recent.map(|(now, before)| Recent { now, before, since: Duration::ZERO });
-        Self { notice: longest + MORE, recent }
+    /// For a proxy whose classes have deadlines up to `longest_deadline`, in seconds.
+    pub fn new(longest_deadline: Time) -> Self {
+        let longest_deadline = Duration::try_from_secs_f64(longest_deadline)
+            .map_or(MAX_COUNTED_DEADLINE, |longest_deadline| longest_deadline.min(MAX_COUNTED_DEADLINE));
+        // The bounds are valid constants. Without histograms the minimum serving time would apply.
+        let histogram = || Histogram::new_with_bounds(1, MAX_RECORDED_MILLIS, 2).ok();
+        let histograms = histogram().zip(histogram());
+        let response_times = histograms.map(|(current, previous)| ResponseTimes {
+            current,
+            previous,
+            current_since: Duration::ZERO,
+        });
+        Self { time_to_kill: longest_deadline + KILL_MARGIN, response_times }
     }
 
-    /// A request was served at `now`, and that took so long.
-    pub fn record_served(&mut self, now: Duration, took: Duration) {
-        let Some(Recent { now: latest, before, since }) = &mut self.recent else { return };
-        if now.saturating_sub(*since) >= KEPT {
-            std::mem::swap(latest, before);
-            latest.reset();
-            *since = now;
+    /// Records at `now` that a request was served in `response_time`.
+    pub fn record_served(&mut self, now: Duration, response_time: Duration) {
+        let Some(ResponseTimes { current, previous, current_since }) = &mut self.response_times else {
+            return;
+        };
+        if now.saturating_sub(*current_since) >= HISTOGRAM_PERIOD {
+            std::mem::swap(current, previous);
+            current.reset();
+            *current_since = now;
         }
-        latest.saturating_record(u64::try_from(took.as_millis()).unwrap_or(MOST).clamp(1, MOST));
+        current.saturating_record(
+            u64::try_from(response_time.as_millis())
+                .unwrap_or(MAX_RECORDED_MILLIS)
+                .clamp(1, MAX_RECORDED_MILLIS),
+        );
     }
 
-    /// How long nearly all answers have taken of late, if that can be told.
-    fn usual(&self) -> Option<Duration> {
-        let Recent { now, before, .. } = self.recent.as_ref()?;
-        let mut both = now.clone();
-        both.add(before).ok()?;
-        (both.len() >= TELLING).then(|| Duration::from_millis(both.value_at_percentile(ANSWERED)))
+    /// The recent response time at [`RESPONSE_TIME_PERCENTILE`]; none with fewer than [`MIN_RESPONSES`] responses.
+    fn typical_response_time(&self) -> Option<Duration> {
+        let ResponseTimes { current, previous, .. } = self.response_times.as_ref()?;
+        let mut both = current.clone();
+        both.add(previous).ok()?;
+        (both.len() >= MIN_RESPONSES)
+            .then(|| Duration::from_millis(both.value_at_percentile(RESPONSE_TIME_PERCENTILE)))
     }
 
-    /// For how long after SIGTERM clients are served as ever.
+    /// How long after SIGTERM clients are served as before, on existing and on new connections.
     pub fn serving_duration(&self) -> Duration {
-        let [least, most] = LINGER.map(|part| self.notice.mul_f64(part));
-        let usual = self.usual().map(|usual| self.request_time_left(usual));
-        usual.map_or(least, |until| until.clamp(least, most))
+        let [min, max] =
+            [MIN_SERVING_FRACTION, MAX_SERVING_FRACTION].map(|fraction| self.time_to_kill.mul_f64(fraction));
+        let wanted = self.typical_response_time().map(|response_time| self.request_time_left(response_time));
+        wanted.map_or(min, |duration| duration.clamp(min, max))
     }
 
-    /// How long the process may still take to end so long after SIGTERM.
-    pub fn time_until_exit(&self, since: Duration) -> Duration {
-        (self.notice - END_SPARE).saturating_sub(since)
+    /// How long the process may still run, `since_stop` after SIGTERM.
+    pub fn time_until_exit(&self, since_stop: Duration) -> Duration {
+        (self.time_to_kill - EXIT_MARGIN).saturating_sub(since_stop)
     }
 
-    /// How long a request may take that comes so long after SIGTERM.
-    pub fn request_time_left(&self, since: Duration) -> Duration {
-        (self.notice - SPARE).saturating_sub(since)
+    /// How long a request may take that is received `since_stop` after SIGTERM.
+    pub fn request_time_left(&self, since_stop: Duration) -> Duration {
+        (self.time_to_kill - ANSWER_MARGIN).saturating_sub(since_stop)
     }
 }
--- a/crates/operate/tests/life.rs
+++ b/crates/operate/tests/life.rs
@@ -1,4 +1,4 @@
-//! The life of a process: in whichever order it is told things, it does not contradict itself.
+//! The lifecycle of a process stays consistent in any order of drains, handovers and stops.
 
 use dewpier_operate::lifecycle::Lifecycle;
 use proptest::prelude::*;
@@ -9,81 +9,90 @@
 }
 
 #[test]
-fn a_drain_tells_then_closes_and_is_undone() {
-    let mut life = Lifecycle::new(5.0);
-    assert!(life.is_ready() && life.is_taking_clients() && !life.is_announcing_close(ms(0)));
-    life.start_drain(ms(1000));
-    life.start_drain(ms(2000)); // it goes on from where it was
+fn drain_announces_close_then_closes_idle_connections_and_can_be_cancelled() {
+    let mut lifecycle = Lifecycle::new(5.0);
+    assert!(lifecycle.is_ready() && lifecycle.is_taking_clients() && !lifecycle.is_announcing_close(ms(0)));
+    lifecycle.start_drain(ms(1000));
+    lifecycle.start_drain(ms(2000)); // does not restart the drain
     assert!(
-        !life.is_ready()
-            && !life.is_taking_clients()
-            && life.is_accepting()
-            && life.is_announcing_close(ms(1000))
+        !lifecycle.is_ready()
+            && !lifecycle.is_taking_clients()
+            && lifecycle.is_accepting()
+            && lifecycle.is_announcing_close(ms(1000))
     );
-    assert_eq!(life.idle_close_threshold(ms(1100)), None, "the front has not seen it");
-    assert_eq!(life.idle_close_threshold(ms(1500)), Some(ms(100)));
-    assert_eq!(life.idle_close_threshold(ms(3000)), Some(ms(0)));
-    life.cancel_drain();
-    assert!(life.is_ready() && life.is_taking_clients() && !life.is_announcing_close(ms(3100)));
-    assert_eq!(life.idle_close_threshold(ms(9000)), None);
+    assert_eq!(lifecycle.idle_close_threshold(ms(1100)), None, "the front may still assign connections");
+    assert_eq!(lifecycle.idle_close_threshold(ms(1500)), Some(ms(100)));
+    assert_eq!(lifecycle.idle_close_threshold(ms(3000)), Some(ms(0)));
+    lifecycle.cancel_drain();
+    assert!(
+        lifecycle.is_ready() && lifecycle.is_taking_clients() && !lifecycle.is_announcing_close(ms(3100))
+    );
+    assert_eq!(lifecycle.idle_close_threshold(ms(9000)), None);
 }
 
 #[test]
-fn a_stop_ends_a_drain_and_is_not_undone() {
-    let mut life = Lifecycle::new(5.0);
-    life.start_drain(ms(0));
-    let serves = life.begin_stop(ms(100));
-    life.cancel_drain();
-    assert!(!life.is_ready() && !life.is_taking_clients() && !life.is_announcing_close(ms(200)));
-    assert_eq!(life.begin_stop(ms(5000)), serves, "told twice");
+fn stop_continues_after_the_drain_is_cancelled() {
+    let mut lifecycle = Lifecycle::new(5.0);
+    lifecycle.start_drain(ms(0));
+    let serving = lifecycle.begin_stop(ms(100));
+    lifecycle.cancel_drain();
+    assert!(
+        !lifecycle.is_ready() && !lifecycle.is_taking_clients() && !lifecycle.is_announcing_close(ms(200))
+    );
+    assert_eq!(lifecycle.begin_stop(ms(5000)), serving, "a repeated stop changes nothing");
     assert!(
-        life.is_announcing_close(ms(100) + serves.mul_f64(0.8)),
-        "clients are told before idle ones are closed"
+        lifecycle.is_announcing_close(ms(100) + serving.mul_f64(0.8)),
+        "the close is announced before idle connections are closed"
     );
-    assert!(life.is_closing(ms(100) + serves) && life.is_announcing_close(ms(100) + serves));
-    assert_eq!(life.idle_close_threshold(ms(100) + serves), Some(ms(0)));
-    assert_eq!(life.request_time_left(ms(1100)), Some(ms(2500)));
-    assert_eq!(life.time_until_exit(ms(1100)), Some(ms(2600)));
+    assert!(lifecycle.is_closing(ms(100) + serving) && lifecycle.is_announcing_close(ms(100) + serving));
+    assert_eq!(lifecycle.idle_close_threshold(ms(100) + serving), Some(ms(0)));
+    assert_eq!(lifecycle.request_time_left(ms(1100)), Some(ms(2500)));
+    assert_eq!(lifecycle.time_until_exit(ms(1100)), Some(ms(2600)));
 }
 
 #[test]
-fn what_is_handed_over_speaks_for_the_address() {
-    let mut life = Lifecycle::new(5.0);
-    life.hand_over(ms(0));
+fn process_that_handed_over_stays_ready_and_can_resume() {
+    let mut lifecycle = Lifecycle::new(5.0);
+    lifecycle.hand_over(ms(0));
+    assert!(
+        lifecycle.is_ready()
+            && !lifecycle.is_taking_clients()
+            && !lifecycle.is_accepting()
+            && lifecycle.is_announcing_close(ms(0))
+    );
+    lifecycle.begin_stop(ms(10));
+    assert!(lifecycle.is_ready(), "the successor serves the address");
+    let mut lifecycle = Lifecycle::new(5.0);
+    lifecycle.hand_over(ms(0));
+    lifecycle.resume_accepting();
     assert!(
-        life.is_ready()
-            && !life.is_taking_clients()
-            && !life.is_accepting()
-            && life.is_announcing_close(ms(0))
+        lifecycle.is_taking_clients() && lifecycle.is_accepting() && !lifecycle.is_announcing_close(ms(1))
     );
-    life.begin_stop(ms(10));
-    assert!(life.is_ready(), "the other one serves on");
-    let mut life = Lifecycle::new(5.0);
-    life.hand_over(ms(0));
-    life.resume_accepting();
-    assert!(life.is_taking_clients() && life.is_accepting() && !life.is_announcing_close(ms(1)));
 }
 
 proptest! {
-    /// In whichever order things are told: who drains does not say yes, who takes clients says yes and tells
-    /// nobody to go, and whoever is to stop closes everything in time.
+    /// In any order of events: a draining process is not ready, a process that takes clients is ready and announces
+    /// no close, and a stopping process closes every idle connection in time.
     #[test]
-    fn no_order_of_orders_contradicts_itself(steps in prop::collection::vec((0..5u8, 0..2000u64), 0..40)) {
-        let (mut life, mut now, mut drains, mut stops) = (Lifecycle::new(5.0), 0, false, None);
+    fn state_is_consistent_in_any_order_of_events(steps in prop::collection::vec((0..5u8, 0..2000u64), 0..40)) {
+        let (mut lifecycle, mut now, mut draining, mut stopping_since) = (Lifecycle::new(5.0), 0, false, None);
         for (step, later) in steps {
             now += later;
             match step {
-                0 => { life.start_drain(ms(now)); drains = true; }
-                1 => { life.cancel_drain(); drains = false; }
-                2 => life.hand_over(ms(now)),
-                3 => life.resume_accepting(),
-                _ => { life.begin_stop(ms(now)); stops = stops.or(Some(now)); }
+                0 => { lifecycle.start_drain(ms(now)); draining = true; }
+                1 => { lifecycle.cancel_drain(); draining = false; }
+                2 => lifecycle.hand_over(ms(now)),
+                3 => lifecycle.resume_accepting(),
+                _ => { lifecycle.begin_stop(ms(now)); stopping_since = stopping_since.or(Some(now)); }
             }
-            prop_assert!(!(drains && life.is_ready()));
-            prop_assert!(!life.is_taking_clients() || (life.is_ready() && life.is_accepting() && !life.is_announcing_close(ms(now))));
-            prop_assert!(!life.is_taking_clients() || (!drains && stops.is_none()));
-            if let Some(since) = stops {
-                prop_assert_eq!(life.idle_close_threshold(ms(since + 3000)), Some(ms(0)));
+            prop_assert!(!(draining && lifecycle.is_ready()));
+            prop_assert!(
+                !lifecycle.is_taking_clients()
+                    || (lifecycle.is_ready() && lifecycle.is_accepting() && !lifecycle.is_announcing_close(ms(now)))
+            );
+            prop_assert!(!lifecycle.is_taking_clients() || (!draining && stopping_since.is_none()));
+            if let Some(since) = stopping_since {
+                prop_assert_eq!(lifecycle.idle_close_threshold(ms(since + 3000)), Some(ms(0)));
             }
         }
     }
