--- a/crates/handover/src/io/mod.rs
+++ b/crates/handover/src/io/mod.rs
@@ -1,4 +1,4 @@
-//! The thin part: a Unix socket beside the clients' address, and descriptors sent over it.
+//! Passes a listening socket between processes over a Unix socket, as an attached file descriptor.
 
 use crate::message::{MAX_LINE_BYTES, Message, PROTOCOL_VERSION};
 use crate::sender::{Action, ConnectionId, Event, HandoverSender};
@@ -17,194 +17,199 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::{UnixListener, UnixStream};
 
-/// Who is asked must answer within this: a process that hangs must not keep the new one from starting.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(1);
-/// Who comes must have said what it wants by then.
-const SAID_WITHIN: Duration = Duration::from_secs(1);
-/// New processes that are listened to at once; others wait in the system's queue.
-const MOST_PEERS: usize = 4;
-/// After an accept that failed.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Time in which the running process must answer. A process that hangs must not keep its successor from starting.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time in which a new process must send its first message.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of new processes served at once; others wait in the accept queue.
+const MAX_CONNECTIONS: usize = 4;
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Where the process that serves an address is asked for its socket.
+/// The path of the Unix socket on which the process that serves `address` hands over its listening socket.
 pub fn socket_path(folder: &Path, address: SocketAddr) -> PathBuf {
     folder.join(format!("dewpier-{address}.handover"))
 }
 
-/// What a process that starts has found.
+/// The result of asking the running process for its listening socket.
 #[derive(Debug)]
 pub enum HandoverReply {
-    /// Nobody serves the address, as far as can be told.
+    /// No process listens on the handover socket.
     NoPredecessor,
-    /// Somebody does, and gave its socket.
+    /// The running process sent its listening socket.
     ListenerReceived(TcpListener, PredecessorConnection),
-    /// Somebody does, and gives it to another new process just now.
+    /// The running process is handing its socket over to another process.
     Busy,
-    /// Somebody does, and gave none: why.
+    /// The running process sent no socket, with the reason.
     Refused(String),
 }
 
-/// The connection to the process that gave its socket.
+/// The connection to the process that sent its listening socket.
 #[derive(Debug)]
 pub struct PredecessorConnection {
     stream: UnixStream,
 }
 
 impl PredecessorConnection {
-    /// Tells the other one that this process accepts now.
+    /// Tells the predecessor that this process accepts connections. Fails if the predecessor has exited.
     pub async fn announce_accepting(&mut self) -> io::Result<()> {
         self.stream.write_all(Message::Taking.to_string().as_bytes()).await
     }
 
-    /// Waits until the other one has ended.
+    /// Waits until the predecessor has exited.
     pub async fn wait_for_exit(&mut self) {
-        let mut space = [0; MAX_LINE_BYTES];
-        // It has nothing more to say; whatever comes is passed over.
-        while self.stream.read(&mut space).await.is_ok_and(|read| read > 0) {}
+        let mut buffer = [0; MAX_LINE_BYTES];
+        // The protocol has no further messages: bytes that arrive are ignored.
+        while self.stream.read(&mut buffer).await.is_ok_and(|read| read > 0) {}
     }
 }
 
-/// Asks the process that serves the address, if there is one, for its socket.
-pub async fn request_listener(place: &Path) -> HandoverReply {
-    let Ok(stream) = UnixStream::connect(place).await else { return HandoverReply::NoPredecessor };
-    match tokio::time::timeout(ANSWERED_WITHIN, asked(stream)).await {
-        Ok(Ok(found)) => found,
+/// Asks the process that listens on the handover socket at `path`, if there is one, for its listening socket.
+pub async fn request_listener(path: &Path) -> HandoverReply {
+    let Ok(stream) = UnixStream::connect(path).await else { return HandoverReply::NoPredecessor };
+    match tokio::time::timeout(ANSWER_TIMEOUT, exchange(stream)).await {
+        Ok(Ok(reply)) => reply,
         Ok(Err(error)) => HandoverReply::Refused(error.to_string()),
         Err(_) => HandoverReply::Refused("no answer in time".into()),
     }
 }
 
-async fn asked(mut stream: UnixStream) -> io::Result<HandoverReply> {
+/// Sends the request on a connection and reads the answer.
+async fn exchange(mut stream: UnixStream) -> io::Result<HandoverReply> {
     stream.write_all(Message::Hello(PROTOCOL_VERSION).to_string().as_bytes()).await?;
-    let (line, descriptor) = stream.async_io(Interest::READABLE, || receive(&stream)).await?;
+    let (line, descriptor) = stream.async_io(Interest::READABLE, || receive_listener(&stream)).await?;
     match (Message::parse(&line), descriptor) {
         (Some(Message::Listener), Some(descriptor)) => {
             let listener = TcpListener::from(descriptor);
-            listener.local_addr()?; // a socket of another kind is none
+            listener.local_addr()?; // fails for a descriptor that is not a TCP socket
             listener.set_nonblocking(true)?;
             Ok(HandoverReply::ListenerReceived(listener, PredecessorConnection { stream }))
         }
         (Some(Message::Busy), None) => Ok(HandoverReply::Busy),
-        (Some(no), None) => Ok(HandoverReply::Refused(no.to_string().trim_end().to_string())),
-        _ => Ok(HandoverReply::Refused("an answer that makes no sense".into())),
+        (Some(refusal), None) => Ok(HandoverReply::Refused(refusal.to_string().trim_end().to_string())),
+        _ => Ok(HandoverReply::Refused("expected a socket or a refusal, got an invalid answer".into())),
     }
 }
 
-fn receive(stream: &UnixStream) -> io::Result<(Vec<u8>, Option<OwnedFd>)> {
+/// Receives a line and the descriptor attached to it, if any.
+fn receive_listener(stream: &UnixStream) -> io::Result<(Vec<u8>, Option<OwnedFd>)> {
     let mut line = [0; MAX_LINE_BYTES];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut control = RecvAncillaryBuffer::new(&mut space);
+    let mut ancillary = RecvAncillaryBuffer::new(&mut space);
     let mut parts = [IoSliceMut::new(&mut line)];
-    let received = recvmsg(stream, &mut parts, &mut control, RecvFlags::CMSG_CLOEXEC)?;
-    let rights = control.drain().find_map(|message| match message {
-        RecvAncillaryMessage::ScmRights(mut rights) => rights.next(),
+    let received = recvmsg(stream, &mut parts, &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
+    let descriptor = ancillary.drain().find_map(|message| match message {
+        RecvAncillaryMessage::ScmRights(mut descriptors) => descriptors.next(),
         _ => None,
     });
-    Ok((line[..received.bytes.min(MAX_LINE_BYTES)].to_vec(), rights))
+    Ok((line[..received.bytes.min(MAX_LINE_BYTES)].to_vec(), descriptor))
 }
 
-fn send(stream: &UnixStream, listener: &impl AsFd) -> io::Result<()> {
+/// Sends the listening socket, attached to its message.
+fn send_listener(stream: &UnixStream, listener: &impl AsFd) -> io::Result<()> {
     let line = Message::Listener.to_string();
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut control = SendAncillaryBuffer::new(&mut space);
+    let mut ancillary = SendAncillaryBuffer::new(&mut space);
     let descriptors = [listener.as_fd()];
-    control.push(SendAncillaryMessage::ScmRights(&descriptors));
-    // So short a line goes out whole or not at all.
-    sendmsg(stream, &[IoSlice::new(line.as_bytes())], &mut control, SendFlags::NOSIGNAL)?;
+    ancillary.push(SendAncillaryMessage::ScmRights(&descriptors));
+    // A line this short is sent completely or not at all.
+    sendmsg(stream, &[IoSlice::new(line.as_bytes())], &mut ancillary, SendFlags::NOSIGNAL)?;
     Ok(())
 }
 
-/// Listens there for new processes, in place of whoever did so before.
-pub fn listen(place: &Path) -> io::Result<UnixListener> {
-    // Bound under a name of its own and moved: at no moment is there no socket to ask.
-    let new = place.with_extension(format!("{}", std::process::id()));
-    match std::fs::remove_file(&new) {
+/// Listens for new processes on the handover socket at `path`, replacing the socket of a previous process.
+pub fn listen(path: &Path) -> io::Result<UnixListener> {
+    // Bound under a temporary name and renamed, so that a socket exists at `path` at all times.
+    let temporary = path.with_extension(format!("{}", std::process::id()));
+    match std::fs::remove_file(&temporary) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
         _ => {}
     }
-    let listener = UnixListener::bind(&new)?;
-    std::fs::rename(&new, place)?;
+    let listener = UnixListener::bind(&temporary)?;
+    std::fs::rename(&temporary, path)?;
     Ok(listener)
 }
 
-/// Gives `listener` to new processes, one at a time, until it is dropped. It is held weakly: a process that closes it
-/// takes nothing more, whoever attends here. What the process itself has to do about it goes to `act`.
+/// Hands `listener` over to new processes, one at a time, until the future is dropped. The weak reference leaves the
+/// process free to close the listener meanwhile. Actions that concern the process itself are passed to `act`.
 pub async fn serve_handovers(
-    door: UnixListener,
+    handover_socket: UnixListener,
     listener: Weak<impl AsFd + 'static>,
     act: impl Fn(Action) + 'static,
 ) {
-    let shared = Rc::new(Shared { giver: RefCell::default(), listener, act });
-    let mut next: ConnectionId = 0;
-    let mut peers = tokio::task::JoinSet::new();
+    let shared = Rc::new(Shared { sender: RefCell::default(), listener, act });
+    let mut last_id: ConnectionId = 0;
+    let mut connections = tokio::task::JoinSet::new();
     loop {
-        while peers.len() >= MOST_PEERS {
-            peers.join_next().await;
+        while connections.len() >= MAX_CONNECTIONS {
+            connections.join_next().await;
         }
         tokio::select! {
-            accepted = door.accept() => match accepted {
+            accepted = handover_socket.accept() => match accepted {
                 Ok((stream, _)) => {
-                    next += 1;
-                    peers.spawn_local(shared.clone().serve(next, stream));
+                    last_id += 1;
+                    connections.spawn_local(shared.clone().serve(last_id, stream));
                 }
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
-            Some(_) = peers.join_next() => {}
+            Some(_) = connections.join_next() => {}
         }
     }
 }
 
+/// What the connections of a handover socket share.
 struct Shared<L, A> {
-    giver: RefCell<HandoverSender>,
+    sender: RefCell<HandoverSender>,
     listener: Weak<L>,
     act: A,
 }
 
 impl<L: AsFd, A: Fn(Action)> Shared<L, A> {
-    async fn serve(self: Rc<Self>, peer: ConnectionId, mut stream: UnixStream) {
-        // Its first line must come; after that the connection stands for as long as the process lives.
-        let mut within = SAID_WITHIN;
-        while let Ok(Ok(line)) = tokio::time::timeout(within, line(&mut stream)).await {
+    /// Serves the connection of a new process until it ends.
+    async fn serve(self: Rc<Self>, connection: ConnectionId, mut stream: UnixStream) {
+        // Only the first message has a timeout; after it the connection stays open until the process exits.
+        let mut timeout = FIRST_MESSAGE_TIMEOUT;
+        while let Ok(Ok(line)) = tokio::time::timeout(timeout, read_line(&mut stream)).await {
             let Some(message) = Message::parse(&line) else { break };
-            if !self.handle(Event::MessageReceived(peer, message), &mut stream).await {
+            if !self.handle(Event::MessageReceived(connection, message), &mut stream).await {
                 break;
             }
-            within = Duration::from_secs(u64::from(u32::MAX));
+            timeout = Duration::from_secs(u64::from(u32::MAX));
         }
-        self.handle(Event::Disconnected(peer), &mut stream).await;
+        self.handle(Event::Disconnected(connection), &mut stream).await;
     }
 
-    /// False where the connection is to end.
+    /// Handles an event and performs the resulting actions. False if the connection must be closed.
     async fn handle(&self, event: Event, stream: &mut UnixStream) -> bool {
-        let todo = self.giver.borrow_mut().handle(event);
-        let mut stays = true;
-        for done in todo {
-            let sent = match done {
+        let actions = self.sender.borrow_mut().handle(event);
+        let mut stays_open = true;
+        for action in actions {
+            let result = match action {
                 Action::SendSocket(_) => {
-                    let give = || match self.listener.upgrade() {
-                        Some(listener) => send(stream, &*listener),
+                    let send = || match self.listener.upgrade() {
+                        Some(listener) => send_listener(stream, &*listener),
                         None => Err(io::ErrorKind::NotConnected.into()),
                     };
-                    stream.async_io(Interest::WRITABLE, give).await
+                    stream.async_io(Interest::WRITABLE, send).await
                 }
                 Action::SendMessage(_, message) => stream.write_all(message.to_string().as_bytes()).await,
                 Action::Disconnect(_) => {
-                    stays = false;
+                    stays_open = false;
                     Ok(())
                 }
                 Action::ShareLimits(_) | Action::StopAccepting | Action::ResumeAccepting => {
-                    (self.act)(done);
+                    (self.act)(action);
                     Ok(())
                 }
             };
-            stays &= sent.is_ok();
+            stays_open &= result.is_ok();
         }
-        stays
+        stays_open
     }
 }
 
-/// A line with its end; an error where the other side has ended, or says too much.
-async fn line(stream: &mut UnixStream) -> io::Result<Vec<u8>> {
+/// Reads a line including its end. Fails if the connection ends or the line exceeds [`MAX_LINE_BYTES`].
+async fn read_line(stream: &mut UnixStream) -> io::Result<Vec<u8>> {
     let mut line = Vec::new();
     while line.last() != Some(&b'\n') {
         if line.len() >= MAX_LINE_BYTES {
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,6 +1,7 @@
-//! A new version of a proxy beside the old one: the listening socket goes from one process to the other under load,
-//! so that no connection that waits in its queue is lost. [`sender`] and [`message`] decide, without I/O; [`io`]
-//! passes descriptors over a Unix socket.
+//! Hands a listening socket over from a running proxy process to its successor under load, so that no connection in
+//! the socket's accept queue is lost.
+//!
+//! [`sender`] and [`message`] hold the protocol without I/O; [`io`] passes the descriptor over a Unix socket.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -1,24 +1,24 @@
-//! What the two processes say to each other: lines of text. No I/O.
+//! Messages of the handover protocol, encoded as lines of text. No I/O.
 
 use std::fmt;
 
-/// The format's version.
+/// The version of the protocol.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// The longest line, in bytes, its end included.
+/// Longest line in bytes, including the line end.
 pub const MAX_LINE_BYTES: usize = 64;
 
-/// A line.
+/// A message of the protocol, one line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// A new process is here, and speaks this version.
+    /// The successor asks for the listening socket and names its protocol version.
     Hello(u32),
-    /// The socket comes along with this.
+    /// The listening socket is attached to this message.
     Listener,
-    /// It does not come: another handover is on.
+    /// Refusal: a handover to another process is in progress.
     Busy,
-    /// It does not come: the version is unknown here.
+    /// Refusal: the sender supports only this version.
     Version(u32),
-    /// The new process accepts connections.
+    /// The successor accepts connections.
     Taking,
 }
 
@@ -35,15 +35,15 @@
 }
 
 impl Message {
-    /// Reads a line; none where it makes no sense.
+    /// Parses a line with its line end; none if it is not a message.
     pub fn parse(line: &[u8]) -> Option<Self> {
         let text = std::str::from_utf8(line).ok()?.strip_suffix('\n')?;
-        let number = |text: &str| text.parse().ok();
+        let parse_number = |text: &str| text.parse().ok();
         match text.split(' ').collect::<Vec<_>>()[..] {
-            ["hello", version] => Some(Self::Hello(number(version)?)),
+            ["hello", version] => Some(Self::Hello(parse_number(version)?)),
             ["listener"] => Some(Self::Listener),
             ["no", "busy"] => Some(Self::Busy),
-            ["no", "version", version] => Some(Self::Version(number(version)?)),
+            ["no", "version", version] => Some(Self::Version(parse_number(version)?)),
             ["taking"] => Some(Self::Taking),
             _ => None,
         }
@@ -56,7 +56,7 @@
     use proptest::prelude::*;
 
     #[test]
-    fn what_is_said_is_what_is_read() {
+    fn messages_survive_formatting_and_parsing() {
         let all = [
             Message::Hello(PROTOCOL_VERSION),
             Message::Listener,
@@ -77,7 +77,7 @@
 
     proptest! {
         #[test]
-        fn any_bytes_are_read_or_refused(line in prop::collection::vec(any::<u8>(), 0..80)) {
+        fn parsed_lines_survive_formatting_and_parsing(line in prop::collection::vec(any::<u8>(), 0..80)) {
             if let Some(message) = Message::parse(&line) {
                 prop_assert_eq!(Message::parse(message.to_string().as_bytes()), Some(message));
             }
--- a/crates/handover/src/sender.rs
+++ b/crates/handover/src/sender.rs
@@ -1,79 +1,87 @@
-//! The side of the process that is there already. No I/O and no clock.
+//! The sending side of a handover: the running process that gives its listening socket to a successor. No I/O and no
+//! clock.
 
 use crate::message::{Message, PROTOCOL_VERSION};
 
-/// A connection of a new process, by a number that is not used twice.
+/// Identifies the connection of a new process. Numbers are never reused.
 pub type ConnectionId = u64;
 
-/// What happens.
+/// What happened on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A new process says something.
+    /// A new process sent a message.
     MessageReceived(ConnectionId, Message),
-    /// Its connection has ended.
+    /// The connection has ended.
     Disconnected(ConnectionId),
 }
 
-/// What is to be done about it.
+/// What the running process does in response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send it the listening socket.
+    /// Send the listening socket.
     SendSocket(ConnectionId),
-    /// Tell it that.
+    /// Send a message.
     SendMessage(ConnectionId, Message),
-    /// End its connection: it has said what makes no sense here.
+    /// Close the connection: its process violated the protocol or was refused.
     Disconnect(ConnectionId),
-    /// Another process runs beside this one, or no longer: each has its part of the caps.
+    /// Start (true) or end (false) sharing the resource limits with a successor.
     ShareLimits(bool),
-    /// Accept no more: the other one does.
+    /// Stop accepting connections: the successor accepts them.
     StopAccepting,
-    /// The other one is gone: accept again.
+    /// Accept connections again: the successor has exited.
     ResumeAccepting,
 }
 
-/// Gives the listening socket to one new process at a time.
+/// The state of the sending side, which gives the listening socket to one new process at a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HandoverSender {
-    /// There is no other one.
+    /// There is no successor.
     #[default]
     Idle,
-    /// It has the socket, and does not accept yet.
+    /// A successor has the socket and does not accept connections yet.
     SocketSent(ConnectionId),
-    /// It accepts.
+    /// The successor accepts connections.
     HandedOver(ConnectionId),
 }
 
 impl HandoverSender {
-    /// What is to be done, in this order.
+    /// Handles an event and returns the resulting actions in order.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         match (*self, event) {
-            (_, Event::MessageReceived(peer, Message::Hello(version))) if version != PROTOCOL_VERSION => {
-                vec![Action::SendMessage(peer, Message::Version(PROTOCOL_VERSION)), Action::Disconnect(peer)]
+            (_, Event::MessageReceived(connection, Message::Hello(version)))
+                if version != PROTOCOL_VERSION =>
+            {
+                vec![
+                    Action::SendMessage(connection, Message::Version(PROTOCOL_VERSION)),
+                    Action::Disconnect(connection),
+                ]
             }
-            (Self::Idle, Event::MessageReceived(peer, Message::Hello(_))) => {
-                *self = Self::SocketSent(peer);
-                vec![Action::ShareLimits(true), Action::SendSocket(peer)]
+            (Self::Idle, Event::MessageReceived(connection, Message::Hello(_))) => {
+                *self = Self::SocketSent(connection);
+                vec![Action::ShareLimits(true), Action::SendSocket(connection)]
             }
             (
-                Self::SocketSent(other) | Self::HandedOver(other),
-                Event::MessageReceived(peer, Message::Hello(_)),
-            ) if other != peer => {
-                vec![Action::SendMessage(peer, Message::Busy), Action::Disconnect(peer)]
+                Self::SocketSent(successor) | Self::HandedOver(successor),
+                Event::MessageReceived(connection, Message::Hello(_)),
+            ) if successor != connection => {
+                vec![Action::SendMessage(connection, Message::Busy), Action::Disconnect(connection)]
             }
-            (Self::SocketSent(other), Event::MessageReceived(peer, Message::Taking)) if other == peer => {
-                *self = Self::HandedOver(peer);
+            (Self::SocketSent(successor), Event::MessageReceived(connection, Message::Taking))
+                if successor == connection =>
+            {
+                *self = Self::HandedOver(connection);
                 vec![Action::StopAccepting]
             }
-            (Self::SocketSent(other), Event::Disconnected(peer)) if other == peer => {
+            (Self::SocketSent(successor), Event::Disconnected(connection)) if successor == connection => {
                 *self = Self::Idle;
                 vec![Action::ShareLimits(false)]
             }
-            (Self::HandedOver(other), Event::Disconnected(peer)) if other == peer => {
+            (Self::HandedOver(successor), Event::Disconnected(connection)) if successor == connection => {
                 *self = Self::Idle;
                 vec![Action::ResumeAccepting, Action::ShareLimits(false)]
             }
             (_, Event::Disconnected(_)) => Vec::new(),
-            (_, Event::MessageReceived(peer, _)) => vec![Action::Disconnect(peer)],
+            (_, Event::MessageReceived(connection, _)) => vec![Action::Disconnect(connection)],
         }
     }
 }
@@ -84,74 +92,87 @@
     use proptest::prelude::*;
 
     #[test]
-    fn one_at_a_time_and_only_in_order() {
-        let mut giver = HandoverSender::default();
-        let hello = |peer| Event::MessageReceived(peer, Message::Hello(PROTOCOL_VERSION));
-        assert_eq!(giver.handle(Event::MessageReceived(1, Message::Taking)), [Action::Disconnect(1)]);
-        let unknown = giver.handle(Event::MessageReceived(2, Message::Hello(PROTOCOL_VERSION + 1)));
+    fn one_successor_at_a_time_and_messages_out_of_order_disconnect() {
+        let mut sender = HandoverSender::default();
+        let hello = |connection| Event::MessageReceived(connection, Message::Hello(PROTOCOL_VERSION));
+        assert_eq!(sender.handle(Event::MessageReceived(1, Message::Taking)), [Action::Disconnect(1)]);
+        let unknown = sender.handle(Event::MessageReceived(2, Message::Hello(PROTOCOL_VERSION + 1)));
         assert_eq!(
             unknown,
             [Action::SendMessage(2, Message::Version(PROTOCOL_VERSION)), Action::Disconnect(2)]
         );
-        assert_eq!(giver.handle(hello(3)), [Action::ShareLimits(true), Action::SendSocket(3)]);
-        assert_eq!(giver.handle(hello(4)), [Action::SendMessage(4, Message::Busy), Action::Disconnect(4)]);
-        assert_eq!(giver.handle(Event::MessageReceived(4, Message::Taking)), [Action::Disconnect(4)]);
-        assert_eq!(giver.handle(Event::Disconnected(4)), []);
-        assert_eq!(giver.handle(Event::MessageReceived(3, Message::Taking)), [Action::StopAccepting]);
+        assert_eq!(sender.handle(hello(3)), [Action::ShareLimits(true), Action::SendSocket(3)]);
+        assert_eq!(sender.handle(hello(4)), [Action::SendMessage(4, Message::Busy), Action::Disconnect(4)]);
+        assert_eq!(sender.handle(Event::MessageReceived(4, Message::Taking)), [Action::Disconnect(4)]);
+        assert_eq!(sender.handle(Event::Disconnected(4)), []);
+        assert_eq!(sender.handle(Event::MessageReceived(3, Message::Taking)), [Action::StopAccepting]);
         assert_eq!(
-            giver.handle(Event::Disconnected(3)),
+            sender.handle(Event::Disconnected(3)),
             [Action::ResumeAccepting, Action::ShareLimits(false)]
         );
-        assert_eq!(giver.handle(hello(5)), [Action::ShareLimits(true), Action::SendSocket(5)]);
+        assert_eq!(sender.handle(hello(5)), [Action::ShareLimits(true), Action::SendSocket(5)]);
     }
 
-    /// A new process as the giver sees it, over a connection that keeps order and may end at any moment.
+    /// A new process as the sender sees it, over an ordered connection that may end at any moment.
     #[derive(Clone, Copy, Debug, Default, PartialEq)]
-    struct Taker {
-        alive: bool,
+    struct Receiver {
+        is_alive: bool,
         has_socket: bool,
-        accepts: bool,
+        is_accepting: bool,
     }
 
     proptest! {
-        /// Whatever the order of messages and deaths: as long as the old process lives somebody accepts, at most one
-        /// new one has the socket, and the old one stands aside only for one that has said that it accepts.
+        /// In any order of messages and exits: as long as the running process lives, some process accepts
+        /// connections, at most one new process has the socket, and the running one stops accepting only for a
+        /// successor that has announced that it accepts.
         #[test]
-        fn somebody_always_accepts(steps in prop::collection::vec((0..4u8, 0..4usize), 0..120)) {
-            let (mut giver, mut takers, mut accepts, mut beside) = (HandoverSender::default(), [Taker::default(); 4], true, false);
+        fn some_process_accepts_in_any_order_of_messages_and_exits(
+            steps in prop::collection::vec((0..4u8, 0..4usize), 0..120),
+        ) {
+            let (mut sender, mut receivers, mut is_accepting, mut shares_limits) =
+                (HandoverSender::default(), [Receiver::default(); 4], true, false);
             for (step, n) in steps {
-                let peer = n as ConnectionId;
-                let event = match (step, takers[n].alive) {
-                    (0, false) => { takers[n] = Taker { alive: true, ..Taker::default() }; Event::MessageReceived(peer, Message::Hello(PROTOCOL_VERSION)) }
-                    (1, true) if takers[n].has_socket => { takers[n].accepts = true; Event::MessageReceived(peer, Message::Taking) }
-                    (2, true) => { takers[n] = Taker::default(); Event::Disconnected(peer) }
-                    (3, true) => Event::MessageReceived(peer, Message::Hello(PROTOCOL_VERSION)),
+                let connection = n as ConnectionId;
+                let event = match (step, receivers[n].is_alive) {
+                    (0, false) => {
+                        receivers[n] = Receiver { is_alive: true, ..Receiver::default() };
+                        Event::MessageReceived(connection, Message::Hello(PROTOCOL_VERSION))
+                    }
+                    (1, true) if receivers[n].has_socket => {
+                        receivers[n].is_accepting = true;
+                        Event::MessageReceived(connection, Message::Taking)
+                    }
+                    (2, true) => {
+                        receivers[n] = Receiver::default();
+                        Event::Disconnected(connection)
+                    }
+                    (3, true) => Event::MessageReceived(connection, Message::Hello(PROTOCOL_VERSION)),
                     _ => continue,
                 };
-                for done in giver.handle(event) {
-                    match done {
-                        Action::SendSocket(peer) => takers[peer as usize].has_socket = true,
-                        Action::Disconnect(peer) => {
-                            takers[peer as usize] = Taker::default();
-                            for done in giver.handle(Event::Disconnected(peer)) {
-                                match done {
-                                    Action::ResumeAccepting => accepts = true,
-                                    Action::ShareLimits(on) => beside = on,
+                for action in sender.handle(event) {
+                    match action {
+                        Action::SendSocket(connection) => receivers[connection as usize].has_socket = true,
+                        Action::Disconnect(connection) => {
+                            receivers[connection as usize] = Receiver::default();
+                            for action in sender.handle(Event::Disconnected(connection)) {
+                                match action {
+                                    Action::ResumeAccepting => is_accepting = true,
+                                    Action::ShareLimits(on) => shares_limits = on,
                                     _ => {}
                                 }
                             }
                         }
-                        Action::StopAccepting => accepts = false,
-                        Action::ResumeAccepting => accepts = true,
-                        Action::ShareLimits(on) => beside = on,
+                        Action::StopAccepting => is_accepting = false,
+                        Action::ResumeAccepting => is_accepting = true,
+                        Action::ShareLimits(on) => shares_limits = on,
                         Action::SendMessage(..) => {}
                     }
                 }
-                let holders = takers.iter().filter(|t| t.has_socket).count();
+                let holders = receivers.iter().filter(|r| r.has_socket).count();
                 prop_assert!(holders <= 1);
-                prop_assert_eq!(beside, holders == 1);
-                prop_assert!(accepts || takers.iter().any(|t| t.accepts));
-                prop_assert!(accepts || matches!(giver, HandoverSender::HandedOver(_)));
+                prop_assert_eq!(shares_limits, holders == 1);
+                prop_assert!(is_accepting || receivers.iter().any(|r| r.is_accepting));
+                prop_assert!(is_accepting || matches!(sender, HandoverSender::HandedOver(_)));
             }
         }
     }
