--- a/crates/dewpier/src/command.rs
+++ b/crates/dewpier/src/command.rs
@@ -1,7 +1,7 @@
-//! The command line. Without arguments the program is the platform's proxy, as ever.
+//! The command line of `dewpier`: its commands, their output and exit codes.
 
 use clap::{Args, Parser, Subcommand};
-use dewpier::config::{Config, ListFrom, MySqlConfig, PlannerConfig, hash_password};
+use dewpier::config::{Config, ListSourceConfig, MySqlConfig, PlannerConfig, hash_password};
 use dewpier::error::ServeError;
 use dewpier::{planner, run, status};
 use dewpier_inventory::io::{confirm, read_file};
@@ -13,12 +13,12 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// A file that can't be used.
+/// Exit code for input that cannot be used.
 const BAD_INPUT: u8 = 2;
 
 /// A balancer for services that call services.
 ///
-/// Without a command it is told everything by the platform, through RELAY_CONFIG, RELAY_LISTEN and
+/// Without a command it runs as the platform's proxy, configured through RELAY_CONFIG, RELAY_LISTEN and
 /// RELAY_DISCOVERY.
 #[derive(Parser)]
 #[command(name = "dewpier", version)]
@@ -29,64 +29,64 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve plain HTTP clients, with the backends of an inventory
-    Serve(WithConfig),
-    /// Watch an inventory, and tell forwarders of it
-    Planner(WithConfig),
-    /// Serve plain HTTP clients, with the backends that planners tell of
-    Forwarder(WithConfig),
+    /// Serve HTTP clients, with the backends that an inventory lists
+    Serve(ConfigArgument),
+    /// Watch an inventory and send plans to forwarders
+    Planner(ConfigArgument),
+    /// Serve HTTP clients, with the backends that planners send
+    Forwarder(ConfigArgument),
     /// Check a configuration and the inventory that it names
-    Check(WithConfig),
-    /// Ask a running proxy, or have it emptied: exit 0 where it says yes, 1 where it says no, 2 where nothing comes
+    Check(ConfigArgument),
+    /// Query or control a running proxy: exit 0 on success, 1 if it answers NO, 2 if it does not answer
     Operate {
-        /// What to ask
+        /// The operator call
         #[arg(value_parser = ["check", "vars", "drain-on", "drain-off", "verdicts", "avoid", "trust", "as-seen"])]
         call: String,
-        /// Of which node, by its name in the list: for avoid, trust, as-seen
+        /// The node's name in the backend list, for avoid, trust and as-seen
         node: Option<String>,
-        /// For how many seconds: for avoid and trust
+        /// Duration in seconds, for avoid and trust
         #[arg(long = "for", value_name = "SECONDS")]
         seconds: Option<u64>,
-        /// Where it is asked: `operator` in its configuration
+        /// The proxy's operator address: `operator` in its configuration
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
-        /// Verdicts as JSON
+        /// Print verdicts as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Look at what forwarders go by
+    /// Inspect the plan that a forwarder uses
     #[command(subcommand)]
-    Plan(OfPlan),
-    /// Look at inventories
+    Plan(PlanCommand),
+    /// Check or confirm inventories
     #[command(subcommand)]
-    Inventory(OfInventory),
-    /// For the front for MySQL clients
+    Inventory(InventoryCommand),
+    /// Prepare files for the MySQL front
     #[command(subcommand)]
-    Mysql(OfMysql),
+    Mysql(MysqlCommand),
 }
 
 #[derive(Subcommand)]
-enum OfMysql {
-    /// Read a password from standard input and print what a file of users holds of it
+enum MysqlCommand {
+    /// Read a password from standard input and print its hash for a file of users
     Hash {
-        /// For clients that know mysql_native_password alone
+        /// Hash for clients that support only mysql_native_password
         #[arg(long)]
         native: bool,
     },
 }
 
 #[derive(Args)]
-struct WithConfig {
-    /// The configuration, in TOML
+struct ConfigArgument {
+    /// The configuration file, in TOML
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
 }
 
 #[derive(Subcommand)]
-enum OfPlan {
-    /// Show the plan that a forwarder on this machine goes by, how old it is and for how long it holds
+enum PlanCommand {
+    /// Show the plan that a forwarder on this host uses, its age and how much longer it may be used
     Show {
-        /// The forwarder's configuration, which names its socket in planners.status
+        /// The forwarder's configuration, which names its status socket in planners.status
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
         /// Print it as JSON
@@ -96,58 +96,57 @@
 }
 
 #[derive(Subcommand)]
-enum OfInventory {
-    /// Check an inventory: exit 0 where it is good, 2 with FILE:LINE:COLUMN and the reason where not
+enum InventoryCommand {
+    /// Check an inventory: exit 0 if it is valid, else exit 2 and print FILE:LINE:COLUMN with the reason
     Check {
-        /// The inventory
+        /// The inventory file
         file: PathBuf,
-        /// csv, ansible, file_sd or list; found out if not said
+        /// csv, ansible, file_sd or list; detected by default
         #[arg(long)]
         format: Option<Format>,
-        /// utf-8, utf-16le, utf-16be, windows-1251 or kz-1048; by byte order mark, or else UTF-8, if
-        /// not said
+        /// utf-8, utf-16le, utf-16be, windows-1251 or kz-1048; by default the byte order mark decides, or else UTF-8
         #[arg(long)]
         encoding: Option<Encoding>,
-        /// Of an Ansible inventory, the hosts of this group alone
+        /// Use only the hosts of this group of an Ansible inventory
         #[arg(long)]
         group: Option<String>,
-        /// The port of nodes that state none
+        /// Port of nodes without one
         #[arg(long, value_parser = clap::value_parser!(u16).range(1..))]
         default_port: Option<u16>,
         /// Print the list as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Confirm that the inventory is meant as it is now, though many nodes have left it
+    /// Confirm that the inventory is correct although many nodes have left it
     Confirm {
-        /// The inventory
+        /// The inventory file
         file: PathBuf,
     },
 }
 
-/// An answer is due within 1 s; a machine that is very busy is given more.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(5);
-/// The longest answer that is read, in bytes.
-const MOST_TOLD: u64 = 1 << 20;
+/// Timeout of connecting, writing and reading. Proxies answer within a second unless the host is overloaded.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest answer that is read, in bytes.
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
-/// Makes an operator's call.
-fn operate(call: &str, at: SocketAddr) -> ExitCode {
-    let asked = || -> io::Result<String> {
-        let mut stream = TcpStream::connect_timeout(&at, ANSWERED_WITHIN)?;
-        stream.set_read_timeout(Some(ANSWERED_WITHIN))?;
-        stream.set_write_timeout(Some(ANSWERED_WITHIN))?;
+/// Sends an operator call and prints the answer.
+fn send_call(call: &str, at: SocketAddr) -> ExitCode {
+    let exchange = || -> io::Result<String> {
+        let mut stream = TcpStream::connect_timeout(&at, ANSWER_TIMEOUT)?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+        stream.set_write_timeout(Some(ANSWER_TIMEOUT))?;
         stream.write_all(format!("{call}\n").as_bytes())?;
-        let mut told = String::new();
-        stream.take(MOST_TOLD).read_to_string(&mut told)?;
-        Ok(told)
+        let mut answer = String::new();
+        stream.take(MAX_ANSWER_BYTES).read_to_string(&mut answer)?;
+        Ok(answer)
     };
-    match asked() {
-        Ok(told) if told.ends_with('\n') => {
-            print!("{told}");
-            if told.starts_with("NO") { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+    match exchange() {
+        Ok(answer) if answer.ends_with('\n') => {
+            print!("{answer}");
+            if answer.starts_with("NO") { ExitCode::FAILURE } else { ExitCode::SUCCESS }
         }
-        Ok(told) => {
-            eprintln!("dewpier: {at}: expected a line, got '{}'", told.escape_debug());
+        Ok(answer) => {
+            eprintln!("dewpier: {at}: expected a line, got '{}'", answer.escape_debug());
             ExitCode::from(BAD_INPUT)
         }
         Err(error) => {
@@ -157,87 +156,89 @@
     }
 }
 
-/// Does what the command line says.
+/// Runs the command on the command line.
 pub fn run() -> ExitCode {
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
         Err(error) => error.exit(),
     };
     match arguments.command {
-        Command::Serve(WithConfig { config }) => serve(&config, false),
-        Command::Forwarder(WithConfig { config }) => serve(&config, true),
-        Command::Planner(WithConfig { config }) => plan(&config),
-        Command::Check(WithConfig { config }) => check(&config),
+        Command::Serve(ConfigArgument { config }) => run_proxy(&config, false),
+        Command::Forwarder(ConfigArgument { config }) => run_proxy(&config, true),
+        Command::Planner(ConfigArgument { config }) => run_planner(&config),
+        Command::Check(ConfigArgument { config }) => check_config(&config),
         Command::Operate { call, node, seconds, at, json } => match (call.as_str(), node, seconds, json) {
-            ("verdicts", None, None, true) => operate("verdicts-json", at),
-            (_, _, _, true) => bad(format!("{call}: --json is for verdicts")),
+            ("verdicts", None, None, true) => send_call("verdicts-json", at),
+            (_, _, _, true) => report_bad_input(format!("{call}: --json is for verdicts")),
             ("avoid" | "trust", Some(node), Some(seconds), _) => {
-                operate(&format!("{call} {seconds} {node}"), at)
+                send_call(&format!("{call} {seconds} {node}"), at)
             }
-            ("avoid" | "trust", ..) => bad(format!("{call}: expected a node and --for SECONDS")),
-            ("as-seen", Some(node), None, _) => operate(&format!("{call} {node}"), at),
-            ("as-seen", ..) => bad(format!("{call}: expected a node, and no --for")),
-            (_, None, None, _) => operate(&call, at),
-            _ => bad(format!("{call}: expected neither a node nor --for")),
+            ("avoid" | "trust", ..) => report_bad_input(format!("{call}: expected a node and --for SECONDS")),
+            ("as-seen", Some(node), None, _) => send_call(&format!("{call} {node}"), at),
+            ("as-seen", ..) => report_bad_input(format!("{call}: expected a node, and no --for")),
+            (_, None, None, _) => send_call(&call, at),
+            _ => report_bad_input(format!("{call}: expected neither a node nor --for")),
         },
-        Command::Plan(OfPlan::Show { config, json }) => show(&config, json),
-        Command::Inventory(OfInventory::Check { file, format, encoding, group, default_port, json }) => {
+        Command::Plan(PlanCommand::Show { config, json }) => show_plan(&config, json),
+        Command::Inventory(InventoryCommand::Check { file, format, encoding, group, default_port, json }) => {
             let options = Options { format, encoding, group, default_port, ..Options::default() };
             check_inventory(&file, &options, json)
         }
-        Command::Mysql(OfMysql::Hash { native }) => print_password_hash(native),
-        Command::Inventory(OfInventory::Confirm { file }) => {
+        Command::Mysql(MysqlCommand::Hash { native }) => print_password_hash(native),
+        Command::Inventory(InventoryCommand::Confirm { file }) => {
             match confirm(&file, Options::default().max_bytes) {
-                Ok(beside) => {
-                    println!("confirmed in {}", beside.display());
+                Ok(confirmation) => {
+                    println!("confirmed in {}", confirmation.display());
                     ExitCode::SUCCESS
                 }
-                Err(error) => bad(format!("{}: cannot confirm it: {error}", file.display())),
+                Err(error) => report_bad_input(format!("{}: cannot confirm it: {error}", file.display())),
             }
         }
     }
 }
 
-fn bad(message: impl std::fmt::Display) -> ExitCode {
+/// Prints an error about bad input and returns the exit code for it.
+fn report_bad_input(message: impl std::fmt::Display) -> ExitCode {
     eprintln!("{message}");
     ExitCode::from(BAD_INPUT)
 }
 
-/// A proxy's list is a file's, a forwarder's is its planners'.
-fn serve(path: &Path, forwarder: bool) -> ExitCode {
+/// Runs a proxy, or a forwarder. A proxy's configuration must name an inventory, a forwarder's its planners.
+fn run_proxy(path: &Path, is_forwarder: bool) -> ExitCode {
     let config = match Config::read(path) {
         Ok(config) => config,
-        Err(error) => return bad(error),
+        Err(error) => return report_bad_input(error),
     };
-    if matches!(config.source, ListFrom::Planners(_)) != forwarder {
-        let (expected, found) = match forwarder {
+    if matches!(config.list_source, ListSourceConfig::Planners(_)) != is_forwarder {
+        let (expected, found) = match is_forwarder {
             true => ("[planners]", "[inventory]: that is for 'dewpier serve'"),
             false => ("[inventory]", "[planners]: that is for 'dewpier forwarder'"),
         };
-        return bad(format!("{}: expected {expected}, found {found}", path.display()));
+        return report_bad_input(format!("{}: expected {expected}, found {found}", path.display()));
     }
-    ended(run::until_signals(config))
+    run_to_end(run::run_until_sigterm(config))
 }
 
-fn plan(path: &Path) -> ExitCode {
+/// Runs a planner.
+fn run_planner(path: &Path) -> ExitCode {
     match PlannerConfig::read(path) {
-        Ok(config) => ended(planner::until_signals(config)),
-        Err(error) => bad(error),
+        Ok(config) => run_to_end(planner::run_until_sigterm(config)),
+        Err(error) => report_bad_input(error),
     }
 }
 
-/// Runs a program to its end.
-fn ended(program: impl Future<Output = Result<(), ServeError>>) -> ExitCode {
+/// Runs a future to its end on a runtime of its own and returns the exit code.
+fn run_to_end(process: impl Future<Output = Result<(), ServeError>>) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let ran = runtime.map_err(ServeError::from).and_then(|runtime| {
-        let ran = tokio::task::LocalSet::new().block_on(&runtime, program);
-        // A look-up that the system does not answer must not hold up the exit.
+    let result = runtime.map_err(ServeError::from).and_then(|runtime| {
+        let result = tokio::task::LocalSet::new().block_on(&runtime, process);
+        // A pending host name lookup must not delay the exit.
         runtime.shutdown_background();
-        ran
+        result
     });
-    match ran {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(ServeError::Inventory(error)) => bad(error),
+        Err(ServeError::BadInput(error)) => report_bad_input(error),
         Err(error) => {
             eprintln!("dewpier: {error}");
             ExitCode::FAILURE
@@ -245,145 +246,154 @@
     }
 }
 
-/// Asks the forwarder of that configuration what it goes by.
-fn show(path: &Path, json: bool) -> ExitCode {
+/// Prints the status of the forwarder with this configuration.
+fn show_plan(path: &Path, json: bool) -> ExitCode {
     let config = match Config::read(path) {
         Ok(config) => config,
-        Err(error) => return bad(error),
+        Err(error) => return report_bad_input(error),
     };
-    let socket = match config.source {
-        ListFrom::Planners(planners) => planners.status,
-        ListFrom::Inventory(_) => None,
+    let socket = match config.list_source {
+        ListSourceConfig::Planners(planners) => planners.status_socket,
+        ListSourceConfig::Inventory(_) => None,
     };
     let Some(socket) = socket else {
-        return bad(format!(
+        return report_bad_input(format!(
             "{}: expected planners.status, the forwarder's socket, found none",
             path.display()
         ));
     };
-    let shown = match status::ask(&socket) {
-        Ok(shown) => shown,
+    let status = match status::read_status(&socket) {
+        Ok(status) => status,
         Err(error) => {
             eprintln!("{}: no forwarder answers: {error}", socket.display());
             return ExitCode::FAILURE;
         }
     };
     if json {
-        return match serde_json::to_string_pretty(&shown) {
+        return match serde_json::to_string_pretty(&status) {
             Ok(text) => {
                 println!("{text}");
                 ExitCode::SUCCESS
             }
-            Err(error) => bad(error),
+            Err(error) => report_bad_input(error),
         };
     }
-    let version = shown.version.as_deref().unwrap_or("none");
-    let millis = |time: Option<u64>, none: &str| time.map_or(none.to_string(), |ms| format!("{ms} ms"));
-    println!("{}: by {}, plan {version}", shown.forwarder, shown.by);
-    println!("it came {} ago", millis(shown.plan_age_ms, "never"));
-    println!("it holds for {}", millis(shown.lease_left_ms, "as long as nothing better is heard"));
-    for (why, count) in &shown.refused {
-        println!("refused {count} times: {why}");
+    let version = status.version.as_deref().unwrap_or("none");
+    let millis =
+        |duration: Option<u64>, none: &str| duration.map_or(none.to_string(), |ms| format!("{ms} ms"));
+    println!("{}: by {}, plan {version}", status.forwarder, status.source);
+    println!("it came {} ago", millis(status.plan_age_ms, "never"));
+    println!("it holds for {}", millis(status.lease_left_ms, "as long as nothing better is heard"));
+    for (reason, count) in &status.rejections {
+        println!("refused {count} times: {reason}");
     }
-    for node in &shown.nodes {
-        let usual = node.usual.map_or(String::new(), |rate| format!("  cold, usually {rate:.1} a second"));
+    for node in &status.nodes {
+        let usual_rate =
+            node.usual_rate.map_or(String::new(), |rate| format!("  cold, usually {rate:.1} a second"));
         let state = if node.draining { "draining" } else { "serving" };
-        println!("  {}  {}  {state}{usual}", node.id, node.address);
+        println!("  {}  {}  {state}{usual_rate}", node.id, node.address);
     }
     ExitCode::SUCCESS
 }
 
-fn check(path: &Path) -> ExitCode {
+/// Checks a configuration and the inventories that it names, and prints a summary.
+fn check_config(path: &Path) -> ExitCode {
     let config = match Config::read(path) {
         Ok(config) => config,
-        Err(error) => return bad(error),
+        Err(error) => return report_bad_input(error),
     };
-    let inventory = match &config.source {
-        ListFrom::Inventory(inventory) => inventory,
-        ListFrom::Planners(planners) => {
+    let inventory = match &config.list_source {
+        ListSourceConfig::Inventory(inventory) => inventory,
+        ListSourceConfig::Planners(planners) => {
             println!("{}: good: {} planners", path.display(), planners.addresses.len());
             return ExitCode::SUCCESS;
         }
     };
     let mysql = config.mysql.as_ref();
-    if let Some(Err(error)) = mysql.map(|mysql| mysql.secrets()) {
-        return bad(error);
+    if let Some(Err(error)) = mysql.map(|mysql| mysql.read_secrets()) {
+        return report_bad_input(error);
     }
     let mut lists = Vec::new();
     for inventory in [inventory].into_iter().chain(mysql.into_iter().flat_map(MySqlConfig::inventories)) {
         match read_file(&inventory.file, &inventory.options) {
             Ok(list) => lists.push((&inventory.file, list)),
-            Err(error) => return bad(error),
+            Err(error) => return report_bad_input(error),
         }
     }
-    lists.iter().for_each(|(file, list)| notes(file, list));
+    lists.iter().for_each(|(file, list)| print_notes(file, list));
     println!("{}: good", path.display());
-    lists.iter().for_each(|(file, list)| summary(file, list));
+    lists.iter().for_each(|(file, list)| print_summary(file, list));
     ExitCode::SUCCESS
 }
 
-/// The longest password that is read, in bytes.
-const MOST_PASSWORD: u64 = 1024;
+/// Longest password that is accepted, in bytes.
+const MAX_PASSWORD_BYTES: u64 = 1024;
 
+/// Reads a password from standard input and prints its hash.
 fn print_password_hash(native: bool) -> ExitCode {
     let mut password = String::new();
-    match std::io::stdin().lock().take(MOST_PASSWORD + 1).read_line(&mut password) {
+    match std::io::stdin().lock().take(MAX_PASSWORD_BYTES + 1).read_line(&mut password) {
         Ok(1..)
-            if password.len() as u64 <= MOST_PASSWORD
+            if password.len() as u64 <= MAX_PASSWORD_BYTES
                 && !password.trim_end_matches(['\r', '\n']).is_empty() =>
         {
             println!("{}", hash_password(password.trim_end_matches(['\r', '\n']), native));
             ExitCode::SUCCESS
         }
-        Ok(_) => bad(format!("standard input: expected a password of 1 to {MOST_PASSWORD} bytes")),
-        Err(error) => bad(format!("standard input: {error}")),
+        Ok(_) => report_bad_input(format!(
+            "standard input: expected a password of 1 to {MAX_PASSWORD_BYTES} bytes"
+        )),
+        Err(error) => report_bad_input(format!("standard input: {error}")),
     }
 }
 
+/// Checks an inventory and prints a summary or the list as JSON.
 fn check_inventory(file: &Path, options: &Options, json: bool) -> ExitCode {
     match read_file(file, options) {
         Ok(list) => {
-            notes(file, &list);
+            print_notes(file, &list);
             if !json {
-                summary(file, &list);
+                print_summary(file, &list);
                 return ExitCode::SUCCESS;
             }
-            match as_json(&list) {
+            match format_json(&list) {
                 Ok(text) => {
                     println!("{text}");
                     ExitCode::SUCCESS
                 }
-                Err(error) => bad(error),
+                Err(error) => report_bad_input(error),
             }
         }
-        Err(error) => bad(error),
+        Err(error) => report_bad_input(error),
     }
 }
 
-fn summary(file: &Path, list: &Inventory) {
+/// Prints the number of backends in an inventory, its format and its encoding.
+fn print_summary(file: &Path, list: &Inventory) {
     let (count, format, encoding) = (list.backends.len(), list.format, list.encoding);
     println!("{}: good: {count} backends ({format}, {encoding})", file.display());
 }
 
-/// What is no fault, but may surprise.
-fn notes(file: &Path, list: &Inventory) {
+/// Prints notes on a valid inventory: ignored parts, and an incomplete last line.
+fn print_notes(file: &Path, list: &Inventory) {
     if !list.aside.is_empty() {
         eprintln!("{}: note: passed over: {}", file.display(), list.aside.join(", "));
     }
     if !list.ended {
-        let end = "note: the last line is not complete: a proxy would take it as half written";
-        eprintln!("{}:{}: {end} (unless complete_end = false)", file.display(), list.end);
+        let note = "note: the last line is not complete: a proxy would take it as half written";
+        eprintln!("{}:{}: {note} (unless complete_end = false)", file.display(), list.end);
     }
 }
 
-/// The list as it is printed: the order of the fields is that of the manual.
+/// An inventory as printed in JSON; the manual documents the order of its fields.
 #[derive(Serialize)]
-struct Printed<'a> {
+struct PrintedInventory<'a> {
     format: &'a str,
     encoding: &'a str,
     backends: Vec<PrintedBackend<'a>>,
 }
 
+/// A backend as printed in JSON.
 #[derive(Serialize)]
 struct PrintedBackend<'a> {
     id: &'a str,
@@ -395,20 +405,21 @@
 }
 
 impl<'a> From<&'a dewpier_inventory::Backend> for PrintedBackend<'a> {
-    fn from(b: &'a dewpier_inventory::Backend) -> Self {
+    fn from(backend: &'a dewpier_inventory::Backend) -> Self {
         Self {
-            id: &b.id,
-            address: b.address.to_string(),
-            zone: &b.zone,
-            cell: b.cell,
-            weight: b.weight,
-            state: b.state.name(),
+            id: &backend.id,
+            address: backend.address.to_string(),
+            zone: &backend.zone,
+            cell: backend.cell,
+            weight: backend.weight,
+            state: backend.state.name(),
         }
     }
 }
 
-fn as_json(list: &Inventory) -> serde_json::Result<String> {
-    serde_json::to_string(&Printed {
+/// Formats an inventory as JSON.
+fn format_json(list: &Inventory) -> serde_json::Result<String> {
+    serde_json::to_string(&PrintedInventory {
         format: list.format.name(),
         encoding: list.encoding.name(),
         backends: list.backends.iter().map(PrintedBackend::from).collect(),
--- a/crates/dewpier/src/config/check.rs
+++ b/crates/dewpier/src/config/check.rs
@@ -1,4 +1,4 @@
-//! What all parts of a configuration are checked with, and how what is wrong is told.
+//! Checks shared by all parts of a configuration file, and their errors.
 
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
@@ -8,122 +8,127 @@
 use thiserror::Error;
 use toml::Spanned;
 
-/// Why a configuration can't be used.
+/// Why a configuration file is not accepted.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{path}: cannot read it: {error}")]
     Read {
-        /// The file.
+        /// The file's path.
         path: String,
-        /// What the system said.
+        /// The operating system's error.
         error: std::io::Error,
     },
-    /// Something in it is wrong.
+    /// The file's syntax or one of its values is invalid.
     #[error("{path}:{line}:{column}: {message}")]
-    Wrong {
-        /// The file.
+    Invalid {
+        /// The file's path.
         path: String,
         /// The line, from 1.
         line: usize,
         /// The column, from 1, in characters.
         column: usize,
-        /// What was expected and what was found.
+        /// The expected and the found value.
         message: String,
     },
 }
 
-/// Something wrong, by its place in bytes.
-pub(super) struct Wrong {
+/// An invalid value and its position in the file, in bytes.
+pub(super) struct InvalidValue {
     pub(super) span: Range<usize>,
     pub(super) message: String,
 }
 
-pub(super) fn wrong<T>(
+/// The error for a key with an invalid value.
+pub(super) fn invalid<T>(
     span: Range<usize>,
-    what: &str,
+    key: &str,
     expected: &str,
     found: impl std::fmt::Display,
-) -> Result<T, Wrong> {
-    Err(Wrong { span, message: format!("{what}: expected {expected}, found {found}") })
+) -> Result<T, InvalidValue> {
+    Err(InvalidValue { span, message: format!("{key}: expected {expected}, found {found}") })
 }
 
-/// A whole number within bounds, or its default.
-pub(super) fn whole(
+/// An integer within the bounds, both included, or its default.
+pub(super) fn check_integer(
     value: &Option<Spanned<i64>>,
-    what: &str,
+    key: &str,
     range: [i64; 2],
     default: i64,
-) -> Result<i64, Wrong> {
+) -> Result<i64, InvalidValue> {
     match value {
         None => Ok(default),
         Some(value) if (range[0]..=range[1]).contains(value.get_ref()) => Ok(*value.get_ref()),
         Some(value) => {
             let expected = format!("a whole number from {} to {}", range[0], range[1]);
-            wrong(value.span(), what, &expected, value.get_ref())
+            invalid(value.span(), key, &expected, value.get_ref())
         }
     }
 }
 
-/// A number within bounds, or its default.
-pub(super) fn number(
+/// A number within the bounds, both included, or its default.
+pub(super) fn check_number(
     value: &Option<Spanned<f64>>,
-    what: &str,
+    key: &str,
     range: [f64; 2],
     default: f64,
-) -> Result<f64, Wrong> {
+) -> Result<f64, InvalidValue> {
     match value {
         None => Ok(default),
         Some(value) if (range[0]..=range[1]).contains(value.get_ref()) => Ok(*value.get_ref()),
         Some(value) => {
             let expected = format!("a number from {} to {}", range[0], range[1]);
-            wrong(value.span(), what, &expected, value.get_ref())
+            invalid(value.span(), key, &expected, value.get_ref())
         }
     }
 }
 
-pub(super) fn millis(
+/// A duration in whole milliseconds within the bounds, both included, or its default.
+pub(super) fn check_millis(
     value: &Option<Spanned<i64>>,
-    what: &str,
+    key: &str,
     range: [i64; 2],
     default: i64,
-) -> Result<Duration, Wrong> {
-    whole(value, what, range, default).map(|ms| Duration::from_millis(ms.unsigned_abs()))
+) -> Result<Duration, InvalidValue> {
+    check_integer(value, key, range, default).map(|ms| Duration::from_millis(ms.unsigned_abs()))
 }
 
-pub(super) const HOUR: i64 = 3_600_000;
+/// An hour in milliseconds.
+pub(super) const HOUR_MILLIS: i64 = 3_600_000;
 
-pub(super) fn text(path: &Path) -> Result<String, ConfigError> {
+/// Reads a whole file.
+pub(super) fn read_text(path: &Path) -> Result<String, ConfigError> {
     let shown = path.display().to_string();
     std::fs::read_to_string(path).map_err(|error| ConfigError::Read { path: shown, error })
 }
 
-/// Reads a text as such a file, and checks it.
+/// Parses the text of a configuration file and checks it. Errors name the position as line and column.
 pub(super) fn parse<F: DeserializeOwned, C>(
     text: &str,
     path: &Path,
-    check: impl FnOnce(F, &Path) -> Result<C, Wrong>,
+    check: impl FnOnce(F, &Path) -> Result<C, InvalidValue>,
 ) -> Result<C, ConfigError> {
     let parsed = toml::from_str::<F>(text).map_err(|error| {
         let span = error.span().unwrap_or(0..0);
-        Wrong { span, message: error.message().trim().replace('\n', "; ") }
+        InvalidValue { span, message: error.message().trim().replace('\n', "; ") }
     });
-    parsed.and_then(|file| check(file, path)).map_err(|Wrong { span, message }| {
+    parsed.and_then(|file| check(file, path)).map_err(|InvalidValue { span, message }| {
         let before = text.get(..span.start).unwrap_or(text);
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
-        ConfigError::Wrong { path: path.display().to_string(), line, column, message }
+        ConfigError::Invalid { path: path.display().to_string(), line, column, message }
     })
 }
 
-pub(super) fn address(value: &Spanned<String>, what: &str) -> Result<SocketAddr, Wrong> {
+/// An IP address with a port.
+pub(super) fn parse_address(value: &Spanned<String>, key: &str) -> Result<SocketAddr, InvalidValue> {
     match value.get_ref().parse() {
         Ok(address) => Ok(address),
-        Err(_) => wrong(value.span(), what, "address:port", format!("'{}'", value.get_ref())),
+        Err(_) => invalid(value.span(), key, "address:port", format!("'{}'", value.get_ref())),
     }
 }
 
-/// A file that a configuration names, beside it.
-pub(super) fn beside(path: &Path, file: &Path) -> PathBuf {
-    path.parent().unwrap_or(Path::new("")).join(file)
+/// Resolves the path of a file that a configuration names, relative to the configuration's folder.
+pub(super) fn resolve_path(config_path: &Path, file: &Path) -> PathBuf {
+    config_path.parent().unwrap_or(Path::new("")).join(file)
 }
--- a/crates/dewpier/src/config/fleet.rs
+++ b/crates/dewpier/src/config/fleet.rs
@@ -1,6 +1,8 @@
-//! The table `[fleet]`: proxies that tell each other what they see of nodes.
+//! The table `[fleet]`: the other proxies that this proxy exchanges evidence about nodes with.
 
-use super::check::{Wrong, address, beside, millis, number, whole, wrong};
+use super::check::{
+    InvalidValue, check_integer, check_millis, check_number, invalid, parse_address, resolve_path,
+};
 use dewpier_peers::Key;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,45 +11,45 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Proxies in a fleet.
-const MOST_PROXIES: usize = 10_000;
-/// Proxies that may have to agree.
-const MOST_QUORUM: usize = 64;
-/// Bytes that a key is made from.
-const SECRET: [usize; 2] = [16, 4096];
+/// Maximum number of listed proxies.
+const MAX_PROXIES: usize = 10_000;
+/// Maximum quorum, in proxies.
+const MAX_QUORUM: usize = 64;
+/// Minimum and maximum size of the shared secret, in bytes.
+const SECRET_BYTES: [usize; 2] = [16, 4096];
 /// Longest name of a proxy, in bytes.
-const MOST_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
-/// A fleet that a proxy belongs to.
+/// The fleet that a proxy belongs to.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// The proxy's name, which no other has.
+    /// The proxy's name, unique in the fleet.
     pub name: String,
-    /// The others by name.
+    /// Names of the other proxies.
     pub peers: BTreeSet<String>,
-    /// What carries datagrams to them.
+    /// The transport of datagrams between the proxies.
     pub carrier: Carrier,
-    /// What the fleet shares.
+    /// The key that all proxies of the fleet share.
     pub key: Key,
-    /// How often partners are written to.
-    pub every: Duration,
-    /// Where a process keeps what it knows for the one that comes after it.
-    pub snapshot: Option<PathBuf>,
-    /// What verdicts are given by.
-    pub verdicts: dewpier_verdicts::Settings,
+    /// Interval between datagrams to each partner.
+    pub send_interval: Duration,
+    /// The file in which a process persists its evidence for its successor, if any.
+    pub snapshot_file: Option<PathBuf>,
+    /// Settings of the verdicts on nodes.
+    pub verdict_settings: dewpier_verdicts::Settings,
 }
 
-/// What carries datagrams from proxy to proxy.
+/// The transport of datagrams between proxies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Carrier {
-    /// UDP.
+    /// UDP sockets.
     Datagrams {
-        /// Where they come.
+        /// The address on which datagrams are received.
         listen: SocketAddr,
-        /// Where the others listen.
-        at: BTreeMap<String, SocketAddr>,
+        /// The addresses of the other proxies, by name.
+        peer_addresses: BTreeMap<String, SocketAddr>,
     },
-    /// The planners that a forwarder follows, each in turn.
+    /// The planners that a forwarder follows relay the datagrams.
     Planners,
 }
 
@@ -75,135 +77,155 @@
     address: Option<Spanned<String>>,
 }
 
-fn name(raw: &Spanned<String>) -> Result<String, Wrong> {
+fn check_name(raw: &Spanned<String>) -> Result<String, InvalidValue> {
     let text = raw.get_ref();
-    if !(1..=MOST_NAME).contains(&text.len()) || text.chars().any(char::is_control) {
-        let expected = format!("1 to {MOST_NAME} bytes without control characters");
-        return wrong(raw.span(), "name", &expected, format!("'{}'", text.escape_debug()));
+    if !(1..=MAX_NAME_BYTES).contains(&text.len()) || text.chars().any(char::is_control) {
+        let expected = format!("1 to {MAX_NAME_BYTES} bytes without control characters");
+        return invalid(raw.span(), "name", &expected, format!("'{}'", text.escape_debug()));
     }
     Ok(text.clone())
 }
 
-fn key(raw: &Spanned<String>, path: &Path) -> Result<Key, Wrong> {
-    let file = beside(path, Path::new(raw.get_ref()));
-    let expected = format!("a file of {} to {} bytes that all proxies share", SECRET[0], SECRET[1]);
+/// Reads the shared secret and derives the key from it.
+fn read_key(raw: &Spanned<String>, path: &Path) -> Result<Key, InvalidValue> {
+    let file = resolve_path(path, Path::new(raw.get_ref()));
+    let expected =
+        format!("a file of {} to {} bytes that all proxies share", SECRET_BYTES[0], SECRET_BYTES[1]);
     let secret = match std::fs::read(&file) {
         Ok(secret) => secret,
         Err(error) => {
-            return wrong(raw.span(), "key_file", &expected, format!("{}: {error}", file.display()));
+            return invalid(raw.span(), "key_file", &expected, format!("{}: {error}", file.display()));
         }
     };
-    match (SECRET[0]..=SECRET[1]).contains(&secret.len()) {
+    match (SECRET_BYTES[0]..=SECRET_BYTES[1]).contains(&secret.len()) {
         true => Ok(Key::from_secret(&secret)),
-        false => {
-            wrong(raw.span(), "key_file", &expected, format!("{} bytes in {}", secret.len(), file.display()))
-        }
+        false => invalid(
+            raw.span(),
+            "key_file",
+            &expected,
+            format!("{} bytes in {}", secret.len(), file.display()),
+        ),
     }
 }
 
-/// The file need not be there, its folder must be.
-fn snapshot(raw: &Spanned<String>, path: &Path) -> Result<PathBuf, Wrong> {
-    let file = beside(path, Path::new(raw.get_ref()));
+/// Checks the path of the snapshot file. Its folder must exist, the file itself need not.
+fn check_snapshot_path(raw: &Spanned<String>, path: &Path) -> Result<PathBuf, InvalidValue> {
+    let file = resolve_path(path, Path::new(raw.get_ref()));
     let expected = "a file in a folder that is there";
-    // A name alone, beside a configuration that is named alone, is in the folder that the program was started in.
+    // A bare file name next to a configuration given by its bare file name is in the current folder.
     let folder =
         file.parent().map(|folder| if folder.as_os_str().is_empty() { Path::new(".") } else { folder });
     if file.file_name().is_none() || !folder.is_some_and(Path::is_dir) || file.is_dir() {
-        return wrong(raw.span(), "snapshot_file", expected, format!("'{}'", file.display()));
+        return invalid(raw.span(), "snapshot_file", expected, format!("'{}'", file.display()));
     }
     Ok(file)
 }
 
-/// Whether planners carry datagrams.
-fn by_planners(raw: &RawFleet, planners: bool) -> Result<bool, Wrong> {
-    let Some(named) = &raw.carrier else { return Ok(false) };
-    match (named.get_ref().as_str(), planners) {
+/// Whether planners relay the datagrams. `follows_planners` says whether the configuration has `[planners]`.
+fn uses_planners(raw: &RawFleet, follows_planners: bool) -> Result<bool, InvalidValue> {
+    let Some(carrier) = &raw.carrier else { return Ok(false) };
+    match (carrier.get_ref().as_str(), follows_planners) {
         ("datagrams", _) => Ok(false),
         ("planners", true) => Ok(true),
-        ("planners", false) => wrong(named.span(), "carrier", "a forwarder with [planners]", "none"),
+        ("planners", false) => invalid(carrier.span(), "carrier", "a forwarder with [planners]", "none"),
         (other, _) => {
             let found = format!("'{}'", other.escape_debug());
-            wrong(named.span(), "carrier", "\"datagrams\" or \"planners\"", found)
+            invalid(carrier.span(), "carrier", "\"datagrams\" or \"planners\"", found)
         }
     }
 }
 
-/// An address that datagrams need and planners do not.
-fn at(
+/// Checks an address that UDP requires and relaying by planners excludes. `missing_span` is the position reported for
+/// a missing one.
+fn check_address(
     raw: &Option<Spanned<String>>,
     key: &'static str,
-    by_planners: bool,
-    without: std::ops::Range<usize>,
-) -> Result<Option<SocketAddr>, Wrong> {
+    uses_planners: bool,
+    missing_span: std::ops::Range<usize>,
+) -> Result<Option<SocketAddr>, InvalidValue> {
     match raw {
-        None if by_planners => Ok(None),
-        None => wrong(without, key, "address:port, as datagrams go by address", "none"),
-        Some(raw) if by_planners => {
+        None if uses_planners => Ok(None),
+        None => invalid(missing_span, key, "address:port, as datagrams go by address", "none"),
+        Some(raw) if uses_planners => {
             let found = format!("'{}'", raw.get_ref().escape_debug());
-            wrong(raw.span(), key, "none, as planners carry what is said", found)
+            invalid(raw.span(), key, "none, as planners carry what is said", found)
         }
-        Some(raw) => address(raw, key).map(Some),
+        Some(raw) => parse_address(raw, key).map(Some),
     }
 }
 
-pub(super) fn fleet(raw: &RawFleet, planners: bool, path: &Path) -> Result<Fleet, Wrong> {
-    let by_planners = by_planners(raw, planners)?;
-    let own = name(&raw.name)?;
+/// Checks the table. `follows_planners` says whether the configuration has `[planners]`.
+pub(super) fn check_fleet(
+    raw: &RawFleet,
+    follows_planners: bool,
+    path: &Path,
+) -> Result<Fleet, InvalidValue> {
+    let uses_planners = uses_planners(raw, follows_planners)?;
+    let own_name = check_name(&raw.name)?;
     let listed = raw.peers.get_ref();
-    if listed.len() > MOST_PROXIES {
-        return wrong(raw.peers.span(), "peers", &format!("at most {MOST_PROXIES}"), listed.len());
+    if listed.len() > MAX_PROXIES {
+        return invalid(raw.peers.span(), "peers", &format!("at most {MAX_PROXIES}"), listed.len());
     }
     let (mut peers, mut addresses) = (BTreeSet::new(), BTreeMap::new());
     for peer in listed {
-        let theirs = name(&peer.name)?;
-        let at = at(&peer.address, "address", by_planners, peer.name.span())?;
-        // One list may serve all proxies, this one in it.
-        if theirs == own {
+        let peer_name = check_name(&peer.name)?;
+        let address = check_address(&peer.address, "address", uses_planners, peer.name.span())?;
+        // All proxies may share one list, which then contains this proxy too.
+        if peer_name == own_name {
             continue;
         }
-        addresses.extend(at.map(|at| (theirs.clone(), at)));
-        if !peers.insert(theirs.clone()) {
-            return wrong(
+        addresses.extend(address.map(|address| (peer_name.clone(), address)));
+        if !peers.insert(peer_name.clone()) {
+            return invalid(
                 peer.name.span(),
                 "name",
                 "a name that no other proxy has",
-                format!("'{theirs}' again"),
+                format!("'{peer_name}' again"),
             );
         }
     }
-    let every = millis(&raw.every_ms, "every_ms", [50, 10_000], 250)?;
-    let stale = millis(&raw.stale_ms, "stale_ms", [2000, 300_000], 30_000)?;
-    // Three questions have to fit into the part of it in which words of others count.
-    if every * 6 > stale {
-        let at = raw.every_ms.as_ref().or(raw.stale_ms.as_ref()).map_or(0..0, Spanned::span);
+    let send_interval = check_millis(&raw.every_ms, "every_ms", [50, 10_000], 250)?;
+    let stale = check_millis(&raw.stale_ms, "stale_ms", [2000, 300_000], 30_000)?;
+    // Three exchanges must fit into the part of `stale_ms` in which reports of others count.
+    if send_interval * 6 > stale {
+        let span = raw.every_ms.as_ref().or(raw.stale_ms.as_ref()).map_or(0..0, Spanned::span);
         let expected = format!("every_ms to be at most a sixth of stale_ms, {} ms", stale.as_millis() / 6);
-        return wrong(at, "every_ms", &expected, format!("{} ms", every.as_millis()));
+        return invalid(span, "every_ms", &expected, format!("{} ms", send_interval.as_millis()));
     }
     let proxies = peers.len() + 1;
-    // One that more proxies have to agree on than there are would never come.
-    let most = proxies.clamp(2, MOST_QUORUM);
-    let quorum = whole(&raw.quorum, "quorum", [2, MOST_QUORUM as i64], most.min(3) as i64)? as usize;
-    if let Some(raw) = raw.quorum.as_ref().filter(|_| quorum > most) {
-        return wrong(
+    // A quorum larger than the number of proxies could never be reached.
+    let max_quorum = proxies.clamp(2, MAX_QUORUM);
+    let quorum =
+        check_integer(&raw.quorum, "quorum", [2, MAX_QUORUM as i64], max_quorum.min(3) as i64)? as usize;
+    if let Some(raw) = raw.quorum.as_ref().filter(|_| quorum > max_quorum) {
+        return invalid(
             raw.span(),
             "quorum",
-            &format!("from 2 to {most}, as there are {proxies} proxies"),
+            &format!("from 2 to {max_quorum}, as there are {proxies} proxies"),
             quorum,
         );
     }
-    let verdicts = dewpier_verdicts::Settings {
+    let verdict_settings = dewpier_verdicts::Settings {
         stale,
         quorum,
-        most_out: number(&raw.most_out, "most_out", [0.0, 0.9], 0.3)?,
-        slow_factor: number(&raw.slow_factor, "slow_factor", [1.5, 100.0], 4.0)?,
-        silent_after: millis(&raw.silent_after_ms, "silent_after_ms", [20, 60_000], 1000)?,
+        most_out: check_number(&raw.most_out, "most_out", [0.0, 0.9], 0.3)?,
+        slow_factor: check_number(&raw.slow_factor, "slow_factor", [1.5, 100.0], 4.0)?,
+        silent_after: check_millis(&raw.silent_after_ms, "silent_after_ms", [20, 60_000], 1000)?,
         proxies,
         ..dewpier_verdicts::Settings::default()
     };
-    let carrier = match at(&raw.listen, "listen", by_planners, raw.name.span())? {
-        Some(listen) => Carrier::Datagrams { listen, at: addresses },
+    let carrier = match check_address(&raw.listen, "listen", uses_planners, raw.name.span())? {
+        Some(listen) => Carrier::Datagrams { listen, peer_addresses: addresses },
         None => Carrier::Planners,
     };
-    let snapshot = raw.snapshot_file.as_ref().map(|raw| snapshot(raw, path)).transpose()?;
-    Ok(Fleet { name: own, peers, carrier, key: key(&raw.key_file, path)?, every, snapshot, verdicts })
+    let snapshot_file = raw.snapshot_file.as_ref().map(|raw| check_snapshot_path(raw, path)).transpose()?;
+    Ok(Fleet {
+        name: own_name,
+        peers,
+        carrier,
+        key: read_key(&raw.key_file, path)?,
+        send_interval,
+        snapshot_file,
+        verdict_settings,
+    })
 }
--- a/crates/dewpier/src/config/inventory.rs
+++ b/crates/dewpier/src/config/inventory.rs
@@ -1,6 +1,8 @@
-//! The table `[inventory]`.
+//! The table `[inventory]`: the file that lists the backends, and how it is read.
 
-use super::check::{HOUR, Wrong, beside, millis, number, whole, wrong};
+use super::check::{
+    HOUR_MILLIS, InvalidValue, check_integer, check_millis, check_number, invalid, resolve_path,
+};
 use dewpier_inventory::reload::Rules;
 use dewpier_inventory::{Encoding, Format, Options};
 use serde::Deserialize;
@@ -11,16 +13,16 @@
 /// The file that lists the backends, and how it is read.
 #[derive(Clone, Debug)]
 pub struct Inventory {
-    /// The file.
+    /// The file's path.
     pub file: PathBuf,
-    /// How its text is read.
+    /// How its contents are parsed.
     pub options: Options,
-    /// When it is read and taken.
+    /// When a changed file is accepted.
     pub rules: Rules,
-    /// How often it is looked at where the system tells of no change.
-    pub poll: Duration,
-    /// Host names are looked up when a list is taken; otherwise a list with names is refused.
-    pub names: bool,
+    /// Interval between checks for changes that the operating system does not report.
+    pub poll_interval: Duration,
+    /// Whether host names are resolved when a list is accepted. Otherwise a list with host names is rejected.
+    pub resolve_names: bool,
 }
 
 #[derive(Deserialize)]
@@ -32,7 +34,7 @@
     group: Option<String>,
     default_port: Option<Spanned<i64>>,
     #[serde(default)]
-    names: Names,
+    names: HostNames,
     settle_ms: Option<Spanned<i64>>,
     poll_ms: Option<Spanned<i64>>,
     max_vanish: Option<Spanned<f64>>,
@@ -48,46 +50,52 @@
 
 #[derive(Clone, Copy, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-enum Names {
+enum HostNames {
     #[default]
     Refuse,
     LookUp,
 }
 
-pub(super) fn inventory(raw: &RawInventory, path: &Path) -> Result<Inventory, Wrong> {
+/// Checks the table.
+pub(super) fn check_inventory(raw: &RawInventory, path: &Path) -> Result<Inventory, InvalidValue> {
     let file = raw.file.get_ref();
     if file.as_os_str().is_empty() {
-        return wrong(raw.file.span(), "file", "the name of a file", "''");
+        return invalid(raw.file.span(), "file", "the name of a file", "''");
     }
     let (defaults, rules) = (Options::default(), Rules::default());
-    let named = |value: &Option<Spanned<String>>| value.as_ref().map(|v| (v.span(), v.get_ref().clone()));
-    let format = match named(&raw.format).filter(|(_, name)| name != "auto") {
-        Some((span, name)) => Some(name.parse::<Format>().map_err(|message| Wrong { span, message })?),
+    let span_and_name =
+        |value: &Option<Spanned<String>>| value.as_ref().map(|v| (v.span(), v.get_ref().clone()));
+    let format = match span_and_name(&raw.format).filter(|(_, name)| name != "auto") {
+        Some((span, name)) => Some(name.parse::<Format>().map_err(|message| InvalidValue { span, message })?),
         None => None,
     };
-    let encoding = match named(&raw.encoding).filter(|(_, name)| name != "auto") {
-        Some((span, name)) => Some(name.parse::<Encoding>().map_err(|message| Wrong { span, message })?),
+    let encoding = match span_and_name(&raw.encoding).filter(|(_, name)| name != "auto") {
+        Some((span, name)) => {
+            Some(name.parse::<Encoding>().map_err(|message| InvalidValue { span, message })?)
+        }
         None => None,
     };
-    let default_port = whole(&raw.default_port, "default_port", [1, 65_535], 1)?;
+    let default_port = check_integer(&raw.default_port, "default_port", [1, 65_535], 1)?;
     let default_port = raw.default_port.as_ref().and_then(|_| u16::try_from(default_port).ok());
-    let settle = rules.settle.as_millis() as i64;
+    let default_settle = rules.settle.as_millis() as i64;
     Ok(Inventory {
-        file: beside(path, file),
+        file: resolve_path(path, file),
         options: Options {
             format,
             encoding,
             group: raw.group.clone(),
             default_port,
-            max_bytes: whole(&raw.max_bytes, "max_bytes", [1, 1 << 30], defaults.max_bytes as i64)? as usize,
-            max_rows: whole(&raw.max_nodes, "max_nodes", [1, 1 << 20], defaults.max_rows as i64)? as usize,
+            max_bytes: check_integer(&raw.max_bytes, "max_bytes", [1, 1 << 30], defaults.max_bytes as i64)?
+                as usize,
+            max_rows: check_integer(&raw.max_nodes, "max_nodes", [1, 1 << 20], defaults.max_rows as i64)?
+                as usize,
         },
         rules: Rules {
-            settle: millis(&raw.settle_ms, "settle_ms", [0, 60_000], settle)?,
-            max_vanish: number(&raw.max_vanish, "max_vanish", [0.0, 1.0], rules.max_vanish)?,
+            settle: check_millis(&raw.settle_ms, "settle_ms", [0, 60_000], default_settle)?,
+            max_vanish: check_number(&raw.max_vanish, "max_vanish", [0.0, 1.0], rules.max_vanish)?,
             complete_end: raw.complete_end,
         },
-        poll: millis(&raw.poll_ms, "poll_ms", [10, HOUR], 2000)?,
-        names: raw.names == Names::LookUp,
+        poll_interval: check_millis(&raw.poll_ms, "poll_ms", [10, HOUR_MILLIS], 2000)?,
+        resolve_names: raw.names == HostNames::LookUp,
     })
 }
--- a/crates/dewpier/src/config/planner.rs
+++ b/crates/dewpier/src/config/planner.rs
@@ -1,8 +1,10 @@
-//! The configuration of a planner.
+//! The configuration file of a planner.
 
-use super::check::{ConfigError, HOUR, Wrong, millis, parse, text, whole, wrong};
-use super::inventory::{Inventory, RawInventory, inventory};
-use super::secured::{RawTls, drain_bound, fitting, reached, secured};
+use super::check::{
+    ConfigError, HOUR_MILLIS, InvalidValue, check_integer, check_millis, invalid, parse, read_text,
+};
+use super::inventory::{Inventory, RawInventory, check_inventory};
+use super::secured::{RawTls, check_drain_bound, check_secure_address, check_tls, check_within_drain_bound};
 use dewpier_plan::MOST_PLANNERS;
 use dewpier_plan::io::Files;
 use serde::Deserialize;
@@ -11,24 +13,24 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Everything that a planner is told.
+/// The configuration of a planner.
 #[derive(Clone, Debug)]
 pub struct PlannerConfig {
-    /// Where forwarders connect.
+    /// The address on which forwarders connect.
     pub listen: SocketAddr,
-    /// Its number among the planners.
+    /// The planner's index in `planner_addresses`.
     pub number: u32,
-    /// For how long a forwarder may go by its word; within its bound on drains.
+    /// Duration of the leases it grants to forwarders, within the limit that `drain_ms` sets.
     pub lease: Duration,
-    /// Forwarders that are let in.
-    pub most: usize,
-    /// Where the list of backends is.
+    /// Maximum number of connected forwarders.
+    pub max_forwarders: usize,
+    /// The file that lists the backends.
     pub inventory: Inventory,
-    /// Where the planners talk with each other, by their numbers; none where there is but one.
-    pub planners: Vec<SocketAddr>,
-    /// The view of a planner that was silent for so long no longer counts.
+    /// The addresses on which planners connect to each other, by planner number; empty for a single planner.
+    pub planner_addresses: Vec<SocketAddr>,
+    /// How long a planner may be silent before its view no longer counts.
     pub expel_after: Duration,
-    /// As for forwarders.
+    /// The files of TLS; none where connections are plain.
     pub tls: Option<Files>,
 }
 
@@ -55,42 +57,53 @@
 }
 
 impl PlannerConfig {
-    /// Reads and checks a file.
+    /// Reads and checks a configuration file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
-        Self::parse(&text(path)?, path)
+        Self::parse(&read_text(path)?, path)
     }
 
-    /// Checks a text. Files that it names are beside `path`.
+    /// Parses and checks the text of a configuration file. Files that it names are relative to the folder of `path`.
     pub fn parse(text: &str, path: &Path) -> Result<Self, ConfigError> {
         parse(text, path, Self::check)
     }
 
-    fn check(file: PlannerFile, path: &Path) -> Result<Self, Wrong> {
-        let tls = secured(&file.tls, file.plaintext, file.listen.span(), path)?;
+    fn check(file: PlannerFile, path: &Path) -> Result<Self, InvalidValue> {
+        let tls = check_tls(&file.tls, file.plaintext, file.listen.span(), path)?;
         let listed = file.cluster.as_ref().map_or(&[][..], |c| c.planners.get_ref());
-        let planners: Vec<SocketAddr> =
-            listed.iter().map(|a| reached(a, "planners", &tls)).collect::<Result<_, _>>()?;
+        let planner_addresses: Vec<SocketAddr> = listed
+            .iter()
+            .map(|address| check_secure_address(address, "planners", &tls))
+            .collect::<Result<_, _>>()?;
         if let Some(cluster) = &file.cluster {
             let span = cluster.planners.span();
-            if planners.is_empty() || planners.len() >= MOST_PLANNERS {
+            if planner_addresses.is_empty() || planner_addresses.len() >= MOST_PLANNERS {
                 let expected = format!("1 to {}", MOST_PLANNERS - 1);
-                return wrong(span, "planners", &expected, planners.len());
+                return invalid(span, "planners", &expected, planner_addresses.len());
             }
-            if let Some(twice) = planners.iter().enumerate().find(|(i, p)| planners[..*i].contains(p)) {
-                return wrong(span, "planners", "each address once", format!("{} twice", twice.1));
+            if let Some(duplicate) =
+                planner_addresses.iter().enumerate().find(|(i, p)| planner_addresses[..*i].contains(p))
+            {
+                return invalid(span, "planners", "each address once", format!("{} twice", duplicate.1));
             }
         }
-        let most = planners.len().max(1) as i64 - 1;
-        let drains = drain_bound(&file.drain_ms)?;
+        let max_number = planner_addresses.len().max(1) as i64 - 1;
+        let drain_bound = check_drain_bound(&file.drain_ms)?;
         let expel_after = file.cluster.as_ref().and_then(|c| c.expel_after_ms.clone());
         Ok(Self {
-            listen: reached(&file.listen, "listen", &tls)?,
-            number: whole(&file.number, "number", [0, most], 0)? as u32,
-            lease: fitting(&file.lease_ms, "lease_ms", drains, drains.leases(), drains.lease())?,
-            most: whole(&file.max_forwarders, "max_forwarders", [1, 100_000], 1000)? as usize,
-            inventory: inventory(&file.inventory, path)?,
-            planners,
-            expel_after: millis(&expel_after, "expel_after_ms", [1000, HOUR], 10_000)?,
+            listen: check_secure_address(&file.listen, "listen", &tls)?,
+            number: check_integer(&file.number, "number", [0, max_number], 0)? as u32,
+            lease: check_within_drain_bound(
+                &file.lease_ms,
+                "lease_ms",
+                drain_bound,
+                drain_bound.leases(),
+                drain_bound.lease(),
+            )?,
+            max_forwarders: check_integer(&file.max_forwarders, "max_forwarders", [1, 100_000], 1000)?
+                as usize,
+            inventory: check_inventory(&file.inventory, path)?,
+            planner_addresses,
+            expel_after: check_millis(&expel_after, "expel_after_ms", [1000, HOUR_MILLIS], 10_000)?,
             tls,
         })
     }
--- a/crates/dewpier/src/config/planners.rs
+++ b/crates/dewpier/src/config/planners.rs
@@ -1,8 +1,8 @@
-//! The table `[planners]` of a forwarder.
+//! The table `[planners]`: the planners that a forwarder follows.
 
-use super::check::{Wrong, beside, whole, wrong};
+use super::check::{InvalidValue, check_integer, invalid, resolve_path};
 use super::inventory::Inventory;
-use super::secured::{RawTls, drain_bound, fitting, reached, secured};
+use super::secured::{RawTls, check_drain_bound, check_secure_address, check_tls, check_within_drain_bound};
 use dewpier_plan::io::Files;
 use dewpier_plan::{DrainBound, MOST_NAME, MOST_NODES, MOST_PLANNERS};
 use gannetproxy::engine::MOST_HELD;
@@ -12,27 +12,27 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// The planners of a forwarder.
+/// The planners that a forwarder follows, and how it follows them.
 #[derive(Clone, Debug)]
 pub struct Planners {
-    /// Where they are.
+    /// The planners' addresses.
     pub addresses: Vec<SocketAddr>,
     /// The forwarder's name.
     pub name: String,
-    /// Within which drains are kept.
-    pub drains: DrainBound,
-    /// How often each is asked.
-    pub beat: Duration,
-    /// How many nodes it uses; none for all.
-    pub nodes: Option<usize>,
-    /// What the forwarder watches itself while all planners are silent.
-    pub own: Option<Inventory>,
-    /// The longest wait before it does.
-    pub spread: Duration,
-    /// The files by which connections are secured; none where they are plain.
+    /// Maximum time from a planner's drain notice until nothing new is sent to the node.
+    pub drain_bound: DrainBound,
+    /// Interval between heartbeats to each planner.
+    pub heartbeat_interval: Duration,
+    /// Maximum number of nodes that the forwarder uses; none for all.
+    pub max_nodes: Option<usize>,
+    /// The inventory that the forwarder watches itself while all planners are silent.
+    pub own_inventory: Option<Inventory>,
+    /// Maximum of the random delay before the forwarder starts its own watch.
+    pub own_watch_spread: Duration,
+    /// The files of TLS; none where connections are plain.
     pub tls: Option<Files>,
-    /// Where it says what it goes by, to those who may open that socket.
-    pub status: Option<PathBuf>,
+    /// The Unix socket on which the forwarder reports its status.
+    pub status_socket: Option<PathBuf>,
 }
 
 #[derive(Deserialize)]
@@ -50,32 +50,52 @@
     status: Option<PathBuf>,
 }
 
-pub(super) fn planners(raw: &RawPlanners, own: Option<Inventory>, path: &Path) -> Result<Planners, Wrong> {
+/// Checks the table.
+pub(super) fn check_planners(
+    raw: &RawPlanners,
+    own_inventory: Option<Inventory>,
+    path: &Path,
+) -> Result<Planners, InvalidValue> {
     let listed = raw.addresses.get_ref();
     if listed.is_empty() || listed.len() > MOST_PLANNERS {
         let expected = format!("1 to {MOST_PLANNERS}");
-        return wrong(raw.addresses.span(), "addresses", &expected, listed.len());
+        return invalid(raw.addresses.span(), "addresses", &expected, listed.len());
     }
     let name = raw.name.get_ref();
     if !(1..=MOST_NAME).contains(&name.len()) || name.chars().any(char::is_control) {
-        return wrong(raw.name.span(), "name", "1 to 253 bytes without control characters", name.len());
+        return invalid(raw.name.span(), "name", "1 to 253 bytes without control characters", name.len());
     }
-    let tls = secured(&raw.tls, raw.plaintext, raw.addresses.span(), path)?;
-    let nodes = whole(&raw.nodes, "nodes", [1, MOST_NODES as i64], 1)?;
-    let drains = drain_bound(&raw.drain_ms)?;
-    let beat = fitting(&raw.beat_ms, "beat_ms", drains, drains.beats(), drains.beat())?;
-    let spreads = drains.spreads(beat, Duration::from_secs_f64(MOST_HELD));
-    let spread = drains.left(beat);
-    let spread = fitting(&raw.own_watch_spread_ms, "own_watch_spread_ms", drains, spreads, spread)?;
+    let tls = check_tls(&raw.tls, raw.plaintext, raw.addresses.span(), path)?;
+    let max_nodes = check_integer(&raw.nodes, "nodes", [1, MOST_NODES as i64], 1)?;
+    let drain_bound = check_drain_bound(&raw.drain_ms)?;
+    let heartbeat_interval = check_within_drain_bound(
+        &raw.beat_ms,
+        "beat_ms",
+        drain_bound,
+        drain_bound.beats(),
+        drain_bound.beat(),
+    )?;
+    let allowed_spreads = drain_bound.spreads(heartbeat_interval, Duration::from_secs_f64(MOST_HELD));
+    let default_spread = drain_bound.left(heartbeat_interval);
+    let own_watch_spread = check_within_drain_bound(
+        &raw.own_watch_spread_ms,
+        "own_watch_spread_ms",
+        drain_bound,
+        allowed_spreads,
+        default_spread,
+    )?;
     Ok(Planners {
-        addresses: listed.iter().map(|a| reached(a, "addresses", &tls)).collect::<Result<_, _>>()?,
+        addresses: listed
+            .iter()
+            .map(|address| check_secure_address(address, "addresses", &tls))
+            .collect::<Result<_, _>>()?,
         name: name.clone(),
-        drains,
-        beat,
-        nodes: raw.nodes.as_ref().and_then(|_| usize::try_from(nodes).ok()),
-        own,
-        spread,
+        drain_bound,
+        heartbeat_interval,
+        max_nodes: raw.nodes.as_ref().and_then(|_| usize::try_from(max_nodes).ok()),
+        own_inventory,
+        own_watch_spread,
         tls,
-        status: raw.status.as_ref().map(|file| beside(path, file)),
+        status_socket: raw.status.as_ref().map(|file| resolve_path(path, file)),
     })
 }
--- a/crates/dewpier/src/config/secured.rs
+++ b/crates/dewpier/src/config/secured.rs
@@ -1,6 +1,6 @@
-//! What forwarders and planners both set: the bound on drains, and how their connections are secured.
+//! Settings that forwarders and planners share: the drain bound, and the security of their connections.
 
-use super::check::{Wrong, address, beside, millis, wrong};
+use super::check::{InvalidValue, check_millis, invalid, parse_address, resolve_path};
 use dewpier_plan::DrainBound;
 use dewpier_plan::io::Files;
 use serde::Deserialize;
@@ -18,56 +18,61 @@
     key: PathBuf,
 }
 
-/// How long after a planner's word that a node drains something new may be begun there.
-pub(super) fn drain_bound(value: &Option<Spanned<i64>>) -> Result<DrainBound, Wrong> {
-    let [least, most] = [DrainBound::LEAST, DrainBound::MOST].map(|bound| bound.as_millis() as i64);
+/// Checks `drain_ms`: the maximum time from a planner's drain notice until nothing new is sent to the node.
+pub(super) fn check_drain_bound(value: &Option<Spanned<i64>>) -> Result<DrainBound, InvalidValue> {
+    let [min, max] = [DrainBound::LEAST, DrainBound::MOST].map(|bound| bound.as_millis() as i64);
     let default = DrainBound::default().get().as_millis() as i64;
-    let bound = millis(value, "drain_ms", [least, most], default)?;
-    DrainBound::new(bound).or_else(|unkept| wrong(0..0, "drain_ms", "a bound that can be kept", unkept))
+    let bound = check_millis(value, "drain_ms", [min, max], default)?;
+    DrainBound::new(bound).or_else(|error| invalid(0..0, "drain_ms", "a bound that can be kept", error))
 }
 
-/// A time that must lie in what a bound on drains allows.
-pub(super) fn fitting(
+/// Checks a duration in milliseconds against the range that the drain bound allows.
+pub(super) fn check_within_drain_bound(
     value: &Option<Spanned<i64>>,
-    what: &str,
-    drains: DrainBound,
+    key: &str,
+    drain_bound: DrainBound,
     range: RangeInclusive<Duration>,
     default: Duration,
-) -> Result<Duration, Wrong> {
-    let [least, most, default] = [*range.start(), *range.end(), default].map(|time| time.as_millis() as i64);
-    let why = |mut wrong: Wrong| {
-        wrong.message += &format!(", where drain_ms is {}", drains.get().as_millis());
-        wrong
+) -> Result<Duration, InvalidValue> {
+    let [min, max, default] =
+        [*range.start(), *range.end(), default].map(|duration| duration.as_millis() as i64);
+    let add_drain_bound = |mut error: InvalidValue| {
+        error.message += &format!(", where drain_ms is {}", drain_bound.get().as_millis());
+        error
     };
-    millis(value, what, [least, most], default).map_err(why)
+    check_millis(value, key, [min, max], default).map_err(add_drain_bound)
 }
 
-/// The files of TLS, or none where plain connections are asked for.
-pub(super) fn secured(
+/// Checks the table `tls`. Returns its files, or none if the configuration asks for plain connections.
+pub(super) fn check_tls(
     tls: &Option<RawTls>,
     plaintext: bool,
     span: Range<usize>,
     path: &Path,
-) -> Result<Option<Files>, Wrong> {
+) -> Result<Option<Files>, InvalidValue> {
     match (tls, plaintext) {
         (Some(raw), false) => Ok(Some(Files {
-            authority: beside(path, &raw.authority),
-            certificate: beside(path, &raw.certificate),
-            key: beside(path, &raw.key),
+            authority: resolve_path(path, &raw.authority),
+            certificate: resolve_path(path, &raw.certificate),
+            key: resolve_path(path, &raw.key),
         })),
         (None, true) => Ok(None),
         (None, false) => {
-            wrong(span, "connections", "a table 'tls', or plaintext = true on loopback", "neither")
+            invalid(span, "connections", "a table 'tls', or plaintext = true on loopback", "neither")
         }
-        (Some(_), true) => wrong(span, "connections", "a table 'tls', or plaintext = true", "both"),
+        (Some(_), true) => invalid(span, "connections", "a table 'tls', or plaintext = true", "both"),
     }
 }
 
-/// Where connections are plain, a stranger who could reach them could move traffic.
-pub(super) fn reached(value: &Spanned<String>, what: &str, tls: &Option<Files>) -> Result<SocketAddr, Wrong> {
-    let address = address(value, what)?;
+/// Checks an address. Without TLS it must be a loopback address: anyone who can connect could redirect traffic.
+pub(super) fn check_secure_address(
+    value: &Spanned<String>,
+    key: &str,
+    tls: &Option<Files>,
+) -> Result<SocketAddr, InvalidValue> {
+    let address = parse_address(value, key)?;
     match address.ip().is_loopback() || tls.is_some() {
         true => Ok(address),
-        false => wrong(value.span(), what, "a loopback address, as connections are plain", address),
+        false => invalid(value.span(), key, "a loopback address, as connections are plain", address),
     }
 }
--- a/crates/dewpier/src/config/tests.rs
+++ b/crates/dewpier/src/config/tests.rs
@@ -1,10 +1,14 @@
+//! Configuration files: defaults, the checked examples, and errors with their position.
+
 use super::*;
 use gannetproxy::Effect;
 use hyper::Method;
 use std::path::PathBuf;
 
-const LEAST: &str = "listen = \"127.0.0.1:0\"\n[inventory]\nfile = \"nodes.csv\"\n";
+/// The smallest configuration of a proxy.
+const MINIMAL: &str = "listen = \"127.0.0.1:0\"\n[inventory]\nfile = \"nodes.csv\"\n";
 
+/// The smallest configuration of a forwarder.
 const FORWARDER: &str =
     "listen = \"127.0.0.1:0\"\n[planners]\nname = \"f\"\naddresses = [\"127.0.0.1:1\"]\nplaintext = true\n";
 
@@ -13,9 +17,11 @@
 }
 
 #[test]
-fn little_is_needed() {
-    let config = parse(LEAST).unwrap();
-    let ListFrom::Inventory(inventory) = &config.source else { panic!("{:?}", config.source) };
+fn minimal_configuration_gets_the_defaults() {
+    let config = parse(MINIMAL).unwrap();
+    let ListSourceConfig::Inventory(inventory) = &config.list_source else {
+        panic!("{:?}", config.list_source)
+    };
     assert_eq!(inventory.file, Path::new("/etc/dewpier/nodes.csv"));
     assert_eq!(config.wire.drain_grace, Duration::from_millis(500));
     let class = |method, path| {
@@ -28,12 +34,19 @@
 }
 
 #[test]
-fn a_bound_on_drains_sets_what_must_fit_into_it() {
+fn drain_bound_sets_the_defaults_and_limits_of_dependent_settings() {
     let forwarder = |settings: &str| {
         let config = parse(&format!("{FORWARDER}{settings}")).unwrap();
-        let ListFrom::Planners(planners) = config.source else { panic!("{:?}", config.source) };
-        [planners.drains.get(), planners.beat, planners.spread, config.wire.drain_grace]
-            .map(|t| t.as_millis())
+        let ListSourceConfig::Planners(planners) = config.list_source else {
+            panic!("{:?}", config.list_source)
+        };
+        [
+            planners.drain_bound.get(),
+            planners.heartbeat_interval,
+            planners.own_watch_spread,
+            config.wire.drain_grace,
+        ]
+        .map(|duration| duration.as_millis())
     };
     assert_eq!(forwarder(""), [500, 100, 100, 100]);
     assert_eq!(forwarder("drain_ms = 250\n"), [250, 50, 50, 50]);
@@ -45,34 +58,42 @@
         config.map(|c| c.lease.as_millis()).map_err(|error| error.to_string())
     };
     assert_eq!(["", "drain_ms = 250\n", "drain_ms = 100\n"].map(planner), [Ok(400), Ok(200), Ok(80)]);
-    let told = planner("drain_ms = 250\nlease_ms = 201\n").unwrap_err();
+    let error = planner("drain_ms = 250\nlease_ms = 201\n").unwrap_err();
     assert_eq!(
-        told,
+        error,
         "/p.toml:4:12: lease_ms: expected a whole number from 50 to 200, found 201, where drain_ms is 250"
     );
 }
 
 #[test]
-fn the_checked_example_of_a_fleet_is_good() {
+fn fleet_example_in_deploy_is_valid() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/fleet.toml");
     let fleet = Config::read(Path::new(example)).unwrap().fleet.unwrap();
-    assert_eq!((fleet.name.as_str(), fleet.verdicts.proxies, fleet.verdicts.quorum), ("proxy-1", 2, 2));
-    let Carrier::Datagrams { listen, at } = fleet.carrier else { panic!("{:?}", fleet.carrier) };
-    assert!(listen.ip().is_loopback() && at.values().all(|at| at.ip().is_loopback()), "{listen} {at:?}");
+    assert_eq!(
+        (fleet.name.as_str(), fleet.verdict_settings.proxies, fleet.verdict_settings.quorum),
+        ("proxy-1", 2, 2)
+    );
+    let Carrier::Datagrams { listen, peer_addresses } = fleet.carrier else { panic!("{:?}", fleet.carrier) };
+    assert!(
+        listen.ip().is_loopback() && peer_addresses.values().all(|address| address.ip().is_loopback()),
+        "{listen} {peer_addresses:?}"
+    );
 }
 
 #[test]
-fn the_checked_example_is_good() {
+fn proxy_example_in_deploy_is_valid() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/dewpier.toml");
     let config = Config::read(Path::new(example)).unwrap();
-    let ListFrom::Inventory(inventory) = &config.source else { panic!("{:?}", config.source) };
+    let ListSourceConfig::Inventory(inventory) = &config.list_source else {
+        panic!("{:?}", config.list_source)
+    };
     let list = dewpier_inventory::io::read_file(&inventory.file, &inventory.options).unwrap();
     assert!(list.backends.len() > 1);
 }
 
 #[test]
-fn what_is_wrong_is_told_with_its_place() {
-    for (text, place, words) in [
+fn invalid_settings_are_reported_with_their_position() {
+    for (text, position, expected) in [
         ("listen = \"here\"\n[inventory]\nfile = \"a\"\n", "1:10", "address:port, found 'here'"),
         ("[inventory]\nfile = \"a\"\n", "1:1", "listen"),
         (
@@ -117,38 +138,38 @@
             "7:18",
             "drain_grace_ms: expected a whole number from 10 to 100, found 101, where drain_ms is 500",
         ),
-        (&format!("{LEAST}fil = 1\n"), "4:1", "unknown field `fil`"),
-        (&format!("{LEAST}max_vanish = 1.5\n"), "4:14", "a number from 0 to 1, found 1.5"),
-        (&format!("{LEAST}max_vanish = nan\n"), "4:14", "a number from 0 to 1, found NaN"),
-        (&format!("{LEAST}default_port = 0\n"), "4:16", "1 to 65535, found 0"),
-        (&format!("{LEAST}settle_ms = -1\n"), "4:13", "0 to 60000"),
-        (&format!("{LEAST}encoding = \"koi8-r\"\n"), "4:12", "kz-1048"),
-        (&format!("{LEAST}format = \"xml\"\n"), "4:10", "file_sd"),
-        (&format!("{LEAST}[limits]\nmax_attempts = 0\n"), "5:16", "1 to 16"),
-        (&format!("{LEAST}[instances]\nnumber = 2\nme = 2\n"), "6:6", "0 to 1"),
-        (&format!("{LEAST}[[class]]\nname = \"a\"\neffect = \"keyed\"\n"), "5:8", "window_ms"),
-        (&format!("{LEAST}[[class]]\nname = \"a\"\neffect = \"sure\"\n"), "6:10", "sure"),
-        (&format!("{LEAST}[[class]]\nname = \"a\"\neffect = \"safe\"\nwindow_ms = 4\n"), "7:13", "none"),
+        (&format!("{MINIMAL}fil = 1\n"), "4:1", "unknown field `fil`"),
+        (&format!("{MINIMAL}max_vanish = 1.5\n"), "4:14", "a number from 0 to 1, found 1.5"),
+        (&format!("{MINIMAL}max_vanish = nan\n"), "4:14", "a number from 0 to 1, found NaN"),
+        (&format!("{MINIMAL}default_port = 0\n"), "4:16", "1 to 65535, found 0"),
+        (&format!("{MINIMAL}settle_ms = -1\n"), "4:13", "0 to 60000"),
+        (&format!("{MINIMAL}encoding = \"koi8-r\"\n"), "4:12", "kz-1048"),
+        (&format!("{MINIMAL}format = \"xml\"\n"), "4:10", "file_sd"),
+        (&format!("{MINIMAL}[limits]\nmax_attempts = 0\n"), "5:16", "1 to 16"),
+        (&format!("{MINIMAL}[instances]\nnumber = 2\nme = 2\n"), "6:6", "0 to 1"),
+        (&format!("{MINIMAL}[[class]]\nname = \"a\"\neffect = \"keyed\"\n"), "5:8", "window_ms"),
+        (&format!("{MINIMAL}[[class]]\nname = \"a\"\neffect = \"sure\"\n"), "6:10", "sure"),
+        (&format!("{MINIMAL}[[class]]\nname = \"a\"\neffect = \"safe\"\nwindow_ms = 4\n"), "7:13", "none"),
         (
-            &format!("{LEAST}[[class]]\nname = \"a\"\neffect = \"safe\"\nmatch = [{{path = \"a\"}}]\n"),
+            &format!("{MINIMAL}[[class]]\nname = \"a\"\neffect = \"safe\"\nmatch = [{{path = \"a\"}}]\n"),
             "7:18",
             "/",
         ),
         (
             &format!(
-                "{LEAST}[[class]]\nname = \"a\"\neffect = \"safe\"\nmatch = [{{methods = [\"get\"]}}]\n"
+                "{MINIMAL}[[class]]\nname = \"a\"\neffect = \"safe\"\nmatch = [{{methods = [\"get\"]}}]\n"
             ),
             "7:22",
             "GET",
         ),
         (
-            &format!("{LEAST}[[class]]\nname = \"a\"\neffect = \"safe\"\naim_ms = 20000\n"),
+            &format!("{MINIMAL}[[class]]\nname = \"a\"\neffect = \"safe\"\naim_ms = 20000\n"),
             "7:10",
             "1 to 15000",
         ),
         (
             &format!(
-                "{LEAST}[[class]]\nname = \"a\"\neffect = \"safe\"\n[[class]]\nname = \"a\"\neffect = \"safe\"\n"
+                "{MINIMAL}[[class]]\nname = \"a\"\neffect = \"safe\"\n[[class]]\nname = \"a\"\neffect = \"safe\"\n"
             ),
             "8:8",
             "no other",
@@ -156,83 +177,84 @@
         ("listen = ", "1:10", ""),
         ("", "1:1", "listen"),
     ] {
-        let told = parse(text).map(|_| ()).unwrap_err();
-        assert!(told.starts_with(&format!("/etc/dewpier/dewpier.toml:{place}: ")), "{text}{told}");
-        assert!(told.contains(words) && told.lines().count() == 1, "{words}: {told}");
+        let error = parse(text).map(|_| ()).unwrap_err();
+        assert!(error.starts_with(&format!("/etc/dewpier/dewpier.toml:{position}: ")), "{text}{error}");
+        assert!(error.contains(expected) && error.lines().count() == 1, "{expected}: {error}");
     }
 }
 
 #[test]
-fn a_fleet_is_read_whole_or_refused_with_its_place() {
+fn fleet_tables_are_accepted_or_rejected_with_their_position() {
     let folder = std::env::temp_dir().join(format!("dewpier-fleet-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("key"), "sixteen bytes or more").unwrap();
     std::fs::write(folder.join("short"), "short").unwrap();
     let read = |settings: &str| {
-        let text = format!("{LEAST}[fleet]\n{settings}\n");
+        let text = format!("{MINIMAL}[fleet]\n{settings}\n");
         Config::parse(&text, &folder.join("dewpier.toml")).map_err(|error| error.to_string())
     };
     let peers =
         "peers = [{ name = \"a\", address = \"127.0.0.1:1\" }, { name = \"b\", address = \"127.0.0.1:2\" }]";
-    let least = format!("name = \"a\"\nlisten = \"127.0.0.1:1\"\nkey_file = \"key\"\n{peers}");
-    let fleet = read(&least).unwrap().fleet.unwrap();
-    // One list serves all: the proxy itself is in it.
-    assert_eq!((fleet.peers.len(), fleet.verdicts.proxies, fleet.every.as_millis()), (1, 2, 250));
-    assert_eq!(fleet.verdicts.quorum, 2, "both, where there are two");
-    assert!(parse(LEAST).unwrap().fleet.is_none(), "off unless it is set");
-    assert!(fleet.snapshot.is_none(), "off unless it is set");
-    let kept = read(&format!("{least}\nsnapshot_file = \"known\"")).unwrap().fleet.unwrap().snapshot;
-    assert_eq!(kept, Some(folder.join("known")));
-    // A configuration that is named without a folder.
+    let minimal = format!("name = \"a\"\nlisten = \"127.0.0.1:1\"\nkey_file = \"key\"\n{peers}");
+    let fleet = read(&minimal).unwrap().fleet.unwrap();
+    // The list may contain the proxy itself, which is then not its own peer.
+    assert_eq!(
+        (fleet.peers.len(), fleet.verdict_settings.proxies, fleet.send_interval.as_millis()),
+        (1, 2, 250)
+    );
+    assert_eq!(fleet.verdict_settings.quorum, 2, "two proxies need a quorum of both");
+    assert!(parse(MINIMAL).unwrap().fleet.is_none(), "off by default");
+    assert!(fleet.snapshot_file.is_none(), "off by default");
+    let snapshot_file =
+        read(&format!("{minimal}\nsnapshot_file = \"known\"")).unwrap().fleet.unwrap().snapshot_file;
+    assert_eq!(snapshot_file, Some(folder.join("known")));
+    // The configuration's path has no folder.
     let key = folder.join("key").display().to_string();
-    let bare = least.replace("\"key\"", &format!("\"{key}\""));
-    let text = format!("{LEAST}[fleet]\n{bare}\nsnapshot_file = \"known\"\n");
-    let kept = Config::parse(&text, Path::new("dewpier.toml")).unwrap().fleet.unwrap().snapshot;
-    assert_eq!(kept, Some(PathBuf::from("known")));
+    let bare = minimal.replace("\"key\"", &format!("\"{key}\""));
+    let text = format!("{MINIMAL}[fleet]\n{bare}\nsnapshot_file = \"known\"\n");
+    let snapshot_file = Config::parse(&text, Path::new("dewpier.toml")).unwrap().fleet.unwrap().snapshot_file;
+    assert_eq!(snapshot_file, Some(PathBuf::from("known")));
     for (settings, line, expected) in [
-        (least.replace("\"key\"", "\"short\""), 7, "16 to 4096 bytes"),
-        (least.replace("\"key\"", "\"none\""), 7, "16 to 4096 bytes"),
-        (least.replace("\"b\"", "\"a\""), 0, ""),
-        (least.replace("{ name = \"a\"", "{ name = \"b\""), 8, "a name that no other proxy has"),
-        (least.replace("127.0.0.1:2", "there"), 8, "address:port"),
-        (format!("{least}\nquorum = 1"), 9, "from 2 to 64"),
-        (format!("{least}\nquorum = 3"), 9, "from 2 to 2, as there are 2 proxies"),
-        (format!("{least}\nstale_ms = 2000\nevery_ms = 400"), 10, "at most a sixth of stale_ms, 333 ms"),
-        (format!("{least}\nmost_out = 1.5"), 9, "from 0 to 0.9"),
-        (format!("{least}\nsnapshot_file = \"none/known\""), 9, "a file in a folder that is there"),
-        (format!("{least}\nsnapshot_file = \"..\""), 9, "a file in a folder that is there"),
-        (format!("{least}\ngossip = true"), 9, "unknown field"),
-        (format!("{least}\ncarrier = \"pigeons\""), 9, "\"datagrams\" or \"planners\", found 'pigeons'"),
-        (format!("{least}\ncarrier = \"planners\""), 9, "a forwarder with [planners], found none"),
-        (least.replace("listen = \"127.0.0.1:1\"\n", ""), 5, "as datagrams go by address"),
-        (least.replace(", address = \"127.0.0.1:2\"", ""), 8, "as datagrams go by address"),
+        (minimal.replace("\"key\"", "\"short\""), 7, "16 to 4096 bytes"),
+        (minimal.replace("\"key\"", "\"none\""), 7, "16 to 4096 bytes"),
+        (minimal.replace("\"b\"", "\"a\""), 0, ""),
+        (minimal.replace("{ name = \"a\"", "{ name = \"b\""), 8, "a name that no other proxy has"),
+        (minimal.replace("127.0.0.1:2", "there"), 8, "address:port"),
+        (format!("{minimal}\nquorum = 1"), 9, "from 2 to 64"),
+        (format!("{minimal}\nquorum = 3"), 9, "from 2 to 2, as there are 2 proxies"),
+        (format!("{minimal}\nstale_ms = 2000\nevery_ms = 400"), 10, "at most a sixth of stale_ms, 333 ms"),
+        (format!("{minimal}\nmost_out = 1.5"), 9, "from 0 to 0.9"),
+        (format!("{minimal}\nsnapshot_file = \"none/known\""), 9, "a file in a folder that is there"),
+        (format!("{minimal}\nsnapshot_file = \"..\""), 9, "a file in a folder that is there"),
+        (format!("{minimal}\ngossip = true"), 9, "unknown field"),
+        (format!("{minimal}\ncarrier = \"pigeons\""), 9, "\"datagrams\" or \"planners\", found 'pigeons'"),
+        (format!("{minimal}\ncarrier = \"planners\""), 9, "a forwarder with [planners], found none"),
+        (minimal.replace("listen = \"127.0.0.1:1\"\n", ""), 5, "as datagrams go by address"),
+        (minimal.replace(", address = \"127.0.0.1:2\"", ""), 8, "as datagrams go by address"),
     ] {
-        let refused = read(&settings);
+        let result = read(&settings);
         if line == 0 {
-            assert!(refused.is_ok(), "a name may be the proxy's own more than once");
+            assert!(result.is_ok(), "the proxy's own name may occur more than once");
             continue;
         }
-        let refused = refused.unwrap_err();
-        assert!(
-            refused.contains(&format!("dewpier.toml:{line}:")) && refused.contains(expected),
-            "{refused}"
-        );
+        let error = result.unwrap_err();
+        assert!(error.contains(&format!("dewpier.toml:{line}:")) && error.contains(expected), "{error}");
     }
-    // Where planners carry what is said nothing has an address.
-    let planned = |fleet: &str| {
+    // With planners as the carrier no proxy has an address.
+    let read_with_planners = |fleet: &str| {
         let planners = "[planners]\nname = \"p\"\naddresses = [\"127.0.0.1:9\"]\nplaintext = true\n";
         let text = format!("listen = \"127.0.0.1:0\"\n{planners}[fleet]\ncarrier = \"planners\"\n{fleet}\n");
         Config::parse(&text, &folder.join("dewpier.toml")).map_err(|error| error.to_string())
     };
     let names = "name = \"a\"\nkey_file = \"key\"\npeers = [{ name = \"a\" }, { name = \"b\" }]";
-    let fleet = planned(names).unwrap().fleet.unwrap();
+    let fleet = read_with_planners(names).unwrap().fleet.unwrap();
     assert_eq!((fleet.peers.len(), fleet.carrier), (1, Carrier::Planners));
     for settings in [
         format!("{names}\nlisten = \"127.0.0.1:1\""),
         names.replace("\"b\"", "\"b\", address = \"1.1.1.1:1\""),
     ] {
-        let refused = planned(&settings).unwrap_err();
-        assert!(refused.contains("none, as planners carry what is said"), "{refused}");
+        let error = read_with_planners(&settings).unwrap_err();
+        assert!(error.contains("none, as planners carry what is said"), "{error}");
     }
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/dewpier/src/error.rs
+++ b/crates/dewpier/src/error.rs
@@ -1,15 +1,15 @@
-//! Why a proxy or a planner does not start.
+//! Errors that end a proxy, a forwarder or a planner.
 
 use std::io;
 use thiserror::Error;
 
-/// Why it does not.
+/// Why a process does not start or stops serving.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The system does not let it.
+    /// An operating system error.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// There is no list that can be used, or a file that is needed for one can't be.
+    /// No usable backend list, or a needed file cannot be used.
     #[error("{0}")]
-    Inventory(String),
+    BadInput(String),
 }
--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -1,10 +1,10 @@
-//! A proxy among others: what its engine sees of attempts becomes evidence, what holds of nodes becomes a belief of
-//! its module, and datagrams carry both.
+//! A proxy's part in its fleet: turns the outcomes of its attempts into evidence about nodes, exchanges evidence with
+//! the other proxies, and passes the resulting verdicts to the decision module as backend hints.
 
-use crate::carried::Carries;
-use crate::config::Fleet as Told;
+use crate::config::Fleet as FleetConfig;
 use crate::error::ServeError;
-use crate::kept;
+use crate::fleet_transport::FleetTransport;
+use crate::snapshot_file;
 use dewpier_operate::calls::{self, Call};
 use dewpier_peers::{Name, Peers, Process};
 use dewpier_verdicts::{
@@ -21,193 +21,206 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Datagrams that are looked at in a second, for each partner's datagram that is due in it.
-const TAKEN: f64 = 4.0;
-/// How much slower than normal a node counts that fails or can't be reached, as in the module,
-const BAD: f64 = 8.0;
-/// and one that is slow. It has to be avoided by the module's own rule: it draws among those of at most mean load.
-const SLOW: f64 = 4.0;
+/// Maximum received datagrams per second, as a multiple of the number that the partners send.
+const RECEIVE_RATE_FACTOR: f64 = 4.0;
+/// Backend hint for nodes that fail, are silent or cannot be reached: how many times slower than normal they count.
+const BAD_SLOWDOWN: f64 = 8.0;
+/// Backend hint for slow nodes. It suffices for the decision module to avoid them, as it chooses among backends of at
+/// most mean load.
+const SLOW_SLOWDOWN: f64 = 4.0;
 
-/// A listed node, as the fleet knows it.
+/// A listed node.
 #[derive(Clone, Debug)]
-pub(crate) struct Node {
+pub(crate) struct FleetNode {
+    /// The node's id in the engine.
     pub backend: BackendId,
+    /// The node's name in the inventory.
     pub name: String,
+    /// The node's id in the fleet.
     pub id: NodeId,
+    /// The cell that it is in.
     pub cell: u32,
+    /// Whether it takes requests, rather than drains.
     pub serving: bool,
 }
 
+/// The parts of a [`Fleet`] that change.
 struct State {
     peers: Peers,
     verdicts: Verdicts,
     rulings: Rulings,
     nodes: HashMap<BackendId, NodeId>,
     names: HashMap<NodeId, (BackendId, String)>,
-    /// What the module was told, by its own number: a node may leave the list, or be another process at another
-    /// address, before its verdict is taken back.
-    believed: HashMap<BackendId, Kind>,
-    /// What a process before this one knew, and how long before that moment it was kept: until there is a list.
-    before: Option<(Snapshot, Duration, When)>,
-    snapshots: Snapshots,
+    /// The verdicts that the decision module was given as hints. Keyed by backend id, as a node may leave the list or
+    /// change its address before its hint is withdrawn.
+    hinted: HashMap<BackendId, Kind>,
+    /// The snapshot of a predecessor, its age when it was read, and when that was. Present until the first list.
+    unrestored: Option<(Snapshot, Duration, When)>,
+    snapshot_counts: SnapshotCounts,
 }
 
-/// Snapshots so far.
+/// Counts of snapshot writes.
 #[derive(Default)]
-struct Snapshots {
+struct SnapshotCounts {
     written: u64,
     failed: u64,
-    /// The last one failed, and that was said.
-    said: bool,
+    /// Whether the last write failed, which has been logged.
+    is_failing: bool,
 }
 
-/// One proxy of a fleet.
+/// A proxy's part in its fleet.
 pub(crate) struct Fleet {
     state: RefCell<State>,
-    told: Told,
+    config: FleetConfig,
     start: Instant,
-    me: Name,
+    own_id: Name,
     classes: Vec<String>,
 }
 
-/// How often what is known is kept, if it is.
-const KEPT_EVERY: Duration = Duration::from_secs(1);
+/// Interval between snapshots.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A verdict, as operators are told.
+/// A verdict as printed for operators.
 #[derive(Serialize)]
-struct Shown {
+struct NamedReport {
     node: String,
     #[serde(flatten)]
     report: Report,
 }
 
 impl Fleet {
-    /// A process of the fleet, with these classes of requests; it has heard of nobody. It has to be told of the
-    /// list before it says anything.
-    pub fn start(told: Told, zone: &str, classes: Vec<String>) -> Rc<Self> {
+    /// Starts with these request classes and no evidence, and reads the snapshot of a predecessor if there is one. No
+    /// evidence is sent before the first list is set.
+    pub fn start(config: FleetConfig, zone: &str, classes: Vec<String>) -> Rc<Self> {
         let start = Instant::now();
-        let now = lead(&told);
-        // Not zero, which stands for nobody.
-        let life = (crate::feed::seed() as u32).max(1);
-        let me = Process { name: Name::of(&told.name), life };
-        let others: Vec<Name> = told.peers.iter().map(|name| Name::of(name)).collect();
-        let partners = dewpier_peers::partners(me.name, &others).len();
-        let due = partners.max(1) as f64 / told.every.as_secs_f64();
+        let now = clock_offset(&config);
+        // Zero is reserved.
+        let incarnation = (crate::list_updater::random_seed() as u32).max(1);
+        let own_process = Process { name: Name::of(&config.name), life: incarnation };
+        let others: Vec<Name> = config.peers.iter().map(|name| Name::of(name)).collect();
+        let partners = dewpier_peers::partners(own_process.name, &others).len();
+        let send_rate = partners.max(1) as f64 / config.send_interval.as_secs_f64();
         let peers = Peers::new(
             dewpier_peers::Settings {
-                me,
+                me: own_process,
                 others,
-                every: told.every,
-                stale: told.verdicts.window(),
-                most_taken: (TAKEN * due).ceil() as u32,
-                key: told.key.clone(),
+                every: config.send_interval,
+                stale: config.verdict_settings.window(),
+                most_taken: (RECEIVE_RATE_FACTOR * send_rate).ceil() as u32,
+                key: config.key.clone(),
             },
             now,
         );
-        let verdicts = Verdicts::new(told.verdicts.clone(), me, zone, classes.len(), partners, now);
-        let rulings = Rulings::new(Origin::of(me));
-        let (nodes, names, believed) = (HashMap::new(), HashMap::new(), HashMap::new());
-        let before = told.snapshot.as_deref().and_then(|path| match read(path, &told, me.name) {
-            Ok(before) => before,
-            Err(error) => {
-                tracing::warn!(file = %path.display(), error, "no snapshot is taken up");
-                None
+        let verdicts =
+            Verdicts::new(config.verdict_settings.clone(), own_process, zone, classes.len(), partners, now);
+        let rulings = Rulings::new(Origin::of(own_process));
+        let (nodes, names, hinted) = (HashMap::new(), HashMap::new(), HashMap::new());
+        let unrestored = config.snapshot_file.as_deref().and_then(|path| {
+            match read_snapshot(path, &config, own_process.name) {
+                Ok(unrestored) => unrestored,
+                Err(error) => {
+                    tracing::warn!(file = %path.display(), error, "restoring the snapshot failed");
+                    None
+                }
             }
         });
-        let snapshots = Snapshots::default();
-        let state = State { peers, verdicts, rulings, nodes, names, believed, before, snapshots };
-        Rc::new(Self { state: RefCell::new(state), told, start, me: me.name, classes })
+        let snapshot_counts = SnapshotCounts::default();
+        let state = State { peers, verdicts, rulings, nodes, names, hinted, unrestored, snapshot_counts };
+        Rc::new(Self { state: RefCell::new(state), config, start, own_id: own_process.name, classes })
     }
 
+    /// The time on this process's clock; see [`clock_offset`].
     fn now(&self) -> Duration {
-        lead(&self.told) + self.start.elapsed()
+        clock_offset(&self.config) + self.start.elapsed()
     }
 
-    /// Goes on from what a process before this one knew, once nodes are known.
-    fn take_up(&self, state: &mut State) {
-        let Some((snapshot, before, read)) = state.before.take() else { return };
-        // In this order: what is kept may come out older than it is, never younger.
+    /// Restores the snapshot of a predecessor, if there is one.
+    fn restore_snapshot(&self, state: &mut State) {
+        let Some((snapshot, age_when_read, read_at)) = state.unrestored.take() else { return };
+        // Read first, so that the snapshot's contents may come out older than they are, but never younger.
         let now = self.now();
-        let age = match kept::now() {
-            Ok(when) => before + when.at.saturating_sub(read.at),
-            Err(error) => return tracing::warn!(%error, "no snapshot is taken up"),
+        let age = match snapshot_file::now() {
+            Ok(boot_time) => age_when_read + boot_time.at.saturating_sub(read_at.at),
+            Err(error) => return tracing::warn!(%error, "restoring the snapshot failed"),
         };
         let State { verdicts, rulings, .. } = state;
-        let others: HashSet<Name> = self.told.peers.iter().map(|name| Name::of(name)).collect();
+        let others: HashSet<Name> = self.config.peers.iter().map(|name| Name::of(name)).collect();
         let mut known = Known { verdicts, rulings, classes: &self.classes };
-        let taken = snapshot.take_up(&mut known, |name| others.contains(&name), age, now);
+        let restored = snapshot.take_up(&mut known, |name| others.contains(&name), age, now);
         tracing::info!(
             age_ms = age.as_millis() as u64,
-            attempts = taken.seen,
-            words = taken.words,
-            verdicts = taken.verdicts,
-            rulings = taken.rulings,
-            "goes on from what the process before knew"
+            attempts = restored.seen,
+            reports = restored.words,
+            verdicts = restored.verdicts,
+            overrides = restored.rulings,
+            "restored the snapshot of the previous process"
         );
     }
 
-    /// What is known now, as bytes for the process that comes after this one.
-    fn snapshot(&self) -> Result<Vec<u8>, String> {
-        let when = kept::now().map_err(|error| error.to_string())?;
+    /// The current evidence and verdicts as a snapshot for a successor.
+    fn build_snapshot(&self) -> Result<Vec<u8>, String> {
+        let boot_time = snapshot_file::now().map_err(|error| error.to_string())?;
         let now = self.now();
         let State { verdicts, rulings, .. } = &mut *self.state.borrow_mut();
         let snapshot = Snapshot::of(&Known { verdicts, rulings, classes: &self.classes }, now);
-        snapshot.write(&self.told.key, self.me, when).map_err(|error| error.to_string())
+        snapshot.write(&self.config.key, self.own_id, boot_time).map_err(|error| error.to_string())
     }
 
-    /// Keeps what is known, again and again, one after the other: a disk that stalls holds up the next one alone.
-    async fn keep(&self) {
-        let Some(path) = self.told.snapshot.clone() else { return std::future::pending().await };
-        let mut rounds = tokio::time::interval(KEPT_EVERY);
+    /// Writes a snapshot at every interval until it is dropped, one at a time: a stalled disk delays only the next
+    /// one.
+    async fn write_snapshots(&self) {
+        let Some(path) = self.config.snapshot_file.clone() else { return std::future::pending().await };
+        let mut rounds = tokio::time::interval(SNAPSHOT_INTERVAL);
         rounds.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             rounds.tick().await;
-            // What a process before this one knew must not be lost to one that has no list yet.
-            if self.state.borrow().before.is_some() {
+            // Without a list the predecessor's snapshot is not restored yet and must not be overwritten.
+            if self.state.borrow().unrestored.is_some() {
                 continue;
             }
-            let kept = match self.snapshot() {
+            let result = match self.build_snapshot() {
                 Ok(bytes) => {
                     let path = path.clone();
-                    let written = tokio::task::spawn_blocking(move || kept::write(&path, &bytes)).await;
+                    let written =
+                        tokio::task::spawn_blocking(move || snapshot_file::write(&path, &bytes)).await;
                     written.map_err(io::Error::other).flatten().map_err(|error| error.to_string())
                 }
                 Err(error) => Err(error),
             };
-            let snapshots = &mut self.state.borrow_mut().snapshots;
-            match kept {
-                Ok(()) => (snapshots.written, snapshots.said) = (snapshots.written + 1, false),
+            let counts = &mut self.state.borrow_mut().snapshot_counts;
+            match result {
+                Ok(()) => (counts.written, counts.is_failing) = (counts.written + 1, false),
                 Err(error) => {
-                    snapshots.failed += 1;
-                    if !std::mem::replace(&mut snapshots.said, true) {
-                        tracing::warn!(file = %path.display(), error, "what is known here is not kept");
+                    counts.failed += 1;
+                    if !std::mem::replace(&mut counts.is_failing, true) {
+                        tracing::warn!(file = %path.display(), error, "writing the snapshot failed");
                     }
                 }
             }
         }
     }
 
-    /// The list is this from here on.
-    pub fn list(&self, list: Vec<Node>) {
+    /// Sets the listed nodes. The first list that is not empty restores the snapshot of a predecessor.
+    pub fn set_nodes(&self, list: Vec<FleetNode>) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let serving = list.iter().filter(|node| node.serving);
         let listed = serving.map(|node| Member { node: node.id, cell: node.cell }).collect();
         state.verdicts.list(listed, now);
         if !list.is_empty() {
-            self.take_up(&mut state);
+            self.restore_snapshot(&mut state);
         }
         state.nodes = list.iter().map(|node| (node.backend, node.id)).collect();
         state.names = list.into_iter().map(|node| (node.id, (node.backend, node.name))).collect();
     }
 
-    /// Goes by what an engine sees.
-    pub fn watch<U: Upstream>(self: &Rc<Self>, engine: &Engine<U>) {
+    /// Records the begin and end of every attempt of an engine as evidence.
+    pub fn observe_attempts<U: Upstream>(self: &Rc<Self>, engine: &Engine<U>) {
         let fleet = self.clone();
-        engine.observe(move |id, attempt, seen| {
+        engine.observe(move |id, attempt, event| {
             let now = fleet.now();
             let mut state = fleet.state.borrow_mut();
-            match seen {
+            match event {
                 Seen::Began(backend, class) => {
                     if let Some(node) = state.nodes.get(&backend).copied() {
                         state.verdicts.began((id.0, attempt), node, class, now);
@@ -228,81 +241,83 @@
         });
     }
 
-    /// Talks with the others and tells the engine what holds, until it is dropped.
+    /// Exchanges evidence with the other proxies, updates the engine's backend hints and writes snapshots, until it
+    /// is dropped. Fails if the transport fails.
     pub async fn run<U: Upstream>(
         self: Rc<Self>,
-        carries: Carries,
+        transport: FleetTransport,
         engine: Rc<Engine<U>>,
     ) -> Result<(), ServeError> {
-        let (carrier, others) = (&self.told.carrier, self.told.peers.len());
-        tracing::info!(?carrier, others, "the fleet is told what is seen here");
-        let talking = dewpier_peers::io::run(
-            carries,
-            self.told.every,
+        let (carrier, others) = (&self.config.carrier, self.config.peers.len());
+        tracing::info!(?carrier, others, "exchanging evidence with the fleet");
+        let exchanging = dewpier_peers::io::run(
+            transport,
+            self.config.send_interval,
             || self.now(),
             |step| {
                 let State { peers, verdicts, rulings, .. } = &mut *self.state.borrow_mut();
-                // What operators say is little, and goes first.
+                // Operator overrides are small and go first.
                 step(peers, &mut [rulings, verdicts]);
             },
         );
-        let judging = async {
-            let mut rounds = tokio::time::interval(self.told.every);
+        let updating_hints = async {
+            let mut rounds = tokio::time::interval(self.config.send_interval);
             rounds.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
             loop {
                 rounds.tick().await;
-                let changed = self.judge();
+                let changed = self.update_verdicts();
                 if !changed.is_empty() {
                     engine.believe(&changed);
                 }
             }
         };
         tokio::select! {
-            error = talking => Err(error.into()),
-            () = judging => Ok(()),
-            () = self.keep() => Ok(()),
+            error = exchanging => Err(error.into()),
+            () = updating_hints => Ok(()),
+            () = self.write_snapshots() => Ok(()),
         }
     }
 
-    /// What the module has to be told anew.
-    fn judge(&self) -> Vec<(BackendId, f64)> {
+    /// Updates the verdicts and returns the backend hints that have changed.
+    fn update_verdicts(&self) -> Vec<(BackendId, f64)> {
         let now = self.now();
         let state = &mut *self.state.borrow_mut();
         state.verdicts.answering(state.peers.answering(now));
         state.rulings.tick(now);
         state.verdicts.ruled(state.rulings.all(now), now);
         state.verdicts.tick(now);
-        let mut held = HashMap::new();
+        let mut current = HashMap::new();
         for (node, kind) in state.verdicts.avoided(now) {
             if let Some((backend, name)) = state.names.get(&node) {
-                if state.believed.get(backend) != Some(&kind) {
-                    tracing::info!(node = %name, verdict = ?kind, "avoided, as the fleet has seen");
+                if state.hinted.get(backend) != Some(&kind) {
+                    tracing::info!(node = %name, verdict = ?kind, "avoiding a node on the fleet's verdict");
                 }
-                held.insert(*backend, kind);
+                current.insert(*backend, kind);
             }
         }
-        let changed = changes(&state.believed, &held);
-        state.believed = held;
+        let changed = changed_hints(&state.hinted, &current);
+        state.hinted = current;
         changed
     }
 
-    /// Answers an operator's call, where it is one about the fleet, or adds to what was answered.
-    pub fn operate(&self, call: Call, answered: impl FnOnce(Call) -> String) -> String {
+    /// Answers the operator calls about the fleet and adds the fleet's metrics to `vars`. Other calls are left to
+    /// `answer_other`.
+    pub fn operate(&self, call: Call, answer_other: impl FnOnce(Call) -> String) -> String {
         match call {
-            Call::Verdicts => self.verdicts(),
-            Call::VerdictsJson => self.verdicts_json(),
-            Call::Override { node, action } => self.rule(&node, action),
-            Call::Vars => self.figures(answered(Call::Vars)),
-            call => answered(call),
+            Call::Verdicts => self.format_verdicts(),
+            Call::VerdictsJson => self.format_verdicts_json(),
+            Call::Override { node, action } => self.override_verdict(&node, action),
+            Call::Vars => self.add_metrics(answer_other(Call::Vars)),
+            call => answer_other(call),
         }
     }
 
-    /// An operator says what is to hold of a node, in the whole fleet.
-    fn rule(&self, node: &str, action: calls::NodeOverride) -> String {
+    /// Overrides the verdict on a node in the whole fleet and returns the answer for the operator.
+    fn override_verdict(&self, node: &str, action: calls::NodeOverride) -> String {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        let named = state.names.iter().filter(|(_, (_, name))| name == node).map(|(id, _)| *id);
-        let ids: Vec<NodeId> = named.collect();
+        let matching = state.names.iter().filter(|(_, (_, name))| name == node).map(|(id, _)| *id);
+        let ids: Vec<NodeId> = matching.collect();
         let [id] = ids[..] else {
             return format!(
                 "NO '{}': expected the name of one listed node, got that of {}\n",
@@ -310,43 +325,45 @@
                 ids.len()
             );
         };
-        let (says, seconds) = match action {
+        let (kind, seconds) = match action {
             calls::NodeOverride::Avoid(seconds) => (Some(Says::Avoid), seconds),
             calls::NodeOverride::Trust(seconds) => (Some(Says::Trust), seconds),
             calls::NodeOverride::AsSeen => (None, 0),
         };
-        match state.rulings.rule(id, says, Duration::from_secs(seconds), now) {
+        match state.rulings.rule(id, kind, Duration::from_secs(seconds), now) {
             Ok(()) => {
-                tracing::info!(node, ?says, seconds, "an operator rules on a node");
+                tracing::info!(node, ?kind, seconds, "an operator overrides the verdict on a node");
                 "YES all proxies that hear this one go by it\n".into()
             }
             Err(error) => format!("NO {error}\n"),
         }
     }
 
-    fn shown(&self) -> Vec<Shown> {
+    /// The reports on nodes with their names.
+    fn named_reports(&self) -> Vec<NamedReport> {
         let state = self.state.borrow();
         let name = |node| state.names.get(&node).map_or(String::new(), |(_, name)| name.clone());
         let reports = state.verdicts.reports(self.now()).into_iter();
-        reports.map(|report| Shown { node: name(report.node), report }).collect()
+        reports.map(|report| NamedReport { node: name(report.node), report }).collect()
     }
 
-    fn verdicts(&self) -> String {
+    /// Formats the verdicts as text, followed by the line `END`.
+    fn format_verdicts(&self) -> String {
         let mut text = String::new();
-        for Shown { node, report: r } in self.shown() {
+        for NamedReport { node, report: r } in self.named_reports() {
             let state = match (r.out, r.tries) {
                 (true, true) => "out, tried from here",
                 (true, false) => "out",
                 (false, _) if r.ruling.is_some() => "not out: an operator says so",
                 (false, _) => "not out: as many are as may be",
             };
-            if let Some((says, left)) = r.ruling {
-                let (says, out) = match (says, r.out) {
+            if let Some((kind, left)) = r.ruling {
+                let (kind, out) = match (kind, r.out) {
                     (Says::Avoid, true) => ("avoid", "out"),
                     (Says::Avoid, false) => ("avoid", "not out: it is the last one of its cell"),
                     (Says::Trust, _) => ("trust", "not out"),
                 };
-                let _ = writeln!(text, "{node}: {says}, as an operator says for {left} ms more; {out}");
+                let _ = writeln!(text, "{node}: {kind}, as an operator says for {left} ms more; {out}");
             }
             if r.kind == Kind::Ruled {
                 continue;
@@ -371,12 +388,14 @@
         text + "END\n"
     }
 
-    fn verdicts_json(&self) -> String {
-        serde_json::to_string(&self.shown()).map_or_else(|error| format!("NO {error}\n"), |text| text + "\n")
+    /// Formats the verdicts as one line of JSON.
+    fn format_verdicts_json(&self) -> String {
+        serde_json::to_string(&self.named_reports())
+            .map_or_else(|error| format!("NO {error}\n"), |text| text + "\n")
     }
 
-    /// Adds the fleet's to the figures, before their end.
-    fn figures(&self, vars: String) -> String {
+    /// Inserts the fleet's metrics before the line `END`.
+    fn add_metrics(&self, vars: String) -> String {
         let Some(vars) = vars.strip_suffix("END\n") else { return vars };
         let state = self.state.borrow();
         let (counts, reports) = (&state.peers.counts, state.verdicts.reports(self.now()));
@@ -389,11 +408,11 @@
         line("datagrams_sent", counts.sent);
         line("bytes_sent", counts.sent_bytes);
         line("datagrams_taken", counts.taken);
-        for (why, count) in counts.by_reason() {
-            line(&format!("datagrams_refused.{}", format!("{why:?}").to_lowercase()), count);
+        for (reason, count) in counts.by_reason() {
+            line(&format!("datagrams_refused.{}", format!("{reason:?}").to_lowercase()), count);
         }
-        line("snapshots_written", state.snapshots.written);
-        line("snapshots_failed", state.snapshots.failed);
+        line("snapshots_written", state.snapshot_counts.written);
+        line("snapshots_failed", state.snapshot_counts.failed);
         line("verdicts", reports.iter().filter(|r| r.kind != Kind::Ruled).count() as u64);
         line("rulings", reports.iter().filter(|r| r.ruling.is_some()).count() as u64);
         line("nodes_out", reports.iter().filter(|r| r.out).count() as u64);
@@ -401,28 +420,38 @@
     }
 }
 
-/// What the clock of a process begins with: it knows of things that were before it, and says of the oldest how old it is.
-fn lead(told: &Told) -> Duration {
-    told.verdicts.stale * 2
+/// The time at which a process's clock starts: restored evidence is older than the process, and its time must not be
+/// negative.
+fn clock_offset(config: &FleetConfig) -> Duration {
+    config.verdict_settings.stale * 2
 }
 
-/// What a process before this one knew, how long ago, and when that was read. None where nothing was kept.
-fn read(path: &Path, told: &Told, me: Name) -> Result<Option<(Snapshot, Duration, When)>, String> {
-    let Some(bytes) = kept::read(path).map_err(|error| error.to_string())? else { return Ok(None) };
-    let now = kept::now().map_err(|error| error.to_string())?;
+/// Reads the snapshot file: the snapshot, its age, and when it was read; none if the file does not exist.
+fn read_snapshot(
+    path: &Path,
+    config: &FleetConfig,
+    own_id: Name,
+) -> Result<Option<(Snapshot, Duration, When)>, String> {
+    let Some(bytes) = snapshot_file::read(path).map_err(|error| error.to_string())? else { return Ok(None) };
+    let now = snapshot_file::now().map_err(|error| error.to_string())?;
     let (snapshot, age) =
-        Snapshot::read(&bytes, &told.key, me, now).map_err(|error: SnapshotError| error.to_string())?;
+        Snapshot::read(&bytes, &config.key, own_id, now).map_err(|error: SnapshotError| error.to_string())?;
     Ok(Some((snapshot, age, now)))
 }
 
-/// What a module has to be told that was told this and is to hold that.
-fn changes(told: &HashMap<BackendId, Kind>, held: &HashMap<BackendId, Kind>) -> Vec<(BackendId, f64)> {
-    // A module goes by its own answers again as they come: what an operator says is said again each time.
+/// The backend hints that differ between the verdicts last given and the current ones; a withdrawn hint is 0.
+fn changed_hints(
+    hinted: &HashMap<BackendId, Kind>,
+    current: &HashMap<BackendId, Kind>,
+) -> Vec<(BackendId, f64)> {
+    // The decision module overwrites a hint with its own measurements, so operator overrides are repeated every time.
+    let new =
+        current.iter().filter(|(backend, kind)| **kind == Kind::Ruled || hinted.get(*backend) != Some(*kind));
     let new =
-        held.iter().filter(|(backend, kind)| **kind == Kind::Ruled || told.get(*backend) != Some(*kind));
-    let new = new.map(|(backend, kind)| (*backend, if *kind == Kind::Slow { SLOW } else { BAD }));
-    let over = told.keys().filter(|backend| !held.contains_key(*backend)).map(|backend| (*backend, 0.0));
-    new.chain(over).collect()
+        new.map(|(backend, kind)| (*backend, if *kind == Kind::Slow { SLOW_SLOWDOWN } else { BAD_SLOWDOWN }));
+    let withdrawn =
+        hinted.keys().filter(|backend| !current.contains_key(*backend)).map(|backend| (*backend, 0.0));
+    new.chain(withdrawn).collect()
 }
 
 #[cfg(test)]
@@ -430,16 +459,16 @@
     use super::*;
 
     #[test]
-    fn what_is_held_no_longer_is_taken_back_wherever_the_node_is() {
+    fn ended_verdicts_withdraw_their_hints_and_overrides_are_repeated() {
         let [one, two, three] = [1, 2, 3].map(BackendId);
-        let told = HashMap::from([(one, Kind::Silent), (two, Kind::Slow)]);
-        let held = HashMap::from([(two, Kind::Failing), (three, Kind::Slow)]);
-        let mut changed = changes(&told, &held);
+        let hinted = HashMap::from([(one, Kind::Silent), (two, Kind::Slow)]);
+        let current = HashMap::from([(two, Kind::Failing), (three, Kind::Slow)]);
+        let mut changed = changed_hints(&hinted, &current);
         changed.sort_by_key(|(backend, _)| *backend);
-        assert_eq!(changed, [(one, 0.0), (two, BAD), (three, SLOW)]);
-        assert!(changes(&held, &held).is_empty());
-        let ruled = HashMap::from([(one, Kind::Ruled)]);
-        assert_eq!(changes(&ruled, &ruled), [(one, BAD)]);
-        assert_eq!(changes(&ruled, &HashMap::new()), [(one, 0.0)]);
+        assert_eq!(changed, [(one, 0.0), (two, BAD_SLOWDOWN), (three, SLOW_SLOWDOWN)]);
+        assert!(changed_hints(&current, &current).is_empty());
+        let overridden = HashMap::from([(one, Kind::Ruled)]);
+        assert_eq!(changed_hints(&overridden, &overridden), [(one, BAD_SLOWDOWN)]);
+        assert_eq!(changed_hints(&overridden, &HashMap::new()), [(one, 0.0)]);
     }
 }
--- /dev/null
+++ b/crates/dewpier/src/fleet_transport.rs
@@ -0,0 +1,146 @@
+//! Transports of datagrams between the proxies of a fleet: a UDP socket, or relaying by the planners of a forwarder.
+
+use crate::config::Carrier;
+use crate::error::ServeError;
+use dewpier_peers::io::{Udp, Way};
+use dewpier_peers::{Name, Out};
+use dewpier_plan::Letter;
+use dewpier_plan::io::Mail;
+use std::io;
+use std::net::SocketAddr;
+use tokio::net::UdpSocket;
+use tokio::sync::mpsc;
+
+/// Capacity of the channel of outgoing rounds. Rounds beyond it are dropped, as the next round repeats their
+/// contents.
+const MAX_QUEUED_ROUNDS: usize = 4;
+/// Capacity of the channel of received datagrams: several from each partner in a fleet of 10,000.
+const MAX_QUEUED_DATAGRAMS: usize = 256;
+
+/// The transport of a proxy's datagrams.
+pub(crate) enum FleetTransport {
+    /// A UDP socket.
+    Udp(Udp),
+    /// Relaying by planners.
+    Planners(PlannerRelay),
+}
+
+/// Datagrams relayed by planners.
+pub(crate) struct PlannerRelay {
+    outgoing: mpsc::Sender<Vec<Letter>>,
+    incoming: mpsc::Receiver<Vec<u8>>,
+    /// A received datagram that waits to be taken.
+    next: Option<Vec<u8>>,
+}
+
+/// Both ends of the relay of a proxy: the transport for the fleet, and the end for the task that follows planners.
+pub(crate) fn planner_relay(proxy: Name) -> (PlannerRelay, Mail) {
+    let (outgoing, relayed) = mpsc::channel(MAX_QUEUED_ROUNDS);
+    let (received, incoming) = mpsc::channel(MAX_QUEUED_DATAGRAMS);
+    (PlannerRelay { outgoing, incoming, next: None }, Mail { from: proxy.0, out: relayed, into: received })
+}
+
+impl FleetTransport {
+    /// Starts the configured transport. Fails if the UDP socket cannot be bound.
+    pub async fn start(carrier: &Carrier, relay: Option<PlannerRelay>) -> Result<Self, ServeError> {
+        match (carrier, relay) {
+            (Carrier::Datagrams { listen, peer_addresses }, _) => {
+                let add_setting = |error: io::Error| {
+                    io::Error::new(error.kind(), format!("fleet.listen {listen}: {error}"))
+                };
+                let socket = UdpSocket::bind(listen).await.map_err(add_setting)?;
+                let addresses =
+                    peer_addresses.iter().map(|(name, address)| (Name::of(name), *address)).collect();
+                Ok(Self::Udp(Udp { socket, at: addresses }))
+            }
+            (Carrier::Planners, Some(relay)) => Ok(Self::Planners(relay)),
+            // Unreachable: the check of the configuration rejects it.
+            (Carrier::Planners, None) => Err(io::Error::new(
+                io::ErrorKind::InvalidInput,
+                "fleet.carrier: expected a forwarder with [planners], found none",
+            )
+            .into()),
+        }
+    }
+}
+
+impl Way for FleetTransport {
+    async fn ready(&mut self) -> io::Result<()> {
+        match self {
+            Self::Udp(udp) => udp.ready().await,
+            Self::Planners(relay) => relay.ready().await,
+        }
+    }
+
+    fn take(&mut self, buffer: &mut [u8]) -> Option<(usize, Option<SocketAddr>)> {
+        match self {
+            Self::Udp(udp) => udp.take(buffer),
+            Self::Planners(relay) => relay.take(buffer),
+        }
+    }
+
+    fn send(&mut self, outs: Vec<Out>) {
+        match self {
+            Self::Udp(udp) => udp.send(outs),
+            Self::Planners(relay) => relay.send(outs),
+        }
+    }
+}
+
+impl Way for PlannerRelay {
+    async fn ready(&mut self) -> io::Result<()> {
+        if self.next.is_none() {
+            self.next = self.incoming.recv().await;
+        }
+        match self.next {
+            Some(_) => Ok(()),
+            // The task that follows planners has ended, so the process ends.
+            None => Err(io::ErrorKind::BrokenPipe.into()),
+        }
+    }
+
+    fn take(&mut self, buffer: &mut [u8]) -> Option<(usize, Option<SocketAddr>)> {
+        let datagram = self.next.take().or_else(|| self.incoming.try_recv().ok())?;
+        // A datagram longer than the buffer is truncated, and its receiver rejects it.
+        let length = datagram.len().min(buffer.len());
+        buffer[..length].copy_from_slice(&datagram[..length]);
+        Some((length, None))
+    }
+
+    fn send(&mut self, outs: Vec<Out>) {
+        let letters = outs.into_iter().map(|out| Letter { to: out.to.0, bytes: out.bytes }).collect();
+        let _ = self.outgoing.try_send(letters); // the next round repeats the contents
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+
+    #[test]
+    fn rounds_beyond_the_queue_are_dropped_and_long_datagrams_are_truncated() {
+        let (mut transport, mut relay) = planner_relay(Name(7));
+        assert_eq!(relay.from, 7);
+        for round in 0..10 {
+            transport.send(vec![Out { to: Name(9), bytes: vec![round] }]);
+        }
+        let first = relay.out.try_recv().unwrap();
+        assert_eq!(first, [Letter { to: 9, bytes: vec![0] }]);
+        assert_eq!(
+            std::iter::from_fn(|| relay.out.try_recv().ok()).count(),
+            MAX_QUEUED_ROUNDS - 1,
+            "the other rounds are dropped"
+        );
+        let mut buffer = [0; 4];
+        assert_eq!(transport.take(&mut buffer), None);
+        relay.into.try_send(vec![5; 9]).unwrap();
+        relay.into.try_send(vec![6; 2]).unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
+        runtime.block_on(transport.ready()).unwrap();
+        runtime.block_on(transport.ready()).unwrap();
+        assert_eq!((transport.take(&mut buffer), buffer), (Some((4, None)), [5; 4]));
+        assert_eq!(transport.take(&mut buffer), Some((2, None)));
+        drop(relay);
+        assert!(runtime.block_on(transport.ready()).is_err());
+    }
+}
--- a/crates/dewpier/src/lib.rs
+++ b/crates/dewpier/src/lib.rs
@@ -1,23 +1,22 @@
-//! What the program `dewpier` starts: the platform's proxy, and where no platform tells a proxy what to do,
-//! proxies, forwarders and planners from configuration files of their own.
+//! The processes that the program `dewpier` runs: the proxy that a platform configures, and proxies, forwarders and
+//! planners with configuration files of their own.
 //!
-//! It is the only crate that knows all others. What is wired to what is in [`platform`], [`run`] and
-//! [`planner`].
+//! This is the only crate that depends on all others. [`platform`], [`run`] and [`planner`] connect their parts.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod beside;
-mod carried;
 pub mod config;
 pub mod error;
-mod feed;
 mod fleet;
-mod kept;
+mod fleet_transport;
+mod list_updater;
 pub mod lists;
 pub mod members;
 mod mysql;
 pub mod planner;
 pub mod platform;
 pub mod run;
+mod snapshot_file;
 pub mod status;
+mod takeover;
 mod tls;
--- a/crates/dewpier/src/lists/mod.rs
+++ b/crates/dewpier/src/lists/mod.rs
@@ -1,16 +1,16 @@
-//! Lists of backends as they come, from the file of an inventory or from planners.
+//! Sources of backend lists: an inventory file, or planners.
 
-pub mod lent;
+mod from_planners;
+pub mod gated_lease;
 pub mod nodes;
-mod planned;
 pub mod resolve;
 pub mod watched;
 
-use self::lent::Lent;
+use self::from_planners::Channels;
+use self::gated_lease::GatedLease;
 use self::nodes::backend_from_node;
-use self::planned::Ends;
-use self::resolve::Resolved;
-use self::watched::{Watched, in_time};
+use self::resolve::ResolvedBackends;
+use self::watched::{WatchedInventory, await_first_list};
 use crate::config::{Inventory, Planners};
 use crate::error::ServeError;
 use crate::{status, tls};
@@ -24,116 +24,130 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-/// How often it is seen whether the first list may be gone by.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval between checks whether the first list has a valid lease.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What each cold node would usually be sent, in requests a second, as planners say last.
-pub type Budgets = watch::Receiver<HashMap<String, f64>>;
+/// The planners' latest budgets of cold nodes: usual requests per second by node name.
+pub type BudgetReceiver = watch::Receiver<HashMap<String, f64>>;
 
-/// Lists, one after another.
-pub struct Lists(Feed);
+/// A source of backend lists.
+pub struct ListSource(SourceKind);
 
-enum Feed {
-    Inventory(Watched),
-    Planners(Told),
+enum SourceKind {
+    Inventory(WatchedInventory),
+    Planners(PlannerLists),
 }
 
-/// What planners tell. Only the latest is kept: what is older is of no use.
-struct Told {
-    latest: watch::Receiver<Vec<Node>>,
-    budgets: Budgets,
+/// The lists of planners, of which only the latest is kept. Dropping it ends the task that follows the planners.
+struct PlannerLists {
+    nodes: watch::Receiver<Vec<Node>>,
+    budgets: BudgetReceiver,
     digests: watch::Sender<Digest>,
     following: AbortHandle,
-    lent: Rc<Lent>,
+    gated_lease: Rc<GatedLease>,
     security: Security,
-    from: String,
+    source_name: String,
 }
 
-impl Drop for Told {
+impl Drop for PlannerLists {
     fn drop(&mut self) {
         self.following.abort();
     }
 }
 
-impl Lists {
-    /// The lists of a file.
-    pub fn of_inventory(inventory: Inventory) -> io::Result<Self> {
-        Ok(Self(Feed::Inventory(Watched::start(inventory)?)))
+impl ListSource {
+    /// The lists of an inventory file. Fails if its watch cannot start.
+    pub fn from_inventory(inventory: Inventory) -> io::Result<Self> {
+        Ok(Self(SourceKind::Inventory(WatchedInventory::start(inventory)?)))
     }
 
-    /// The lists that planners tell, who carry letters to and fro as well where there are to be any. Runs on a
-    /// [`tokio::task::LocalSet`].
-    pub fn of_planners(planners: Planners, mail: Option<Mail>) -> Result<Self, ServeError> {
-        let from = format!("{} planners", planners.addresses.len());
-        let (told, latest) = watch::channel(Vec::new());
+    /// The lists of planners, which also relay the messages of `relay`, if any. Fails if the TLS files or the status
+    /// socket cannot be used. Runs on a [`tokio::task::LocalSet`].
+    pub fn from_planners(planners: Planners, relay: Option<Mail>) -> Result<Self, ServeError> {
+        let source_name = format!("{} planners", planners.addresses.len());
+        let (node_sender, nodes) = watch::channel(Vec::new());
         let start = Instant::now();
-        let lent = Lent::new(start);
-        let (budget, budgets) = watch::channel(HashMap::new());
-        let (digests, digest) = watch::channel(Digest::default());
-        let status = planners.status.as_deref().map(status::listen).transpose()?;
-        let ends = Ends { told, budgets: budget, digests: digest, mail, status };
-        let security = tls::security(planners.tls.clone())?;
-        let following = planned::run(planners, security.clone(), ends, lent.clone(), start);
+        let gated_lease = GatedLease::new(start);
+        let (budget_sender, budgets) = watch::channel(HashMap::new());
+        let (digests, digest_receiver) = watch::channel(Digest::default());
+        let status_socket = planners.status_socket.as_deref().map(status::listen).transpose()?;
+        let channels = Channels {
+            nodes: node_sender,
+            budgets: budget_sender,
+            digests: digest_receiver,
+            relay,
+            status_socket,
+        };
+        let security = tls::load_security(planners.tls.clone())?;
+        let following = from_planners::run(planners, security.clone(), channels, gated_lease.clone(), start);
         let following = tokio::task::spawn_local(following).abort_handle();
-        Ok(Self(Feed::Planners(Told { latest, budgets, digests, following, lent, security, from })))
+        Ok(Self(SourceKind::Planners(PlannerLists {
+            nodes,
+            budgets,
+            digests,
+            following,
+            gated_lease,
+            security,
+            source_name,
+        })))
     }
 
-    /// Where they come from.
-    pub fn from(&self) -> &str {
+    /// The name of the source in log lines.
+    pub fn source_name(&self) -> &str {
         match &self.0 {
-            Feed::Inventory(watched) => watched.from(),
-            Feed::Planners(told) => &told.from,
+            SourceKind::Inventory(watched) => watched.file_name(),
+            SourceKind::Planners(lists) => &lists.source_name,
         }
     }
 
-    /// For how long its lists may be gone by.
+    /// The lease that limits how long the lists may be used.
     pub fn lease(&self) -> Rc<Lease> {
         match &self.0 {
-            Feed::Planners(told) => told.lent.lease.clone(),
-            Feed::Inventory(_) => Rc::default(),
+            SourceKind::Planners(lists) => lists.gated_lease.lease.clone(),
+            SourceKind::Inventory(_) => Rc::default(),
         }
     }
 
-    /// The list that [`Lists::next`] gave last is gone by from here on. What is lent for it begins to
-    /// count now, unless there is a newer one already.
-    pub fn taken(&self) {
-        if let Feed::Planners(told) = &self.0
-            && !told.latest.has_changed().unwrap_or(false)
+    /// Records that the list last returned by [`ListSource::next_list`] is in use. Its lease takes effect now, unless
+    /// a newer list is already pending.
+    pub fn mark_applied(&self) {
+        if let SourceKind::Planners(lists) = &self.0
+            && !lists.nodes.has_changed().unwrap_or(false)
         {
-            told.lent.taken();
+            lists.gated_lease.mark_applied();
         }
     }
 
-    /// Has the source asked at once, where that makes a difference.
+    /// Reads an inventory at once, or the TLS files for planners again.
     pub fn reload(&self) {
         match &self.0 {
-            Feed::Inventory(watched) => watched.reload(),
-            Feed::Planners(told) => tls::reload(&told.security),
+            SourceKind::Inventory(watched) => watched.reload(),
+            SourceKind::Planners(lists) => tls::reload_security(&lists.security),
         }
     }
 
-    /// The next list, or why there is none. Nothing is lost if it is dropped before.
-    pub async fn next(&mut self) -> Result<Resolved, String> {
+    /// The next list, or why a list was rejected. Cancel-safe.
+    pub async fn next_list(&mut self) -> Result<ResolvedBackends, String> {
         match &mut self.0 {
-            Feed::Inventory(watched) => watched.next().await,
-            Feed::Planners(Told { latest, .. }) => {
-                while latest.changed().await.is_err() {
+            SourceKind::Inventory(watched) => watched.next_list().await,
+            SourceKind::Planners(PlannerLists { nodes, .. }) => {
+                while nodes.changed().await.is_err() {
                     std::future::pending::<()>().await;
                 }
-                Ok(latest.borrow_and_update().iter().map(backend_from_node).collect())
+                Ok(nodes.borrow_and_update().iter().map(backend_from_node).collect())
             }
         }
     }
 
-    /// How long ago nodes started, in seconds, where planners say so.
-    pub fn ages(&self) -> HashMap<String, f64> {
-        let Feed::Planners(told) = &self.0 else { return HashMap::new() };
-        let nodes = told.latest.borrow();
-        nodes.iter().filter_map(|n| Some((n.id.clone(), n.age_ms? as f64 / 1000.0))).collect()
+    /// Time since nodes started, in seconds by node name, as far as planners know it.
+    pub fn node_ages(&self) -> HashMap<String, f64> {
+        let SourceKind::Planners(lists) = &self.0 else { return HashMap::new() };
+        let nodes = lists.nodes.borrow();
+        nodes.iter().filter_map(|node| Some((node.id.clone(), node.age_ms? as f64 / 1000.0))).collect()
     }
 
-    /// What cold nodes may be sent, where planners say so. Nothing is lost if it is dropped before.
-    pub async fn budgets(budgets: &mut Option<Budgets>) -> HashMap<String, f64> {
+    /// The next budgets of cold nodes; never returns without planners. Cancel-safe.
+    pub async fn next_budgets(budgets: &mut Option<BudgetReceiver>) -> HashMap<String, f64> {
         if let Some(budgets) = budgets
             && budgets.changed().await.is_ok()
         {
@@ -142,32 +156,32 @@
         std::future::pending().await
     }
 
-    /// Where those come, and where digests are to go, for one who has planners.
-    pub fn planners(&self) -> Option<(Budgets, watch::Sender<Digest>)> {
+    /// The channels of budgets and digests, if the source is planners.
+    pub fn planner_channels(&self) -> Option<(BudgetReceiver, watch::Sender<Digest>)> {
         match &self.0 {
-            Feed::Planners(told) => Some((told.budgets.clone(), told.digests.clone())),
-            Feed::Inventory(_) => None,
+            SourceKind::Planners(lists) => Some((lists.budgets.clone(), lists.digests.clone())),
+            SourceKind::Inventory(_) => None,
         }
     }
 
-    fn would_hold(&self) -> bool {
+    /// Whether the latest list has a valid lease once it is applied.
+    fn has_valid_lease(&self) -> bool {
         match &self.0 {
-            Feed::Planners(told) => told.lent.would_hold(),
-            Feed::Inventory(_) => true,
+            SourceKind::Planners(lists) => lists.gated_lease.is_valid_once_applied(),
+            SourceKind::Inventory(_) => true,
         }
     }
 
-    /// The first list, without which there is nothing to serve.
-    pub async fn first(&mut self) -> Result<Resolved, ServeError> {
-        let from = self.from().to_string();
+    /// Waits for the first list with a valid lease. Fails if the list is rejected or takes too long.
+    pub async fn first_list(&mut self) -> Result<ResolvedBackends, ServeError> {
+        let source_name = self.source_name().to_string();
         let first = async {
-            let list = self.next().await;
-            // One that may not be gone by yet is none to serve by.
-            while !self.would_hold() {
-                tokio::time::sleep(LOOK).await;
+            let list = self.next_list().await;
+            while !self.has_valid_lease() {
+                tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
             }
             list
         };
-        in_time(&from, first).await
+        await_first_list(&source_name, first).await
     }
 }
--- a/crates/dewpier/src/lists/nodes.rs
+++ b/crates/dewpier/src/lists/nodes.rs
@@ -1,9 +1,9 @@
-//! Nodes of plans as backends of inventories, and the other way round.
+//! Converts between the nodes of a plan and the backends of an inventory.
 
 use dewpier_inventory::{Address, Backend, Host, State};
 use dewpier_plan::Node;
 
-/// A node of a plan as a backend of an inventory, and where it listens.
+/// Converts a node of a plan to a backend of an inventory and its address.
 pub fn backend_from_node(node: &Node) -> (Backend, std::net::SocketAddr) {
     let backend = Backend {
         id: node.id.clone(),
@@ -17,14 +17,14 @@
     (backend, node.address)
 }
 
-/// A node as a planner tells of it.
+/// Converts a backend of an inventory to a node of a plan.
 pub fn node_from_backend(backend: &Backend, address: std::net::SocketAddr) -> Node {
     Node {
         id: backend.id.clone(),
         address,
         zone: backend.zone.to_string(),
         cell: backend.cell,
-        // As elsewhere, a weight of 0 says that nothing new is wanted.
+        // A weight of 0 drains the node.
         weight: if backend.weight > 0.0 { backend.weight } else { 1.0 },
         draining: backend.state == State::Draining || backend.weight <= 0.0,
         age_ms: None,
--- a/crates/dewpier/src/lists/resolve.rs
+++ b/crates/dewpier/src/lists/resolve.rs
@@ -1,5 +1,5 @@
-//! The addresses of the nodes of an inventory. Names are looked up only where the configuration
-//! asks for it, and when a list is taken: a name that moves is noticed with the next change.
+//! Resolves the host names of an inventory to addresses. Names are looked up only if the configuration allows host
+//! names, and only when a list is read: a changed DNS entry takes effect with the next change of the inventory.
 
 use dewpier_inventory::{Backend, Host, Place};
 use std::collections::HashMap;
@@ -8,122 +8,129 @@
 use thiserror::Error;
 use tokio::task::JoinSet;
 
-/// Host names that are looked up at once,
-const LOOK_UPS: usize = 32;
-/// how long one may take,
-const WITHIN: Duration = Duration::from_secs(5);
-/// and all of a list together.
-const ALL_WITHIN: Duration = Duration::from_secs(30);
+/// Maximum number of concurrent host name lookups.
+const MAX_CONCURRENT_LOOKUPS: usize = 32;
+/// Timeout of one lookup.
+const LOOKUP_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of all lookups of a list together.
+const LIST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a list that was read is not taken.
+/// Why a list is rejected.
 #[derive(Debug, Error)]
-pub enum Unresolved {
-    /// A host name where none may be.
+pub enum ResolveError {
+    /// A host name, although the configuration does not allow host names.
     #[error(
         "{at}: expected an IP address for '{id}', found the host name {name} \
          (names = \"look-up\" has names looked up whenever the list changes)"
     )]
-    Name {
-        /// The node's place.
+    HostNameNotAllowed {
+        /// The node's position in the file.
         at: Place,
-        /// Its id.
+        /// The node's id.
         id: String,
-        /// The name.
+        /// The host name.
         name: String,
     },
-    /// A name that gives no address.
+    /// A host name without an address.
     #[error("{at}: expected a host name that can be looked up, found {name}: {why}")]
     NotFound {
-        /// The node's place.
+        /// The node's position in the file.
         at: Place,
-        /// The name.
+        /// The host name.
         name: String,
-        /// What the system said.
+        /// The error of the lookup.
         why: String,
     },
-    /// Two nodes that turn out to be at one address.
+    /// Two nodes with the same address.
     #[error("{at}: expected one node an address, found '{id}' and '{other}' ({other_at}) both at {address}")]
-    Shared {
-        /// The node's place.
+    DuplicateAddress {
+        /// The node's position in the file.
         at: Place,
-        /// Its id.
+        /// The node's id.
         id: String,
-        /// The other's id,
+        /// The other node's id.
         other: String,
-        /// and place.
+        /// The other node's position in the file.
         other_at: Place,
-        /// Where both are.
+        /// The address of both.
         address: SocketAddr,
     },
 }
 
-/// Nodes and where they are.
-pub type Resolved = Vec<(Backend, SocketAddr)>;
+/// Backends with their resolved addresses.
+pub type ResolvedBackends = Vec<(Backend, SocketAddr)>;
 
-/// The addresses of all nodes. One that has none refuses the whole list.
-pub async fn resolve(list: &[Backend], names: bool) -> Result<Resolved, Unresolved> {
-    let found = look_up_all(list, names).await?;
+/// Resolves the addresses of all backends. One backend without an address rejects the whole list. `allow_names` says
+/// whether host names are looked up or rejected.
+pub async fn resolve_backends(list: &[Backend], allow_names: bool) -> Result<ResolvedBackends, ResolveError> {
+    let found = look_up_names(list, allow_names).await?;
     let mut resolved = Vec::with_capacity(list.len());
-    let mut taken: HashMap<SocketAddr, &Backend> = HashMap::with_capacity(list.len());
+    let mut backend_by_address: HashMap<SocketAddr, &Backend> = HashMap::with_capacity(list.len());
     for backend in list {
         let ip = match &backend.address.host {
             Host::Ip(ip) => *ip,
             Host::Name(name) => match found.get(name) {
                 Some(Ok(ip)) => *ip,
                 failed => {
-                    let why = failed.and_then(|f| f.clone().err()).unwrap_or("no answer in time".into());
-                    return Err(Unresolved::NotFound { at: backend.at, name: name.clone(), why });
+                    let why =
+                        failed.and_then(|result| result.clone().err()).unwrap_or("no answer in time".into());
+                    return Err(ResolveError::NotFound { at: backend.at, name: name.clone(), why });
                 }
             },
         };
         let address = SocketAddr::new(ip, backend.address.port);
-        if let Some(other) = taken.insert(address, backend) {
+        if let Some(other) = backend_by_address.insert(address, backend) {
             let (at, id, other, other_at) = (backend.at, backend.id.clone(), other.id.clone(), other.at);
-            return Err(Unresolved::Shared { at, id, other, other_at, address });
+            return Err(ResolveError::DuplicateAddress { at, id, other, other_at, address });
         }
         resolved.push((backend.clone(), address));
     }
     Ok(resolved)
 }
 
-type Found = HashMap<String, Result<IpAddr, String>>;
+/// The results of lookups by host name.
+type LookupResults = HashMap<String, Result<IpAddr, String>>;
 
-async fn look_up_all(list: &[Backend], names: bool) -> Result<Found, Unresolved> {
-    let mut wanted: Vec<&str> = Vec::new();
+/// Looks up the distinct host names of a list.
+async fn look_up_names(list: &[Backend], allow_names: bool) -> Result<LookupResults, ResolveError> {
+    let mut names: Vec<&str> = Vec::new();
     for backend in list {
         match &backend.address.host {
-            Host::Name(name) if names => wanted.push(name),
+            Host::Name(name) if allow_names => names.push(name),
             Host::Name(name) => {
                 let (at, id, name) = (backend.at, backend.id.clone(), name.clone());
-                return Err(Unresolved::Name { at, id, name });
+                return Err(ResolveError::HostNameNotAllowed { at, id, name });
             }
             Host::Ip(_) => {}
         }
     }
-    wanted.sort_unstable();
-    wanted.dedup();
-    let mut found = Found::with_capacity(wanted.len());
+    names.sort_unstable();
+    names.dedup();
+    let mut found = LookupResults::with_capacity(names.len());
     let all = async {
-        let mut running = JoinSet::new();
-        for name in wanted {
-            while running.len() >= LOOK_UPS {
-                found.extend(running.join_next().await.and_then(Result::ok));
+        let mut lookups = JoinSet::new();
+        for name in names {
+            while lookups.len() >= MAX_CONCURRENT_LOOKUPS {
+                found.extend(lookups.join_next().await.and_then(Result::ok));
             }
-            running.spawn(look_up(name.to_string()));
+            lookups.spawn(look_up(name.to_string()));
         }
-        while let Some(one) = running.join_next().await {
-            found.extend(one.ok());
+        while let Some(result) = lookups.join_next().await {
+            found.extend(result.ok());
         }
     };
-    // What is not found by then is told as such.
-    let _ = tokio::time::timeout(ALL_WITHIN, all).await;
+    // Names that are not resolved in time count as not found.
+    let _ = tokio::time::timeout(LIST_TIMEOUT, all).await;
     Ok(found)
 }
 
+/// Looks up a host name and returns its first address.
 async fn look_up(name: String) -> (String, Result<IpAddr, String>) {
-    let answer = tokio::time::timeout(WITHIN, tokio::net::lookup_host((name.clone(), 0))).await;
+    let answer = tokio::time::timeout(LOOKUP_TIMEOUT, tokio::net::lookup_host((name.clone(), 0))).await;
     let ip = match answer {
-        Ok(Ok(mut addresses)) => addresses.next().map(|a| a.ip()).ok_or("it has no address".into()),
+        Ok(Ok(mut addresses)) => {
+            addresses.next().map(|address| address.ip()).ok_or("it has no address".into())
+        }
         Ok(Err(error)) => Err(error.to_string()),
         Err(_) => Err("no answer in time".into()),
     };
--- a/crates/dewpier/src/lists/watched.rs
+++ b/crates/dewpier/src/lists/watched.rs
@@ -1,6 +1,6 @@
-//! The lists of an inventory's file, read and looked up on a thread of their own.
+//! Watches an inventory file: a thread of its own reads each new version and resolves its host names.
 
-use super::resolve::{Resolved, resolve};
+use super::resolve::{ResolvedBackends, resolve_backends};
 use crate::config::Inventory;
 use crate::error::ServeError;
 use dewpier_inventory::io::{Source, Update};
@@ -8,97 +8,99 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Lists that may wait to be taken in. The thread that reads them waits when there are more.
-const WAITING: usize = 2;
-/// The first list must have come by then.
-const FIRST_WITHIN: Duration = Duration::from_secs(30);
+/// Capacity of the channel from the reading thread, which blocks while it is full.
+const CHANNEL_CAPACITY: usize = 2;
+/// Time in which the first list must arrive.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What the thread that reads a file says, in this order.
-enum Word {
-    List(Result<Resolved, String>),
-    Looked(Instant),
+/// What the reading thread reports, in order.
+enum WatchEvent {
+    /// A new list, or why the file was rejected.
+    List(Result<ResolvedBackends, String>),
+    /// The start of a check that found no further change.
+    Checked(Instant),
 }
 
-/// A file's lists, one after another.
-pub struct Watched {
-    heard: mpsc::Receiver<Word>,
+/// An inventory file under watch.
+pub struct WatchedInventory {
+    events: mpsc::Receiver<WatchEvent>,
     source: Source,
-    looked: Option<Instant>,
-    from: String,
+    last_check: Option<Instant>,
+    file_name: String,
 }
 
-impl Watched {
-    /// Begins to read.
+impl WatchedInventory {
+    /// Starts to watch. Fails if the thread cannot be started.
     pub fn start(inventory: Inventory) -> io::Result<Self> {
-        let (updates, heard) = mpsc::channel(WAITING);
-        let Inventory { file, options, rules, poll, names } = inventory;
-        // Names are looked up on the thread that reads the file, which nothing else waits for.
+        let (sender, events) = mpsc::channel(CHANNEL_CAPACITY);
+        let Inventory { file, options, rules, poll_interval, resolve_names } = inventory;
+        // Lookups block only the reading thread.
         let resolver = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let source = Source::start(&file, options, rules, poll, move |update| {
-            let news = match update {
+        let source = Source::start(&file, options, rules, poll_interval, move |update| {
+            let event = match update {
                 Update::Accepted(list) => {
-                    let resolved = resolver.block_on(resolve(&list.backends, names));
-                    Word::List(Ok(resolved.map_err(|error| error.to_string())?))
+                    let resolved = resolver.block_on(resolve_backends(&list.backends, resolve_names));
+                    WatchEvent::List(Ok(resolved.map_err(|error| error.to_string())?))
                 }
-                Update::Rejected(why) => Word::List(Err(why)),
-                Update::Looked(began) => Word::Looked(began),
+                Update::Rejected(reason) => WatchEvent::List(Err(reason)),
+                Update::Looked(started) => WatchEvent::Checked(started),
                 Update::Notice(text) => {
                     eprintln!("dewpier: {text}");
                     return Ok(());
                 }
             };
-            let _ = updates.blocking_send(news); // the program is ending
+            let _ = sender.blocking_send(event); // fails only while the process exits
             Ok(())
         })?;
-        Ok(Self { heard, source, looked: None, from: file.display().to_string() })
+        Ok(Self { events, source, last_check: None, file_name: file.display().to_string() })
     }
 
-    /// The file's name.
-    pub fn from(&self) -> &str {
-        &self.from
+    /// The file's path as text.
+    pub fn file_name(&self) -> &str {
+        &self.file_name
     }
 
-    /// Has the file read at once.
+    /// Requests an immediate read of the file.
     pub fn reload(&self) {
         self.source.reload();
     }
 
-    /// Has the file looked at.
-    pub fn look(&self) {
+    /// Requests a check whether the file has changed.
+    pub fn request_check(&self) {
         self.source.look();
     }
 
-    /// When the last look began that found nothing but what [`Watched::next`] has given. As of when that
-    /// was last waited for.
-    pub fn looked(&self) -> Option<Instant> {
-        self.looked
+    /// When the last check began that found nothing newer than the list that [`WatchedInventory::next_list`]
+    /// returned; updated while that is awaited.
+    pub fn last_check(&self) -> Option<Instant> {
+        self.last_check
     }
 
-    /// The next list, or why there is none. Nothing is lost if it is dropped before.
-    pub async fn next(&mut self) -> Result<Resolved, String> {
+    /// The next list, or why the file was rejected. Cancel-safe.
+    pub async fn next_list(&mut self) -> Result<ResolvedBackends, String> {
         loop {
-            match self.heard.recv().await {
-                Some(Word::List(news)) => return news,
-                Some(Word::Looked(began)) => self.looked = Some(began),
-                None => std::future::pending().await, // its thread is gone: the last list holds
+            match self.events.recv().await {
+                Some(WatchEvent::List(result)) => return result,
+                Some(WatchEvent::Checked(started)) => self.last_check = Some(started),
+                None => std::future::pending().await, // the reading thread has ended: the last list stays in use
             }
         }
     }
 
-    /// The first list, without which there is nothing to do.
-    pub async fn first(&mut self) -> Result<Resolved, ServeError> {
-        let from = self.from.clone();
-        in_time(&from, self.next()).await
+    /// Waits for the first list. Fails if the file is rejected or no list arrives in time.
+    pub async fn first_list(&mut self) -> Result<ResolvedBackends, ServeError> {
+        let file_name = self.file_name.clone();
+        await_first_list(&file_name, self.next_list()).await
     }
 }
 
-/// A first list, if it comes in time.
-pub(super) async fn in_time(
-    from: &str,
-    first: impl Future<Output = Result<Resolved, String>>,
-) -> Result<Resolved, ServeError> {
-    match tokio::time::timeout(FIRST_WITHIN, first).await {
-        Ok(list) => list.map_err(ServeError::Inventory),
-        Err(_) => Err(ServeError::Inventory(format!("{from}: no list in time"))),
+/// Waits for a first list with a timeout. `source_name` names its source in the error.
+pub(super) async fn await_first_list(
+    source_name: &str,
+    first: impl Future<Output = Result<ResolvedBackends, String>>,
+) -> Result<ResolvedBackends, ServeError> {
+    match tokio::time::timeout(FIRST_LIST_TIMEOUT, first).await {
+        Ok(list) => list.map_err(ServeError::BadInput),
+        Err(_) => Err(ServeError::BadInput(format!("{source_name}: no list in time"))),
     }
 }
--- a/crates/dewpier/src/mysql.rs
+++ b/crates/dewpier/src/mysql.rs
@@ -1,9 +1,9 @@
-//! The MySQL front beside the HTTP one: an engine, a module and lists of its own.
+//! Runs the front for MySQL clients next to the HTTP server, with engines and backend lists of its own.
 
 use crate::config::{Inventory, MySqlConfig};
 use crate::error::ServeError;
-use crate::feed::{Feed, seed};
-use crate::lists::Lists;
+use crate::list_updater::{ListUpdater, random_seed};
+use crate::lists::ListSource;
 use dewpier_mysql::io::{Front, MySql, Role};
 use dewpier_mysql::login::Credentials;
 use gannetproxy::engine::{Bounds, Budget, Engine};
@@ -11,88 +11,97 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// A front that listens.
-pub(crate) struct Served {
-    primary: Fed,
-    replicas: Option<Fed>,
+/// A front for MySQL clients with its listening socket.
+pub(crate) struct MySqlService {
+    primary: ServerGroup,
+    replicas: Option<ServerGroup>,
     front: Rc<Front>,
     listener: TcpListener,
 }
 
-/// An engine, and the lists that it is fed.
-struct Fed {
-    feed: Feed,
+/// The servers of one role: their engine, and the updater of its list.
+struct ServerGroup {
+    list_updater: ListUpdater,
     engine: Rc<Engine<MySql>>,
 }
 
-impl Fed {
+impl ServerGroup {
+    /// Waits for the first list of servers and starts their engine.
     async fn start(
         config: &MySqlConfig,
         inventory: &Inventory,
-        own: &Rc<Credentials>,
+        credentials: &Rc<Credentials>,
         connections: &Rc<Budget>,
         answers: &Rc<Budget>,
         role: Role,
     ) -> Result<Self, ServeError> {
-        let lists = Lists::of_inventory(inventory.clone())?;
-        let mut feed = Feed::first(lists, vec![config.zone.clone()]).await?;
+        let source = ListSource::from_inventory(inventory.clone())?;
+        let mut list_updater = ListUpdater::start(source, vec![config.zone.clone()]).await?;
         let upstream = MySql {
             connections: connections.clone(),
             answers: answers.clone(),
-            held: config.held,
-            most_packet: config.most_packet,
+            held: config.hold_bytes,
+            most_packet: config.max_packet_bytes,
             connect_timeout: config.connect_timeout,
             idle_close: config.idle_close,
-            own: own.clone(),
+            own: credentials.clone(),
             role,
         };
         let bounds = Bounds { drain_grace: config.drain_grace, max_open: config.front.most_sessions };
-        let engine = Engine::leased(config.settings.clone(), bounds, seed(), upstream, feed.lease());
-        feed.begin(&engine);
-        Ok(Self { feed, engine })
+        let engine =
+            Engine::leased(config.settings.clone(), bounds, random_seed(), upstream, list_updater.lease());
+        list_updater.apply_first_list(&engine);
+        Ok(Self { list_updater, engine })
     }
 }
 
-impl Served {
-    /// Waits for its lists, and listens. Runs on a [`tokio::task::LocalSet`].
+impl MySqlService {
+    /// Waits for the lists of servers and binds the listening socket. Fails if a list or a file of secrets cannot be
+    /// used or the address cannot be bound. Runs on a [`tokio::task::LocalSet`].
     pub async fn start(config: MySqlConfig) -> Result<Self, ServeError> {
-        let secrets = config.secrets().map_err(|error| ServeError::Inventory(error.to_string()))?;
-        let own = Rc::new(secrets.own);
-        let (connections, answers) = (Budget::new(config.most_connections), Budget::new(config.most_held));
-        let fed = |inventory, role| Fed::start(&config, inventory, &own, &connections, &answers, role);
-        let primary = fed(&config.inventory, Role::Primary).await?;
+        let secrets = config.read_secrets().map_err(|error| ServeError::BadInput(error.to_string()))?;
+        let credentials = Rc::new(secrets.server_credentials);
+        let (connections, answers) =
+            (Budget::new(config.max_connections), Budget::new(config.max_held_bytes));
+        let start_group = |inventory, role| {
+            ServerGroup::start(&config, inventory, &credentials, &connections, &answers, role)
+        };
+        let primary = start_group(&config.inventory, Role::Primary).await?;
         let replicas = match &config.replicas {
-            Some(inventory) => Some(fed(inventory, Role::Replica).await?),
+            Some(inventory) => Some(start_group(inventory, Role::Replica).await?),
             None => None,
         };
         let listener = dewpier_http::server::bind(config.listen)?;
         eprintln!("dewpier: listening for MySQL on {}", listener.local_addr()?);
-        let reading = replicas.as_ref().map(|fed| fed.engine.clone());
-        let front = Front::new(primary.engine.clone(), reading, secrets.users, config.front);
+        let replica_engine = replicas.as_ref().map(|group| group.engine.clone());
+        let front = Front::new(primary.engine.clone(), replica_engine, secrets.users, config.front);
         Ok(Self { primary, replicas, front, listener })
     }
 
-    /// Serves until `stop`, and answers what was taken.
+    /// Serves until `stop`, then completes the requests already received. `reload` makes the inventories be read at
+    /// once.
     pub async fn run(self, reload: &Notify, stop: impl Future<Output = ()>) {
-        let also = Notify::new();
-        let reading = async {
+        let reload_replicas = Notify::new();
+        let updating_replicas = async {
             match self.replicas {
-                Some(Fed { feed, engine }) => feed.run(engine, &also).await,
+                Some(ServerGroup { list_updater, engine }) => {
+                    list_updater.run(engine, &reload_replicas).await
+                }
                 None => std::future::pending().await,
             }
         };
-        let (listed, Fed { feed, engine }) = (Notify::new(), self.primary);
+        let (reload_primary, ServerGroup { list_updater, engine }) = (Notify::new(), self.primary);
         let reloading = async {
             loop {
                 reload.notified().await;
-                listed.notify_one();
-                also.notify_one();
+                reload_primary.notify_one();
+                reload_replicas.notify_one();
             }
         };
         tokio::select! {
             () = self.front.run(self.listener, stop) => {}
-            () = feed.run(engine, &listed) => {}
-            () = reading => {}
+            () = list_updater.run(engine, &reload_primary) => {}
+            () = updating_replicas => {}
             () = reloading => {}
         }
     }
--- a/crates/dewpier/src/planner.rs
+++ b/crates/dewpier/src/planner.rs
@@ -1,74 +1,76 @@
-//! A planner: watches an inventory, agrees with other planners, and tells forwarders what they may use.
+//! Runs a planner: watches an inventory, agrees with the other planners on a plan, and sends it to forwarders.
 
 use crate::config::PlannerConfig;
 use crate::error::ServeError;
 use crate::lists::nodes::node_from_backend;
-use crate::lists::resolve::Resolved;
-use crate::lists::watched::Watched;
+use crate::lists::resolve::ResolvedBackends;
+use crate::lists::watched::WatchedInventory;
 use crate::tls;
 use dewpier_cluster::{Cluster, Settings};
 use dewpier_http::server;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// How often it is seen whether the inventory is to be looked at: so many times in a lease.
-const LOOKS: u32 = 16;
+/// How many times per lease the planner looks for results of inventory checks and for requests for one.
+const CHECKS_PER_LEASE: u32 = 16;
 
-/// Plans until SIGTERM. SIGHUP has the inventory read at once.
-pub async fn until_signals(config: PlannerConfig) -> Result<(), ServeError> {
+/// Runs a planner until SIGTERM. SIGHUP makes it read the inventory and the TLS files at once. Fails if the inventory
+/// or a TLS file cannot be used or an address cannot be bound.
+pub async fn run_until_sigterm(config: PlannerConfig) -> Result<(), ServeError> {
     let mut hangup = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
     let lease = config.lease;
-    let mut lists = Watched::start(config.inventory)?;
-    let first = lists.first().await?;
-    let security = tls::security(config.tls)?;
+    let mut inventory = WatchedInventory::start(config.inventory)?;
+    let first_list = inventory.first_list().await?;
+    let security = tls::load_security(config.tls)?;
     let listener = server::bind(config.listen)?;
     let address = listener.local_addr()?;
-    let others = config.planners.get(config.number as usize).copied();
-    let talk = others.map(server::bind).transpose()?;
-    let own = others.unwrap_or(address);
-    let planners = if config.planners.is_empty() { vec![own] } else { config.planners };
+    let cluster_address = config.planner_addresses.get(config.number as usize).copied();
+    let cluster_listener = cluster_address.map(server::bind).transpose()?;
+    let own_address = cluster_address.unwrap_or(address);
+    let planners =
+        if config.planner_addresses.is_empty() { vec![own_address] } else { config.planner_addresses };
     let cluster = Cluster::new(Settings {
         number: config.number,
         planners: (0..).zip(planners).collect(),
         lease,
         expel_after: config.expel_after,
-        most: config.most,
+        most: config.max_forwarders,
         security: security.clone(),
     });
-    let take = |list: &Resolved, from: &str| {
-        cluster.observe(list.iter().map(|(b, a)| node_from_backend(b, *a)).collect());
-        eprintln!("dewpier: {} backends from {from}", list.len());
+    let observe = |list: &ResolvedBackends, file_name: &str| {
+        cluster.observe(list.iter().map(|(backend, address)| node_from_backend(backend, *address)).collect());
+        eprintln!("dewpier: {} backends from {file_name}", list.len());
     };
-    take(&first, lists.from());
+    observe(&first_list, inventory.file_name());
     eprintln!("dewpier: planning on {address}");
     tokio::spawn(cluster.planner().clone().serve(listener, security.clone()));
-    tokio::spawn(cluster.clone().run(talk));
-    let mut look = tokio::time::interval(lease / LOOKS);
-    look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    tokio::spawn(cluster.clone().run(cluster_listener));
+    let mut check_ticks = tokio::time::interval(lease / CHECKS_PER_LEASE);
+    check_ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut fleet = cluster.fleet();
     loop {
         tokio::select! {
-            news = lists.next() => match news {
-                Ok(list) => take(&list, lists.from()),
-                Err(why) => eprintln!("dewpier: the last good list serves on: {why}"),
+            result = inventory.next_list() => match result {
+                Ok(list) => observe(&list, inventory.file_name()),
+                Err(reason) => eprintln!("dewpier: the last good list serves on: {reason}"),
             },
-            _ = look.tick() => {
-                // In this order: what a look found is told by the time that it counts.
-                lists.looked().into_iter().for_each(|began| cluster.looked(began));
+            _ = check_ticks.tick() => {
+                // Records a finished check before the cluster decides whether it needs another one.
+                inventory.last_check().into_iter().for_each(|started| cluster.looked(started));
                 if cluster.wants_look() {
-                    lists.look();
+                    inventory.request_check();
                 }
             }
             Ok(()) = fleet.changed() => {
                 let plan = fleet.borrow_and_update().plan();
                 let (term, generation) = (plan.version.term, plan.version.generation);
-                let draining = plan.nodes.iter().filter(|n| n.draining).count();
+                let draining = plan.nodes.iter().filter(|node| node.draining).count();
                 let nodes = plan.nodes.len();
                 eprintln!("dewpier: plan {term}.{generation}: {nodes} nodes, {draining} of them draining");
             }
             _ = hangup.recv() => {
-                lists.reload();
-                tls::reload(&security);
+                inventory.reload();
+                tls::reload_security(&security);
             }
             _ = terminate.recv() => return Ok(()),
         }
--- a/crates/dewpier/src/platform.rs
+++ b/crates/dewpier/src/platform.rs
@@ -1,6 +1,6 @@
-//! The platform's proxy: starts it, has it read its configuration again on SIGHUP, stops it on SIGTERM.
+//! Runs the platform's proxy: starts it, reloads its configuration on SIGHUP and stops it on SIGTERM.
 
-use crate::beside;
+use crate::takeover;
 use dewpier_http::backend::{Answers, Http, Reuse};
 use dewpier_http::config::{Config, ConfigError, Wins};
 use dewpier_http::discovery::Discovery;
@@ -16,37 +16,39 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::Notify;
 
-/// How often a process that takes over looks whether it knows a backend.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which a process that takes over checks whether it has a backend list.
+const LIST_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why it does not start.
+/// Why the proxy does not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// Its configuration can't be used.
+    /// The configuration cannot be used.
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// The system does not let it.
+    /// An operating system error.
     #[error("{0}")]
     Io(#[from] std::io::Error),
 }
 
-/// Serves until SIGTERM. Runs on a [`tokio::task::LocalSet`].
+/// Serves until SIGTERM. Runs on a [`tokio::task::LocalSet`]. Fails if the configuration cannot be used or an address
+/// cannot be bound.
 pub async fn run() -> Result<(), StartError> {
-    // The handlers come first: a signal that finds none ends the program.
-    let mut reload = signal(SignalKind::hangup())?;
-    let mut stop = signal(SignalKind::terminate())?;
+    // Installed first, because a signal without a handler ends the process.
+    let mut hangup = signal(SignalKind::hangup())?;
+    let mut terminate = signal(SignalKind::terminate())?;
     let config = Config::from_env(Wins::Environment)?;
-    let place = beside::place(config.listen);
-    let (listener, mut before) = beside::listener(config.listen, place.as_deref()).await?;
+    let handover_path = takeover::handover_path(config.listen);
+    let (listener, mut predecessor) =
+        takeover::take_over_listener(config.listen, handover_path.as_deref()).await?;
     let address = listener.local_addr()?;
     eprintln!("dewpier: listening on {address}");
     let listener = Rc::new(listener);
-    let given = Rc::downgrade(&listener);
-    let operators = config.operator.map(server::bind).transpose()?;
-    if let Some(operators) = &operators {
-        eprintln!("dewpier: operators call at {}", operators.local_addr()?);
+    let weak_listener = Rc::downgrade(&listener);
+    let operator_listener = config.operator.map(server::bind).transpose()?;
+    if let Some(operator_listener) = &operator_listener {
+        eprintln!("dewpier: operators call at {}", operator_listener.local_addr()?);
     }
-    let figures = Metrics::new(config.wire.classes.clone());
+    let metrics = Metrics::new(config.wire.classes.clone());
     let caps = Caps::new(config.sockets, config.memory);
     let upstream = Http {
         connections: Budget::new(caps.backends),
@@ -55,7 +57,7 @@
         probe_path: if config.settings.probe_for_reports { "/-/load" } else { "/-/healthy" },
         reuse: Reuse::new(config.wire.handshake_price),
         answers: Answers::Platform,
-        attempts: figures.attempt_counter(),
+        attempts: metrics.attempt_counter(),
     };
     let engine = Engine::start(config.settings.clone(), config.wire.bounds(), config.seed, upstream);
     let discovery = Discovery::start(
@@ -66,14 +68,14 @@
         config.seed,
         engine.clone(),
     );
-    if before.runs() {
-        // What discovery tells is told to both. The module spreads the first calls of proxies that start together;
-        // one that takes over starts alone, and would go by an old list meanwhile.
+    if predecessor.is_running() {
+        // Starts the watch without the random delay that spreads proxies starting together: a successor starts alone,
+        // and would use an outdated list meanwhile.
         discovery.watch(true);
     }
     let reloading = async move {
-        while reload.recv().await.is_some() {
-            // What can't be used changes nothing.
+        while hangup.recv().await.is_some() {
+            // An invalid configuration leaves the current one in use.
             match Config::from_env(Wins::File) {
                 Ok(config) => discovery.move_to(config.discovery),
                 Err(error) => eprintln!("dewpier: not reloaded: {error}"),
@@ -81,54 +83,55 @@
         }
         std::future::pending().await
     };
-    let server = Server::new(engine, config.settings, config.wire, Dialect::Platform, caps, figures);
-    let asked = server.clone();
+    let server = Server::new(engine, config.settings, config.wire, Dialect::Platform, caps, metrics);
+    let answering = server.clone();
     let operating = async move {
-        match operators {
-            Some(listener) => operators::serve(listener, Rc::new(move |call| asked.operate(call))).await,
+        match operator_listener {
+            Some(listener) => operators::serve(listener, Rc::new(move |call| answering.operate(call))).await,
             None => std::future::pending().await,
         }
     };
-    // What comes while this process knows no backend is for the other one.
-    server.beside(before.runs());
-    let (joins, joined) = (server.clone(), Notify::new());
+    // The limits are shared with the predecessor.
+    server.beside(predecessor.is_running());
+    let (serving_server, may_hand_over) = (server.clone(), Notify::new());
     let serving = async {
-        if before.shares_queue() {
+        if predecessor.shares_accept_queue() {
+            // Until there is a backend list, the predecessor accepts the connections.
             let listed = async {
-                while !joins.listed() {
-                    tokio::time::sleep(LOOK).await;
+                while !serving_server.listed() {
+                    tokio::time::sleep(LIST_CHECK_INTERVAL).await;
                 }
             };
             tokio::select! {
                 () = listed => {}
-                () = before.ended() => {} // nobody else looks after what comes
-                _ = stop.recv() => return, // nothing was taken
+                () = predecessor.wait_for_exit() => {} // no other process accepts connections
+                _ = terminate.recv() => return, // nothing was accepted
             }
         }
-        before.taking().await;
-        if before.yields() {
-            joined.notify_one();
+        predecessor.announce_accepting().await;
+        if predecessor.yields_handover_socket() {
+            may_hand_over.notify_one();
         }
-        let ended = async {
-            before.ended().await;
-            joins.beside(false);
+        let predecessor_exited = async {
+            predecessor.wait_for_exit().await;
+            serving_server.beside(false);
             std::future::pending().await
         };
         tokio::select! {
-            () = server.run(listener, async move { stop.recv().await.unwrap_or_default() }) => {}
-            () = ended => {}
+            () = server.run(listener, async move { terminate.recv().await.unwrap_or_default() }) => {}
+            () = predecessor_exited => {}
         }
     };
-    // The place is this one's once it serves: a newer one is to ask the process that does.
-    let (gives, place) = (joins.clone(), beside::place(address));
-    let giving = async {
-        joined.notified().await;
-        beside::give(place.as_deref(), given, gives).await;
+    // The handover socket is replaced once this process serves, so that a newer process asks this one.
+    let (handing_over, handover_path) = (serving_server.clone(), takeover::handover_path(address));
+    let handovers = async {
+        may_hand_over.notified().await;
+        takeover::serve_handovers(handover_path.as_deref(), weak_listener, handing_over).await;
         std::future::pending::<()>().await;
     };
     tokio::select! {
         () = serving => {}
-        () = giving => {}
+        () = handovers => {}
         () = reloading => {}
         () = operating => {}
     }
--- a/crates/dewpier/src/run.rs
+++ b/crates/dewpier/src/run.rs
@@ -1,13 +1,13 @@
-//! Starts a proxy from a checked configuration, and feeds it the lists that its inventory or its
-//! planners give.
+//! Runs a proxy or a forwarder from a checked configuration: connects its list source, engine, server, MySQL front,
+//! fleet and operator calls.
 
-use crate::carried::{self, Carries};
-use crate::config::{Carrier, Config, ListFrom};
+use crate::config::{Carrier, Config, ListSourceConfig};
 use crate::error::ServeError;
-use crate::feed::{Feed, seed};
 use crate::fleet::Fleet;
-use crate::lists::Lists;
-use crate::mysql::Served;
+use crate::fleet_transport::{self, FleetTransport};
+use crate::list_updater::{ListUpdater, random_seed};
+use crate::lists::ListSource;
+use crate::mysql::MySqlService;
 use dewpier_http::backend::{Answers, Http, Reuse};
 use dewpier_http::limits::{Budget, Caps};
 use dewpier_http::request::Dialect;
@@ -21,9 +21,9 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{Notify, watch};
 
-/// Serves until SIGTERM. SIGHUP has the inventory read at once.
-pub async fn until_signals(config: Config) -> Result<(), ServeError> {
-    // The handlers come first: a signal that finds none ends the program.
+/// Serves until SIGTERM. SIGHUP makes the inventory be read at once. Fails as [`run`] does.
+pub async fn run_until_sigterm(config: Config) -> Result<(), ServeError> {
+    // Installed first, because a signal without a handler ends the process.
     let mut hangup = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
     let (reload, stop) = (Notify::new(), async move { terminate.recv().await.unwrap_or_default() });
@@ -33,38 +33,50 @@
         }
         std::future::pending().await
     };
-    let ready = |address| eprintln!("dewpier: listening on {address}");
+    let on_listening = |address| eprintln!("dewpier: listening on {address}");
     tokio::select! {
-        ran = run(config, ready, &reload, stop) => ran,
+        result = run(config, on_listening, &reload, stop) => result,
         () = reloading => Ok(()),
     }
 }
 
-/// Serves until `stop`, on the address that `ready` is told. `reload` has the inventory read at once.
+/// Serves until `stop`. `on_listening` is called with the address that clients connect to, and `reload` makes the
+/// inventory be read at once. Fails if there is no backend list, a file cannot be used or an address cannot be bound.
 /// Runs on a [`tokio::task::LocalSet`].
 pub async fn run(
     config: Config,
-    ready: impl FnOnce(SocketAddr),
+    on_listening: impl FnOnce(SocketAddr),
     reload: &Notify,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ServeError> {
-    let Config { listen, operator, descriptors, memory, source, settings, wire, routes, mysql, zone, fleet } =
-        config;
-    let (by_planners, mail) = match &fleet {
-        Some(told) if told.carrier == Carrier::Planners => {
-            let (fleet, mail) = carried::by_planners(Name::of(&told.name));
-            (Some(fleet), Some(mail))
+    let Config {
+        listen,
+        operator,
+        max_descriptors,
+        memory_bytes,
+        list_source,
+        settings,
+        wire,
+        routes,
+        mysql,
+        zone,
+        fleet,
+    } = config;
+    let (relay_transport, relay) = match &fleet {
+        Some(config) if config.carrier == Carrier::Planners => {
+            let (transport, relay) = fleet_transport::planner_relay(Name::of(&config.name));
+            (Some(transport), Some(relay))
         }
         _ => (None, None),
     };
-    let lists = match source {
-        ListFrom::Inventory(inventory) => Lists::of_inventory(inventory)?,
-        ListFrom::Planners(planners) => Lists::of_planners(*planners, mail)?,
+    let source = match list_source {
+        ListSourceConfig::Inventory(inventory) => ListSource::from_inventory(inventory)?,
+        ListSourceConfig::Planners(planners) => ListSource::from_planners(*planners, relay)?,
     };
-    let mut feed = Feed::first(lists, wire.zones.clone()).await?;
+    let mut list_updater = ListUpdater::start(source, wire.zones.clone()).await?;
 
-    let figures = Metrics::new(wire.classes.clone());
-    let caps = Caps::new(descriptors, memory);
+    let metrics = Metrics::new(wire.classes.clone());
+    let caps = Caps::new(max_descriptors, memory_bytes);
     let upstream = Http {
         connections: Budget::new(caps.backends),
         connect_timeout: wire.connect_timeout,
@@ -72,65 +84,66 @@
         probe_path: "/-/healthy",
         reuse: Reuse::new(wire.handshake_price),
         answers: Answers::Plain,
-        attempts: figures.attempt_counter(),
+        attempts: metrics.attempt_counter(),
     };
     let listener = server::bind(listen)?;
     let address = listener.local_addr()?;
-    let operators = operator.map(server::bind).transpose()?;
-    if let Some(operators) = &operators {
-        eprintln!("dewpier: operators call at {}", operators.local_addr()?);
+    let operator_listener = operator.map(server::bind).transpose()?;
+    if let Some(operator_listener) = &operator_listener {
+        eprintln!("dewpier: operators call at {}", operator_listener.local_addr()?);
     }
-    let engine = Engine::leased(settings.clone(), wire.bounds(), seed(), upstream, feed.lease());
-    let carrier = fleet.as_ref().map(|told| told.carrier.clone());
-    let fleet = fleet.map(|told| Fleet::start(told, &zone, wire.classes.clone()));
-    let carries = match carrier {
-        Some(carrier) => Some(Carries::begin(&carrier, by_planners).await?),
+    let engine =
+        Engine::leased(settings.clone(), wire.bounds(), random_seed(), upstream, list_updater.lease());
+    let carrier = fleet.as_ref().map(|config| config.carrier.clone());
+    let fleet = fleet.map(|config| Fleet::start(config, &zone, wire.classes.clone()));
+    let transport = match carrier {
+        Some(carrier) => Some(FleetTransport::start(&carrier, relay_transport).await?),
         None => None,
     };
     if let Some(fleet) = &fleet {
-        fleet.watch(&engine);
-        feed.tells(fleet.clone());
+        fleet.observe_attempts(&engine);
+        list_updater.notify_fleet(fleet.clone());
     }
-    feed.begin(&engine);
+    list_updater.apply_first_list(&engine);
     let mysql = match mysql {
-        Some(mysql) => Some(Served::start(mysql).await?),
+        Some(mysql) => Some(MySqlService::start(mysql).await?),
         None => None,
     };
-    ready(address);
-    let server = Server::new(engine.clone(), settings, wire, Dialect::Plain(routes), caps, figures);
-    let (asked, of_fleet) = (server.clone(), fleet.clone());
-    let answer = move |call| match &of_fleet {
-        Some(fleet) => fleet.operate(call, |call| asked.operate(call)),
-        None => asked.operate(call),
+    on_listening(address);
+    let server = Server::new(engine.clone(), settings, wire, Dialect::Plain(routes), caps, metrics);
+    let (answering_server, answering_fleet) = (server.clone(), fleet.clone());
+    let answer = move |call| match &answering_fleet {
+        Some(fleet) => fleet.operate(call, |call| answering_server.operate(call)),
+        None => answering_server.operate(call),
     };
     let operating = async move {
-        match operators {
+        match operator_listener {
             Some(listener) => operators::serve(listener, Rc::new(answer)).await,
             None => std::future::pending().await,
         }
     };
     let (stopping, stopped) = watch::channel(false);
-    let told = || {
+    let wait_for_stop = || {
         let mut stopped = stopped.clone();
         async move {
-            let _ = stopped.wait_for(|stopped| *stopped).await; // the sender outlives it
+            let _ = stopped.wait_for(|stopped| *stopped).await; // the sender outlives this future
         }
     };
-    let (listed, also_listed) = (Notify::new(), Notify::new());
+    let (reload_list, reload_mysql) = (Notify::new(), Notify::new());
     let serving = async {
-        let other = async {
+        let serving_mysql = async {
             if let Some(mysql) = mysql {
-                mysql.run(&also_listed, told()).await;
+                mysql.run(&reload_mysql, wait_for_stop()).await;
             }
         };
-        tokio::join!(server.run(Rc::new(listener), told()), other)
+        tokio::join!(server.run(Rc::new(listener), wait_for_stop()), serving_mysql)
     };
     let signals = async {
         let reloading = async {
             loop {
                 reload.notified().await;
-                listed.notify_one();
-                also_listed.notify_one();
+                reload_list.notify_one();
+                reload_mysql.notify_one();
             }
         };
         tokio::select! {
@@ -140,19 +153,19 @@
         stopping.send_replace(true);
         std::future::pending::<()>().await;
     };
-    let talking = {
+    let exchanging = {
         let engine = engine.clone();
         async move {
-            match fleet.zip(carries) {
-                Some((fleet, carries)) => fleet.run(carries, engine).await,
+            match fleet.zip(transport) {
+                Some((fleet, transport)) => fleet.run(transport, engine).await,
                 None => std::future::pending().await,
             }
         }
     };
     tokio::select! {
         _ = serving => {}
-        ended = talking => return ended,
-        () = feed.run(engine, &listed) => {}
+        result = exchanging => return result,
+        () = list_updater.run(engine, &reload_list) => {}
         () = signals => {}
         () = operating => {}
     }
--- a/crates/dewpier/src/status.rs
+++ b/crates/dewpier/src/status.rs
@@ -1,4 +1,4 @@
-//! What a forwarder goes by, told on a socket of the file system to those who may open it.
+//! Reports the plan that a forwarder uses, as JSON over a Unix socket that only the owner of its process may open.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -9,50 +9,54 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{UnixListener, UnixStream};
 
-/// Whoever asks must take the answer within this.
-const TAKEN_WITHIN: Duration = Duration::from_secs(2);
-/// The longest answer that is read, in bytes.
-const MOST_SHOWN: u64 = 16 << 20;
+/// Time in which a report must be sent, and in which each read of it must succeed.
+const IO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest report that is read, in bytes.
+const MAX_REPORT_BYTES: u64 = 16 << 20;
 
-/// What a forwarder goes by.
+/// The plan that a forwarder uses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Shown {
-    /// Its name.
+pub struct ForwarderStatus {
+    /// The forwarder's name.
     pub forwarder: String,
-    /// `planners`, `own watch`, or `last plan` where there is nothing better.
-    pub by: String,
+    /// The source of its list: `planners`, `own watch`, or `last plan` if neither is available.
+    #[serde(rename = "by")]
+    pub source: String,
     /// The version of the plan: term and generation.
     pub version: Option<String>,
-    /// How long ago that came, in milliseconds.
+    /// Time since the plan arrived, in milliseconds.
     pub plan_age_ms: Option<u64>,
-    /// For how long it may still go by it, in milliseconds; none where there is no limit.
+    /// How much longer the plan may be used, in milliseconds; none if there is no limit.
     pub lease_left_ms: Option<u64>,
-    /// Messages that were refused, by reason.
-    pub refused: BTreeMap<String, u64>,
-    /// The nodes.
-    pub nodes: Vec<ShownNode>,
+    /// Number of rejected planner messages by reason.
+    #[serde(rename = "refused")]
+    pub rejections: BTreeMap<String, u64>,
+    /// The nodes in use.
+    pub nodes: Vec<NodeStatus>,
 }
 
-/// One of them.
+/// A node that a forwarder uses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShownNode {
-    /// Its name.
+pub struct NodeStatus {
+    /// The node's name.
     pub id: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: String,
-    /// It gets nothing new.
+    /// Whether it is draining and gets no new requests.
     pub draining: bool,
-    /// What it would usually be sent from here, in requests a second, where it is cold.
-    pub usual: Option<f64>,
+    /// Requests per second that this forwarder would usually send to it, if it is cold.
+    #[serde(rename = "usual")]
+    pub usual_rate: Option<f64>,
 }
 
-/// Listens there, for the owner of the process alone. A socket that nobody answers on is replaced.
+/// Listens on a Unix socket that only the owner of the process may open. Replaces a socket on which no process
+/// listens.
 pub fn listen(path: &Path) -> io::Result<UnixListener> {
     if std::os::unix::net::UnixStream::connect(path).is_ok() {
         return Err(io::Error::other(format!("{}: another process listens there", path.display())));
     }
     match std::fs::symlink_metadata(path) {
-        Ok(found) if std::os::unix::fs::FileTypeExt::is_socket(&found.file_type()) => {
+        Ok(metadata) if std::os::unix::fs::FileTypeExt::is_socket(&metadata.file_type()) => {
             std::fs::remove_file(path)?
         }
         Ok(_) => {
@@ -68,18 +72,18 @@
     Ok(listener)
 }
 
-/// Answers one who asks.
-pub async fn answer(mut stream: UnixStream, shown: Shown) {
-    let Ok(text) = serde_json::to_vec(&shown) else { return };
-    // One that takes nothing is let go.
-    let _ = tokio::time::timeout(TAKEN_WITHIN, stream.write_all(&text)).await;
+/// Sends the status on a connection. Errors and timeouts are ignored.
+pub async fn send_status(mut stream: UnixStream, status: ForwarderStatus) {
+    let Ok(text) = serde_json::to_vec(&status) else { return };
+    // A client that doesn't read is disconnected.
+    let _ = tokio::time::timeout(IO_TIMEOUT, stream.write_all(&text)).await;
 }
 
-/// Asks the forwarder that listens there.
-pub fn ask(path: &Path) -> io::Result<Shown> {
+/// Reads the status of the forwarder that listens at `path`.
+pub fn read_status(path: &Path) -> io::Result<ForwarderStatus> {
     let stream = std::os::unix::net::UnixStream::connect(path)?;
-    stream.set_read_timeout(Some(TAKEN_WITHIN))?;
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
     let mut text = Vec::new();
-    stream.take(MOST_SHOWN).read_to_end(&mut text)?;
+    stream.take(MAX_REPORT_BYTES).read_to_end(&mut text)?;
     serde_json::from_slice(&text).map_err(io::Error::other)
 }
--- a/crates/dewpier/src/tls.rs
+++ b/crates/dewpier/src/tls.rs
@@ -1,19 +1,19 @@
-//! The files by which connections between forwarders and planners are secured.
+//! Loads the TLS files that secure connections between forwarders and planners.
 
 use crate::error::ServeError;
 use dewpier_plan::io::{Files, Security};
 
-/// How connections are secured, by these files if there are any.
-pub fn security(tls: Option<Files>) -> Result<Security, ServeError> {
+/// Loads the security of connections from these files, or plain connections if there are none.
+pub fn load_security(tls: Option<Files>) -> Result<Security, ServeError> {
     match tls {
-        Some(files) => Security::read(files).map_err(|error| ServeError::Inventory(error.to_string())),
+        Some(files) => Security::read(files).map_err(|error| ServeError::BadInput(error.to_string())),
         None => Ok(Security::plain()),
     }
 }
 
-/// Reads the files again.
-pub fn reload(security: &Security) {
+/// Reads the files again. Files that cannot be used leave the loaded ones in place.
+pub fn reload_security(security: &Security) {
     if let Err(error) = security.reload() {
-        eprintln!("dewpier: the certificates stay as they are: {error}");
+        eprintln!("dewpier: reloading the TLS files failed, the previous ones stay in use: {error}");
     }
 }
--- a/crates/dewpier/tests/snapshot.rs
+++ b/crates/dewpier/tests/snapshot.rs
@@ -92,7 +92,7 @@
     ];
     for (proxy, bytes, why) in cases {
         stage.restart_with(proxy, bytes);
-        let told = stage.logged(proxy, "no snapshot is taken up");
+        let told = stage.logged(proxy, "restoring the snapshot failed");
         assert!(told.len() == 1 && told[0].contains(why), "{proxy}: {told:?}");
         // It serves, and keeps what it knows from here on.
         wait_for("a new file", || stage.figure(proxy, "snapshots_written") > Some(1));
@@ -100,13 +100,13 @@
     }
     // The control: a whole one is gone by.
     stage.restart_with(1, &whole);
-    assert_eq!(stage.logged(1, "goes on from what the process before knew").len(), 1);
+    assert_eq!(stage.logged(1, "restored the snapshot of the previous process").len(), 1);
     wait_for("its first judgement", || out(&stage, 1, 6));
     // A folder that is gone is told once, and nothing else comes of it.
     let kept = stage.kept(7);
     std::fs::remove_dir_all(kept.parent().unwrap()).unwrap();
     wait_for("failures", || stage.figure(7, "snapshots_failed") > Some(2));
-    assert_eq!(stage.logged(7, "what is known here is not kept").len(), 1);
+    assert_eq!(stage.logged(7, "writing the snapshot failed").len(), 1);
     assert!(stage.call(7, "check").is_some_and(|told| told.starts_with("YES")));
 }
 
