--- a/crates/dewpier/src/config/classes.rs
+++ b/crates/dewpier/src/config/classes.rs
@@ -2,7 +2,7 @@
 
 use super::check::{HOUR_MILLIS, InvalidValue, check_millis, check_number, invalid};
 use dewpier_http::routes::Route;
-use gannetproxy::{Class, Effect, Group};
+use gannetproxy::{Class, DedupGroup, Effect};
 use hyper::Method;
 use serde::Deserialize;
 use std::time::Duration;
@@ -89,9 +89,9 @@
         (RawEffect::Unsafe, None) => Effect::Unsafe,
         (RawEffect::Keyed, Some(_)) => Effect::Keyed {
             group: match raw.group.unwrap_or(RawGroup::All) {
-                RawGroup::All => Group::All,
-                RawGroup::Zone => Group::Zone,
-                RawGroup::Cell => Group::Cell,
+                RawGroup::All => DedupGroup::All,
+                RawGroup::Zone => DedupGroup::Zone,
+                RawGroup::Cell => DedupGroup::Cell,
             },
             window: seconds(check_millis(&raw.window_ms, "window_ms", [1, 24 * HOUR_MILLIS], 1)?),
         },
--- a/crates/dewpier/src/config/mod.rs
+++ b/crates/dewpier/src/config/mod.rs
@@ -164,8 +164,8 @@
                     raw_grace,
                     "drain_grace_ms",
                     drain_bound,
-                    drain_bound.graces(),
-                    drain_bound.grace(),
+                    drain_bound.grace_range(),
+                    drain_bound.max_grace(),
                 )?
             }
             ListSourceConfig::Inventory(_) => check_millis(raw_grace, "drain_grace_ms", [10, 60_000], 500)?,
@@ -192,14 +192,19 @@
             check_millis(&limits.max_retry_after_ms, "max_retry_after_ms", [0, HOUR_MILLIS], 1000)?;
         let settings = Settings {
             classes,
-            instances: instances as usize,
-            me: instance_index as usize,
+            instance_count: instances as usize,
+            instance_index: instance_index as usize,
             max_attempts: check_integer(&limits.max_attempts, "max_attempts", [1, 16], 4)? as usize,
             max_retry_after: seconds(max_retry_after),
-            cold_share: check_number(&backends.cold_share, "cold_share", [0.01, 1.0], 0.2)?,
-            cold: seconds(check_millis(&backends.cold_ms, "cold_ms", [0, HOUR_MILLIS], 10_000)?),
-            fall_multiple: check_number(&backends.fall_multiple, "fall_multiple", [1.0, 100.0], 3.0)?,
-            tip_after: seconds(check_millis(&backends.tip_after_ms, "tip_after_ms", [1, HOUR_MILLIS], 1000)?),
+            cold_capacity_fraction: check_number(&backends.cold_share, "cold_share", [0.01, 1.0], 0.2)?,
+            cold_duration: seconds(check_millis(&backends.cold_ms, "cold_ms", [0, HOUR_MILLIS], 10_000)?),
+            overload_multiple: check_number(&backends.fall_multiple, "fall_multiple", [1.0, 100.0], 3.0)?,
+            overload_duration: seconds(check_millis(
+                &backends.tip_after_ms,
+                "tip_after_ms",
+                [1, HOUR_MILLIS],
+                1000,
+            )?),
             ..Settings::default()
         };
         let memory_mb = check_integer(&limits.memory_mb, "memory_mb", [16, 1 << 20], 192)? as usize;
--- a/crates/dewpier/src/config/planner.rs
+++ b/crates/dewpier/src/config/planner.rs
@@ -5,8 +5,8 @@
 };
 use super::inventory::{Inventory, RawInventory, check_inventory};
 use super::secured::{RawTls, check_drain_bound, check_secure_address, check_tls, check_within_drain_bound};
-use dewpier_plan::MOST_PLANNERS;
-use dewpier_plan::io::Files;
+use dewpier_plan::MAX_PLANNERS;
+use dewpier_plan::io::CertificateFiles;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -31,7 +31,7 @@
     /// How long a planner may be silent before its view no longer counts.
     pub expel_after: Duration,
     /// The files of TLS; none where connections are plain.
-    pub tls: Option<Files>,
+    pub tls: Option<CertificateFiles>,
 }
 
 #[derive(Deserialize)]
@@ -62,7 +62,7 @@
         Self::parse(&read_text(path)?, path)
     }
 
-    /// Parses and checks the text of a configuration file. Files that it names are relative to the folder of `path`.
+    /// Parses and checks the text of a configuration file. CertificateFiles that it names are relative to the folder of `path`.
     pub fn parse(text: &str, path: &Path) -> Result<Self, ConfigError> {
         parse(text, path, Self::check)
     }
@@ -76,8 +76,8 @@
             .collect::<Result<_, _>>()?;
         if let Some(cluster) = &file.cluster {
             let span = cluster.planners.span();
-            if planner_addresses.is_empty() || planner_addresses.len() >= MOST_PLANNERS {
-                let expected = format!("1 to {}", MOST_PLANNERS - 1);
+            if planner_addresses.is_empty() || planner_addresses.len() >= MAX_PLANNERS {
+                let expected = format!("1 to {}", MAX_PLANNERS - 1);
                 return invalid(span, "planners", &expected, planner_addresses.len());
             }
             if let Some(duplicate) =
@@ -96,8 +96,8 @@
                 &file.lease_ms,
                 "lease_ms",
                 drain_bound,
-                drain_bound.leases(),
-                drain_bound.lease(),
+                drain_bound.lease_range(),
+                drain_bound.max_lease(),
             )?,
             max_forwarders: check_integer(&file.max_forwarders, "max_forwarders", [1, 100_000], 1000)?
                 as usize,
--- a/crates/dewpier/src/config/planners.rs
+++ b/crates/dewpier/src/config/planners.rs
@@ -3,8 +3,8 @@
 use super::check::{InvalidValue, check_integer, invalid, resolve_path};
 use super::inventory::Inventory;
 use super::secured::{RawTls, check_drain_bound, check_secure_address, check_tls, check_within_drain_bound};
-use dewpier_plan::io::Files;
-use dewpier_plan::{DrainBound, MOST_NAME, MOST_NODES, MOST_PLANNERS};
+use dewpier_plan::io::CertificateFiles;
+use dewpier_plan::{DrainBound, MAX_NAME_BYTES, MAX_NODES, MAX_PLANNERS};
 use gannetproxy::engine::MOST_HELD;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     /// Maximum of the random delay before the forwarder starts its own watch.
     pub own_watch_spread: Duration,
     /// The files of TLS; none where connections are plain.
-    pub tls: Option<Files>,
+    pub tls: Option<CertificateFiles>,
     /// The Unix socket on which the forwarder reports its status.
     pub status_socket: Option<PathBuf>,
 }
@@ -57,26 +57,26 @@
     path: &Path,
 ) -> Result<Planners, InvalidValue> {
     let listed = raw.addresses.get_ref();
-    if listed.is_empty() || listed.len() > MOST_PLANNERS {
-        let expected = format!("1 to {MOST_PLANNERS}");
+    if listed.is_empty() || listed.len() > MAX_PLANNERS {
+        let expected = format!("1 to {MAX_PLANNERS}");
         return invalid(raw.addresses.span(), "addresses", &expected, listed.len());
     }
     let name = raw.name.get_ref();
-    if !(1..=MOST_NAME).contains(&name.len()) || name.chars().any(char::is_control) {
+    if !(1..=MAX_NAME_BYTES).contains(&name.len()) || name.chars().any(char::is_control) {
         return invalid(raw.name.span(), "name", "1 to 253 bytes without control characters", name.len());
     }
     let tls = check_tls(&raw.tls, raw.plaintext, raw.addresses.span(), path)?;
-    let max_nodes = check_integer(&raw.nodes, "nodes", [1, MOST_NODES as i64], 1)?;
+    let max_nodes = check_integer(&raw.nodes, "nodes", [1, MAX_NODES as i64], 1)?;
     let drain_bound = check_drain_bound(&raw.drain_ms)?;
     let heartbeat_interval = check_within_drain_bound(
         &raw.beat_ms,
         "beat_ms",
         drain_bound,
-        drain_bound.beats(),
-        drain_bound.beat(),
+        drain_bound.heartbeat_range(),
+        drain_bound.default_heartbeat(),
     )?;
-    let allowed_spreads = drain_bound.spreads(heartbeat_interval, Duration::from_secs_f64(MOST_HELD));
-    let default_spread = drain_bound.left(heartbeat_interval);
+    let allowed_spreads = drain_bound.spread_range(heartbeat_interval, Duration::from_secs_f64(MOST_HELD));
+    let default_spread = drain_bound.remaining_lease(heartbeat_interval);
     let own_watch_spread = check_within_drain_bound(
         &raw.own_watch_spread_ms,
         "own_watch_spread_ms",
--- a/crates/dewpier/src/config/secured.rs
+++ b/crates/dewpier/src/config/secured.rs
@@ -2,7 +2,7 @@
 
 use super::check::{InvalidValue, check_millis, invalid, parse_address, resolve_path};
 use dewpier_plan::DrainBound;
-use dewpier_plan::io::Files;
+use dewpier_plan::io::CertificateFiles;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::ops::{Range, RangeInclusive};
@@ -20,7 +20,7 @@
 
 /// Checks `drain_ms`: the maximum time from a planner's drain notice until nothing new is sent to the node.
 pub(super) fn check_drain_bound(value: &Option<Spanned<i64>>) -> Result<DrainBound, InvalidValue> {
-    let [min, max] = [DrainBound::LEAST, DrainBound::MOST].map(|bound| bound.as_millis() as i64);
+    let [min, max] = [DrainBound::MIN, DrainBound::MAX].map(|bound| bound.as_millis() as i64);
     let default = DrainBound::default().get().as_millis() as i64;
     let bound = check_millis(value, "drain_ms", [min, max], default)?;
     DrainBound::new(bound).or_else(|error| invalid(0..0, "drain_ms", "a bound that can be kept", error))
@@ -49,9 +49,9 @@
     plaintext: bool,
     span: Range<usize>,
     path: &Path,
-) -> Result<Option<Files>, InvalidValue> {
+) -> Result<Option<CertificateFiles>, InvalidValue> {
     match (tls, plaintext) {
-        (Some(raw), false) => Ok(Some(Files {
+        (Some(raw), false) => Ok(Some(CertificateFiles {
             authority: resolve_path(path, &raw.authority),
             certificate: resolve_path(path, &raw.certificate),
             key: resolve_path(path, &raw.key),
@@ -68,7 +68,7 @@
 pub(super) fn check_secure_address(
     value: &Spanned<String>,
     key: &str,
-    tls: &Option<Files>,
+    tls: &Option<CertificateFiles>,
 ) -> Result<SocketAddr, InvalidValue> {
     let address = parse_address(value, key)?;
     match address.ip().is_loopback() || tls.is_some() {
--- a/crates/dewpier/src/fleet_transport.rs
+++ b/crates/dewpier/src/fleet_transport.rs
@@ -4,8 +4,8 @@
 use crate::error::ServeError;
 use dewpier_peers::io::{Udp, Way};
 use dewpier_peers::{Name, Out};
-use dewpier_plan::Letter;
-use dewpier_plan::io::Mail;
+use dewpier_plan::RelayedMessage;
+use dewpier_plan::io::RelayChannel;
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
@@ -27,17 +27,20 @@
 
 /// Datagrams relayed by planners.
 pub(crate) struct PlannerRelay {
-    outgoing: mpsc::Sender<Vec<Letter>>,
+    outgoing: mpsc::Sender<Vec<RelayedMessage>>,
     incoming: mpsc::Receiver<Vec<u8>>,
     /// A received datagram that waits to be taken.
     next: Option<Vec<u8>>,
 }
 
 /// Both ends of the relay of a proxy: the transport for the fleet, and the end for the task that follows planners.
-pub(crate) fn planner_relay(proxy: Name) -> (PlannerRelay, Mail) {
+pub(crate) fn planner_relay(proxy: Name) -> (PlannerRelay, RelayChannel) {
     let (outgoing, relayed) = mpsc::channel(MAX_QUEUED_ROUNDS);
     let (received, incoming) = mpsc::channel(MAX_QUEUED_DATAGRAMS);
-    (PlannerRelay { outgoing, incoming, next: None }, Mail { from: proxy.0, out: relayed, into: received })
+    (
+        PlannerRelay { outgoing, incoming, next: None },
+        RelayChannel { sender: proxy.0, outgoing: relayed, incoming: received },
+    )
 }
 
 impl FleetTransport {
@@ -108,7 +111,7 @@
     }
 
     fn send(&mut self, outs: Vec<Out>) {
-        let letters = outs.into_iter().map(|out| Letter { to: out.to.0, bytes: out.bytes }).collect();
+        let letters = outs.into_iter().map(|out| RelayedMessage { to: out.to.0, bytes: out.bytes }).collect();
         let _ = self.outgoing.try_send(letters); // the next round repeats the contents
     }
 }
@@ -120,21 +123,21 @@
     #[test]
     fn rounds_beyond_the_queue_are_dropped_and_long_datagrams_are_truncated() {
         let (mut transport, mut relay) = planner_relay(Name(7));
-        assert_eq!(relay.from, 7);
+        assert_eq!(relay.sender, 7);
         for round in 0..10 {
             transport.send(vec![Out { to: Name(9), bytes: vec![round] }]);
         }
-        let first = relay.out.try_recv().unwrap();
-        assert_eq!(first, [Letter { to: 9, bytes: vec![0] }]);
+        let first = relay.outgoing.try_recv().unwrap();
+        assert_eq!(first, [RelayedMessage { to: 9, bytes: vec![0] }]);
         assert_eq!(
-            std::iter::from_fn(|| relay.out.try_recv().ok()).count(),
+            std::iter::from_fn(|| relay.outgoing.try_recv().ok()).count(),
             MAX_QUEUED_ROUNDS - 1,
             "the other rounds are dropped"
         );
         let mut buffer = [0; 4];
         assert_eq!(transport.take(&mut buffer), None);
-        relay.into.try_send(vec![5; 9]).unwrap();
-        relay.into.try_send(vec![6; 2]).unwrap();
+        relay.incoming.try_send(vec![5; 9]).unwrap();
+        relay.incoming.try_send(vec![6; 2]).unwrap();
         let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
         runtime.block_on(transport.ready()).unwrap();
         runtime.block_on(transport.ready()).unwrap();
--- a/crates/dewpier/src/lists/from_planners.rs
+++ b/crates/dewpier/src/lists/from_planners.rs
@@ -6,8 +6,8 @@
 use super::watched::WatchedInventory;
 use crate::config::Planners;
 use crate::status::{self, ForwarderStatus, NodeStatus};
-use dewpier_plan::io::{Following, Mail, Security, Seen, follow};
-use dewpier_plan::{Digest, Follower, Node, Rules, Slice, Standby, asked_every};
+use dewpier_plan::io::{FollowEvent, FollowSettings, RelayChannel, Security, follow};
+use dewpier_plan::{Digest, Follower, Node, Slice, Standby, StandbySettings, lease_check_interval};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::collections::hash_map::RandomState;
@@ -37,8 +37,8 @@
     /// The status to report to operators.
     fn status(&self) -> ForwarderStatus {
         let (follower, standby) = (self.follower.borrow(), self.standby.borrow());
-        let lease_end = standby.until(&follower, self.start.elapsed());
-        let source = match (standby.on_its_own(), lease_end) {
+        let lease_end = standby.send_deadline(&follower, self.start.elapsed());
+        let source = match (standby.uses_own_list(), lease_end) {
             (true, _) => "own watch",
             (false, None) => "last plan",
             (false, Some(_)) => "planners",
@@ -58,7 +58,7 @@
             plan_age_ms: self.plan_arrived_at.get().map(|arrived| millis(arrived.elapsed())),
             lease_left_ms: lease_end.map(|lease_end| millis(lease_end.saturating_sub(self.start.elapsed()))),
             rejections: follower
-                .refused()
+                .rejections()
                 .iter()
                 .map(|(reason, count)| (reason.to_string(), *count))
                 .collect(),
@@ -67,26 +67,26 @@
     }
 
     /// Updates the choice of the source after an event and publishes the results.
-    fn update(&self, follower: &Follower, seen: Seen) {
+    fn update(&self, follower: &Follower, event: FollowEvent) {
         let mut standby = self.standby.borrow_mut();
         let now = self.start.elapsed();
-        let (was_watching, was_on_its_own) = (standby.watches(), standby.on_its_own());
+        let (was_watching, was_on_its_own) = (standby.is_watching(), standby.uses_own_list());
         // The keys of the standard hasher are random, which suffices for spreading the delays.
         let random_fraction = RandomState::new().build_hasher().finish() as f64 / u64::MAX as f64;
-        let switched = standby.see(follower, now, random_fraction);
-        if !was_watching && standby.watches() {
+        let switched = standby.update(follower, now, random_fraction);
+        if !was_watching && standby.is_watching() {
             eprintln!("dewpier: all planners are silent, starting the own watch");
         }
-        if was_on_its_own && !standby.on_its_own() {
+        if was_on_its_own && !standby.uses_own_list() {
             eprintln!("dewpier: planners are back");
         }
-        if seen == Seen::Nodes {
+        if event == FollowEvent::NodesChanged {
             self.plan_arrived_at.set(Some(Instant::now()));
         }
-        if seen == Seen::Budgets {
+        if event == FollowEvent::BudgetsChanged {
             self.budgets.send_replace(follower.budgets());
         }
-        self.publish(&standby, follower, seen == Seen::Nodes || switched);
+        self.publish(&standby, follower, event == FollowEvent::NodesChanged || switched);
     }
 
     /// Publishes the list if it has changed, then the end of its lease.
@@ -96,7 +96,7 @@
             self.gated_lease.hold_until_applied();
             self.nodes.send_replace(standby.nodes(follower));
         }
-        let lease_end = standby.until(follower, self.start.elapsed());
+        let lease_end = standby.send_deadline(follower, self.start.elapsed());
         self.gated_lease.set_expiry(lease_end.map(|lease_end| self.start + lease_end));
     }
 
@@ -104,9 +104,9 @@
     fn check_own_watch(&self, watch: &WatchedInventory) {
         let mut standby = self.standby.borrow_mut();
         if let Some(started) = watch.last_check() {
-            standby.looked(started.saturating_duration_since(self.start));
+            standby.record_read(started.saturating_duration_since(self.start));
         }
-        standby.look();
+        standby.record_read_request();
         watch.request_check();
     }
 
@@ -116,7 +116,7 @@
             list.iter().map(|(backend, address)| node_from_backend(backend, *address)).collect();
         let follower = self.follower.borrow();
         let mut standby = self.standby.borrow_mut();
-        if standby.own(&follower, nodes) {
+        if standby.receive_own_list(&follower, nodes) {
             self.publish(&standby, &follower, true);
         }
     }
@@ -131,7 +131,7 @@
     /// Supplies the digests for planners.
     pub(super) digests: watch::Receiver<Digest>,
     /// Messages that planners relay, if any.
-    pub(super) relay: Option<Mail>,
+    pub(super) relay: Option<RelayChannel>,
     /// The socket on which the status is reported.
     pub(super) status_socket: Option<UnixListener>,
 }
@@ -155,10 +155,14 @@
         ..
     } = planners;
     let slice = max_nodes.map(|max_nodes| Slice::new(&name, max_nodes));
-    let follower = Rc::new(RefCell::new(Follower::of(slice).bounded(drain_bound)));
-    let rules = Rules { own: own_inventory.is_some(), spread: own_watch_spread, lease: drain_bound.lease() };
-    let check_interval = asked_every(rules.lease);
-    let standby = RefCell::new(Standby::new(rules));
+    let follower = Rc::new(RefCell::new(Follower::with_slice(slice).with_drain_bound(drain_bound)));
+    let standby_settings = StandbySettings {
+        own_watch: own_inventory.is_some(),
+        spread: own_watch_spread,
+        lease: drain_bound.max_lease(),
+    };
+    let check_interval = lease_check_interval(standby_settings.lease);
+    let standby = RefCell::new(Standby::new(standby_settings));
     let (nodes, budgets) = (channels.nodes, channels.budgets);
     let (plan_arrived_at, own_name) = (Cell::new(None), name.clone());
     let switch = SourceSwitch {
@@ -171,16 +175,16 @@
         name: own_name,
         plan_arrived_at,
     };
-    let following = Following { planners: addresses, name, beat: heartbeat_interval, start, security };
-    let followed = follow(following, follower, channels.digests, channels.relay, |follower, seen| {
-        switch.update(follower, seen)
+    let following = FollowSettings { planners: addresses, name, heartbeat_interval, start, security };
+    let followed = follow(following, follower, channels.digests, channels.relay, |follower, event| {
+        switch.update(follower, event)
     });
     tokio::pin!(followed);
     let mut watch: Option<WatchedInventory> = None;
     let status_socket = channels.status_socket;
     let mut last_check_request = start;
     loop {
-        let is_switch_near = switch.standby.borrow().watches() || switch.follower.borrow().silent();
+        let is_switch_near = switch.standby.borrow().is_watching() || switch.follower.borrow().is_silent();
         let update_interval = if is_switch_near { SWITCH_CHECK_INTERVAL } else { heartbeat_interval };
         tokio::select! {
             () = &mut followed => return,
@@ -189,7 +193,7 @@
                     last_check_request = Instant::now();
                     switch.check_own_watch(watched);
                 }
-                switch.update(&switch.follower.borrow(), Seen::Lease);
+                switch.update(&switch.follower.borrow(), FollowEvent::LeaseChanged);
             }
             client = accept_status_client(&status_socket) => {
                 tokio::task::spawn_local(status::send_status(client, switch.status()));
@@ -202,17 +206,17 @@
                 }
                 Err(reason) => {
                     eprintln!("dewpier: the own watch has no list: {reason}");
-                    switch.standby.borrow_mut().no_list();
+                    switch.standby.borrow_mut().record_own_list_failure();
                 }
             },
         }
-        let watches = switch.standby.borrow().watches();
+        let watches = switch.standby.borrow().is_watching();
         match (&own_inventory, watches, &watch) {
             (Some(inventory), true, None) => match WatchedInventory::start(inventory.clone()) {
                 Ok(watched) => watch = Some(watched),
                 Err(error) => {
                     eprintln!("dewpier: the own watch cannot start: {error}");
-                    switch.standby.borrow_mut().no_list();
+                    switch.standby.borrow_mut().record_own_list_failure();
                     // Waits before the next try.
                     tokio::select! {
                         () = &mut followed => return,
--- a/crates/dewpier/src/lists/mod.rs
+++ b/crates/dewpier/src/lists/mod.rs
@@ -14,7 +14,7 @@
 use crate::config::{Inventory, Planners};
 use crate::error::ServeError;
 use crate::{status, tls};
-use dewpier_plan::io::{Mail, Security};
+use dewpier_plan::io::{RelayChannel, Security};
 use dewpier_plan::{Digest, Node};
 use gannetproxy::engine::Lease;
 use std::collections::HashMap;
@@ -63,7 +63,7 @@
 
     /// The lists of planners, which also relay the messages of `relay`, if any. Fails if the TLS files or the status
     /// socket cannot be used. Runs on a [`tokio::task::LocalSet`].
-    pub fn from_planners(planners: Planners, relay: Option<Mail>) -> Result<Self, ServeError> {
+    pub fn from_planners(planners: Planners, relay: Option<RelayChannel>) -> Result<Self, ServeError> {
         let source_name = format!("{} planners", planners.addresses.len());
         let (node_sender, nodes) = watch::channel(Vec::new());
         let start = Instant::now();
--- a/crates/dewpier/src/members.rs
+++ b/crates/dewpier/src/members.rs
@@ -6,14 +6,14 @@
 use dewpier_inventory::{Backend, State};
 use dewpier_verdicts::NodeId;
 use gannetproxy::engine::{Listed, News};
-use gannetproxy::{Entry, Status, Time};
+use gannetproxy::{BackendEntry, Status, Time};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 /// A listed node.
 #[derive(Clone, Debug)]
 struct Member {
-    entry: Entry,
+    entry: BackendEntry,
     address: SocketAddr,
     serving: bool,
 }
@@ -69,14 +69,14 @@
                 (None, None) if self.is_first_list => None,
                 (None, None) => Some(now),
             };
-            let entry = Entry {
+            let entry = BackendEntry {
                 id: self.names.id(&backend.id),
                 cell: backend.cell,
                 zone: self.zone_index(&backend.zone),
                 weight: if backend.weight > 0.0 { backend.weight } else { 1.0 },
                 status: if serving { Status::InService } else { Status::Draining },
                 started,
-                usual: self.budgets.get(&backend.id).copied(),
+                usual_rate: self.budgets.get(&backend.id).copied(),
             };
             let member = Member { entry: entry.clone(), address: *address, serving };
             self.members.insert(backend.id.clone(), member);
@@ -93,8 +93,8 @@
         for id in previous.keys().chain(self.budgets.keys()) {
             let Some(member) = self.members.get_mut(id) else { continue };
             let budget = self.budgets.get(id).copied();
-            if member.entry.usual != budget {
-                member.entry.usual = budget;
+            if member.entry.usual_rate != budget {
+                member.entry.usual_rate = budget;
                 changed.push(Listed { entry: member.entry.clone(), address: member.address });
             }
         }
@@ -203,7 +203,7 @@
         let mut changed_budgets = |budgets: &[(&str, f64)]| {
             let budgets = budgets.iter().map(|(id, rate)| (id.to_string(), *rate)).collect();
             let News::Changes(list) = members.update_budgets(budgets) else { panic!() };
-            list.iter().map(|listed| listed.entry.usual).collect::<Vec<_>>()
+            list.iter().map(|listed| listed.entry.usual_rate).collect::<Vec<_>>()
         };
         assert_eq!(changed_budgets(&[("b", 5.0), ("unknown", 1.0)]), [Some(5.0)]);
         assert_eq!(changed_budgets(&[("b", 5.0)]), [None; 0]);
--- a/crates/dewpier/src/planner.rs
+++ b/crates/dewpier/src/planner.rs
@@ -34,7 +34,7 @@
         planners: (0..).zip(planners).collect(),
         lease,
         expel_after: config.expel_after,
-        most: config.max_forwarders,
+        max_forwarders: config.max_forwarders,
         security: security.clone(),
     });
     let observe = |list: &ResolvedBackends, file_name: &str| {
@@ -56,8 +56,8 @@
             },
             _ = check_ticks.tick() => {
                 // Records a finished check before the cluster decides whether it needs another one.
-                inventory.last_check().into_iter().for_each(|started| cluster.looked(started));
-                if cluster.wants_look() {
+                inventory.last_check().into_iter().for_each(|started| cluster.record_membership_read(started));
+                if cluster.needs_membership_read() {
                     inventory.request_check();
                 }
             }
