--- a/crates/dewpier/src/config/mod.rs
+++ b/crates/dewpier/src/config/mod.rs
@@ -186,7 +186,7 @@
             idle_close: check_millis(&backends.idle_close_ms, "idle_close_ms", [1, HOUR_MILLIS], 30_000)?,
             handshake_price: check_number(&backends.handshake_price, "handshake_price", [0.0, 1.0], 0.0)?,
             drain_grace,
-            max_open: check_integer(&limits.max_open, "max_open", [1, 1_000_000], 10_000)? as usize,
+            max_open_requests: check_integer(&limits.max_open, "max_open", [1, 1_000_000], 10_000)? as usize,
         };
         let max_retry_after =
             check_millis(&limits.max_retry_after_ms, "max_retry_after_ms", [0, HOUR_MILLIS], 1000)?;
--- a/crates/dewpier/src/config/planners.rs
+++ b/crates/dewpier/src/config/planners.rs
@@ -5,7 +5,7 @@
 use super::secured::{RawTls, check_drain_bound, check_secure_address, check_tls, check_within_drain_bound};
 use dewpier_plan::io::CertificateFiles;
 use dewpier_plan::{DrainBound, MAX_NAME_BYTES, MAX_NODES, MAX_PLANNERS};
-use gannetproxy::engine::MOST_HELD;
+use gannetproxy::engine::MAX_QUEUED_SECONDS;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -75,7 +75,8 @@
         drain_bound.heartbeat_range(),
         drain_bound.default_heartbeat(),
     )?;
-    let allowed_spreads = drain_bound.spread_range(heartbeat_interval, Duration::from_secs_f64(MOST_HELD));
+    let allowed_spreads =
+        drain_bound.spread_range(heartbeat_interval, Duration::from_secs_f64(MAX_QUEUED_SECONDS));
     let default_spread = drain_bound.remaining_lease(heartbeat_interval);
     let own_watch_spread = check_within_drain_bound(
         &raw.own_watch_spread_ms,
--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -10,7 +10,7 @@
 use dewpier_verdicts::{
     End, Kind, Known, Member, NodeId, Origin, Report, Rulings, Says, Snapshot, SnapshotError, Verdicts, When,
 };
-use gannetproxy::engine::{Engine, Seen, Upstream};
+use gannetproxy::engine::{AttemptEvent, Engine, Upstream};
 use gannetproxy::{BackendId, Outcome};
 use serde::Serialize;
 use std::cell::RefCell;
@@ -217,16 +217,16 @@
     /// Records the begin and end of every attempt of an engine as evidence.
     pub fn observe_attempts<U: Upstream>(self: &Rc<Self>, engine: &Engine<U>) {
         let fleet = self.clone();
-        engine.observe(move |id, attempt, event| {
+        engine.set_observer(move |id, attempt, event| {
             let now = fleet.now();
             let mut state = fleet.state.borrow_mut();
             match event {
-                Seen::Began(backend, class) => {
+                AttemptEvent::Started(backend, class) => {
                     if let Some(node) = state.nodes.get(&backend).copied() {
                         state.verdicts.began((id.0, attempt), node, class, now);
                     }
                 }
-                Seen::Ended(outcome) => {
+                AttemptEvent::Ended(outcome) => {
                     let end = match outcome {
                         Outcome::Served => End::Served,
                         Outcome::Error | Outcome::Reset => End::Failed,
@@ -267,7 +267,7 @@
                 rounds.tick().await;
                 let changed = self.update_verdicts();
                 if !changed.is_empty() {
-                    engine.believe(&changed);
+                    engine.apply_backend_hints(&changed);
                 }
             }
         };
--- a/crates/dewpier/src/list_updater.rs
+++ b/crates/dewpier/src/list_updater.rs
@@ -8,7 +8,7 @@
 use dewpier_inventory::{Backend, State};
 use dewpier_plan::{Digest, MAX_DIGEST_NODES};
 use gannetproxy::BackendId;
-use gannetproxy::engine::{Counts, Engine, Lease, News, Upstream};
+use gannetproxy::engine::{BackendCounts, BackendListUpdate, Engine, Lease, Upstream};
 use std::cmp::Reverse;
 use std::collections::HashMap;
 use std::collections::hash_map::RandomState;
@@ -53,8 +53,8 @@
         let update =
             self.members.update_nodes(&as_pairs(&first_list), &self.source.node_ages(), engine.clock().now());
         self.fleet.iter().for_each(|fleet| fleet.set_nodes(self.members.nodes()));
-        engine.news(match update {
-            News::Full(list) => News::Remembered(list),
+        engine.update_list(match update {
+            BackendListUpdate::Full(list) => BackendListUpdate::Remembered(list),
             other => other,
         });
         self.source.mark_applied();
@@ -74,14 +74,14 @@
                     Ok(list) => {
                         let update = members.update_nodes(&as_pairs(&list), &source.node_ages(), engine.clock().now());
                         fleet.iter().for_each(|fleet| fleet.set_nodes(members.nodes()));
-                        engine.news(update);
+                        engine.update_list(update);
                         source.mark_applied();
-                        members.forget_unknown_ids(|id| engine.knows(id));
+                        members.forget_unknown_ids(|id| engine.has_backend(id));
                         eprintln!("dewpier: {}", summarize(&list, source.source_name()));
                     }
                     Err(reason) => eprintln!("dewpier: the last good list serves on: {reason}"),
                 },
-                latest = ListSource::next_budgets(&mut budgets) => engine.news(members.update_budgets(latest)),
+                latest = ListSource::next_budgets(&mut budgets) => engine.update_list(members.update_budgets(latest)),
                 _ = digest_ticks.tick(), if digests.is_some() => {
                     let interval = last_digest.elapsed();
                     last_digest = Instant::now();
@@ -101,7 +101,7 @@
 
 /// Builds the digest for planners: counts by node for the nodes that were sent most, and a sum for the others.
 fn build_digest(
-    mut counts_by_id: Vec<(BackendId, Counts)>,
+    mut counts_by_id: Vec<(BackendId, BackendCounts)>,
     names: &HashMap<BackendId, &str>,
     interval: Duration,
 ) -> Digest {
@@ -118,7 +118,7 @@
                 sent: counts.sent,
                 served: counts.served,
                 failed: counts.failed,
-                served_ms: (counts.took * 1000.0) as u64,
+                served_ms: (counts.served_time * 1000.0) as u64,
             }),
             _ => digest.other_served = digest.other_served.saturating_add(counts.served),
         }
--- a/crates/dewpier/src/lists/gated_lease.rs
+++ b/crates/dewpier/src/lists/gated_lease.rs
@@ -19,7 +19,7 @@
     /// A lease that has expired until a planner grants one.
     pub(super) fn new(start: Instant) -> Rc<Self> {
         let lease = Rc::new(Lease::default());
-        lease.set(Some(start));
+        lease.set_expiry(Some(start));
         Rc::new(Self { lease, expires_at: Cell::new(Some(start)), is_list_pending: Cell::new(false) })
     }
 
@@ -32,7 +32,7 @@
     pub(super) fn set_expiry(&self, expires_at: Option<Instant>) {
         self.expires_at.set(expires_at);
         if !self.is_list_pending.get() {
-            self.lease.set(expires_at);
+            self.lease.set_expiry(expires_at);
         }
     }
 
@@ -44,6 +44,6 @@
     /// Records that the latest list is applied and lets the held expiry take effect.
     pub(super) fn mark_applied(&self) {
         self.is_list_pending.set(false);
-        self.lease.set(self.expires_at.get());
+        self.lease.set_expiry(self.expires_at.get());
     }
 }
--- a/crates/dewpier/src/members.rs
+++ b/crates/dewpier/src/members.rs
@@ -2,10 +2,10 @@
 //! or have left. No I/O.
 
 use crate::fleet::FleetNode;
-use dewpier_http::listing::{self, Names};
+use dewpier_http::listing::{self, BackendIds};
 use dewpier_inventory::{Backend, State};
 use dewpier_verdicts::NodeId;
-use gannetproxy::engine::{Listed, News};
+use gannetproxy::engine::{BackendListUpdate, ListedBackend};
 use gannetproxy::{BackendEntry, Status, Time};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 /// The nodes of the last list. The inventory's limit bounds their number, as nodes that leave are removed.
 #[derive(Debug)]
 pub struct Members {
-    names: Names,
+    backend_ids: BackendIds,
     zones: Vec<String>,
     members: HashMap<String, Member>,
     is_first_list: bool,
@@ -37,7 +37,7 @@
     /// No nodes yet. `zones` already have indexes, in this order.
     pub fn new(zones: Vec<String>) -> Self {
         Self {
-            names: Names::new(Vec::new()),
+            backend_ids: BackendIds::new(Vec::new()),
             zones,
             members: HashMap::new(),
             is_first_list: true,
@@ -54,7 +54,7 @@
         list: &[(&Backend, SocketAddr)],
         ages: &HashMap<String, f64>,
         now: Time,
-    ) -> News {
+    ) -> BackendListUpdate {
         let previous = std::mem::take(&mut self.members);
         let mut listed = Vec::with_capacity(list.len());
         for (backend, address) in list {
@@ -70,7 +70,7 @@
                 (None, None) => Some(now),
             };
             let entry = BackendEntry {
-                id: self.names.id(&backend.id),
+                id: self.backend_ids.id_for(&backend.id),
                 cell: backend.cell,
                 zone: self.zone_index(&backend.zone),
                 weight: if backend.weight > 0.0 { backend.weight } else { 1.0 },
@@ -80,14 +80,14 @@
             };
             let member = Member { entry: entry.clone(), address: *address, serving };
             self.members.insert(backend.id.clone(), member);
-            listed.push(Listed { entry, address: *address });
+            listed.push(ListedBackend { entry, address: *address });
         }
         self.is_first_list = false;
-        News::Full(listed)
+        BackendListUpdate::Full(listed)
     }
 
     /// Takes the planners' new budgets of cold nodes and returns an update with the nodes whose budget has changed.
-    pub fn update_budgets(&mut self, budgets: HashMap<String, f64>) -> News {
+    pub fn update_budgets(&mut self, budgets: HashMap<String, f64>) -> BackendListUpdate {
         let previous = std::mem::replace(&mut self.budgets, budgets);
         let mut changed = Vec::new();
         for id in previous.keys().chain(self.budgets.keys()) {
@@ -95,10 +95,10 @@
             let budget = self.budgets.get(id).copied();
             if member.entry.usual_rate != budget {
                 member.entry.usual_rate = budget;
-                changed.push(Listed { entry: member.entry.clone(), address: member.address });
+                changed.push(ListedBackend { entry: member.entry.clone(), address: member.address });
             }
         }
-        News::Changes(changed)
+        BackendListUpdate::Changes(changed)
     }
 
     /// The listed nodes as the fleet identifies them.
@@ -120,7 +120,7 @@
 
     /// Frees the backend ids that `is_known` rejects.
     pub fn forget_unknown_ids(&mut self, is_known: impl Fn(gannetproxy::BackendId) -> bool) {
-        self.names.forget(is_known);
+        self.backend_ids.retain(is_known);
     }
 
     /// The index of a zone.
@@ -137,11 +137,11 @@
     use super::*;
     use dewpier_inventory::Options;
 
-    fn apply_list(members: &mut Members, text: &str, now: Time) -> Vec<Listed> {
+    fn apply_list(members: &mut Members, text: &str, now: Time) -> Vec<ListedBackend> {
         let inventory = dewpier_inventory::read(text.as_bytes(), "n.csv", &Options::default()).unwrap();
         let backends: Vec<_> = inventory.backends.iter().map(|b| (b, b.address.socket().unwrap())).collect();
         match members.update_nodes(&backends, &HashMap::new(), now) {
-            News::Full(list) => list,
+            BackendListUpdate::Full(list) => list,
             other => panic!("{other:?}"),
         }
     }
@@ -163,7 +163,8 @@
     #[test]
     fn returning_nodes_are_cold_and_remaining_ones_are_not() {
         let mut members = Members::new(Vec::new());
-        let started = |list: &[Listed]| list.iter().map(|listed| listed.entry.started).collect::<Vec<_>>();
+        let started =
+            |list: &[ListedBackend]| list.iter().map(|listed| listed.entry.started).collect::<Vec<_>>();
         let row = |state: &str| format!("id,address,state\na,10.0.0.1:1,\nb,10.0.0.1:2,{state}\n");
         assert_eq!(started(&apply_list(&mut members, &row("serving"), 0.0)), [None, None]);
         let drained = apply_list(&mut members, &row("draining"), 1.0);
@@ -191,10 +192,10 @@
         let inventory = inventory.unwrap();
         let backends: Vec<_> = inventory.backends.iter().map(|b| (b, b.address.socket().unwrap())).collect();
         let ages = HashMap::from([("b".to_string(), 3.0)]);
-        let News::Full(list) = members.update_nodes(&backends, &ages, 10.0) else { panic!() };
+        let BackendListUpdate::Full(list) = members.update_nodes(&backends, &ages, 10.0) else { panic!() };
         assert_eq!([list[0].entry.started, list[1].entry.started], [None, Some(7.0)]);
         // An age does not replace a start that is already known.
-        let News::Full(list) =
+        let BackendListUpdate::Full(list) =
             members.update_nodes(&backends, &HashMap::from([("a".to_string(), 0.0)]), 12.0)
         else {
             panic!()
@@ -202,7 +203,7 @@
         assert_eq!([list[0].entry.started, list[1].entry.started], [None, Some(7.0)]);
         let mut changed_budgets = |budgets: &[(&str, f64)]| {
             let budgets = budgets.iter().map(|(id, rate)| (id.to_string(), *rate)).collect();
-            let News::Changes(list) = members.update_budgets(budgets) else { panic!() };
+            let BackendListUpdate::Changes(list) = members.update_budgets(budgets) else { panic!() };
             list.iter().map(|listed| listed.entry.usual_rate).collect::<Vec<_>>()
         };
         assert_eq!(changed_budgets(&[("b", 5.0), ("unknown", 1.0)]), [Some(5.0)]);
--- a/crates/dewpier/src/mysql.rs
+++ b/crates/dewpier/src/mysql.rs
@@ -6,7 +6,7 @@
 use crate::lists::ListSource;
 use dewpier_mysql::io::{Front, MySql, Role};
 use dewpier_mysql::login::Credentials;
-use gannetproxy::engine::{Bounds, Budget, Engine};
+use gannetproxy::engine::{Budget, Engine, EngineLimits};
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
@@ -47,9 +47,15 @@
             own: credentials.clone(),
             role,
         };
-        let bounds = Bounds { drain_grace: config.drain_grace, max_open: config.front.most_sessions };
-        let engine =
-            Engine::leased(config.settings.clone(), bounds, random_seed(), upstream, list_updater.lease());
+        let limits =
+            EngineLimits { drain_grace: config.drain_grace, max_open_requests: config.front.most_sessions };
+        let engine = Engine::start_with_lease(
+            config.settings.clone(),
+            limits,
+            random_seed(),
+            upstream,
+            list_updater.lease(),
+        );
         list_updater.apply_first_list(&engine);
         Ok(Self { list_updater, engine })
     }
--- a/crates/dewpier/src/platform.rs
+++ b/crates/dewpier/src/platform.rs
@@ -1,10 +1,10 @@
 //! Runs the platform's proxy: starts it, reloads its configuration on SIGHUP and stops it on SIGTERM.
 
 use crate::takeover;
-use dewpier_http::backend::{Answers, Http, Reuse};
-use dewpier_http::config::{Config, ConfigError, Wins};
+use dewpier_http::backend::{HttpUpstream, ResponsePolicy, ReusePolicy};
+use dewpier_http::config::{Config, ConfigError, DiscoveryPrecedence};
 use dewpier_http::discovery::Discovery;
-use dewpier_http::limits::{Budget, Caps};
+use dewpier_http::limits::{Budget, ResourceLimits};
 use dewpier_http::request::Dialect;
 use dewpier_http::server::{self, Server};
 use dewpier_operate::io as operators;
@@ -36,7 +36,7 @@
     // Installed first, because a signal without a handler ends the process.
     let mut hangup = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
-    let config = Config::from_env(Wins::Environment)?;
+    let config = Config::from_env(DiscoveryPrecedence::Environment)?;
     let handover_path = takeover::handover_path(config.listen);
     let (listener, mut predecessor) =
         takeover::take_over_listener(config.listen, handover_path.as_deref()).await?;
@@ -49,17 +49,17 @@
         eprintln!("dewpier: operators call at {}", operator_listener.local_addr()?);
     }
     let metrics = Metrics::new(config.wire.classes.clone());
-    let caps = Caps::new(config.sockets, config.memory);
-    let upstream = Http {
-        connections: Budget::new(caps.backends),
+    let limits = ResourceLimits::new(config.sockets, config.memory);
+    let upstream = HttpUpstream {
+        connections: Budget::new(limits.backend_connections),
         connect_timeout: config.wire.connect_timeout,
         idle_close: config.wire.idle_close,
         probe_path: if config.settings.probe_for_reports { "/-/load" } else { "/-/healthy" },
-        reuse: Reuse::new(config.wire.handshake_price),
-        answers: Answers::Platform,
-        attempts: metrics.attempt_counter(),
+        reuse_policy: ReusePolicy::new(config.wire.handshake_price),
+        response_policy: ResponsePolicy::Platform,
+        attempt_counter: metrics.attempt_counter(),
     };
-    let engine = Engine::start(config.settings.clone(), config.wire.bounds(), config.seed, upstream);
+    let engine = Engine::start(config.settings.clone(), config.wire.engine_limits(), config.seed, upstream);
     let discovery = Discovery::start(
         config.discovery,
         config.known,
@@ -71,34 +71,36 @@
     if predecessor.is_running() {
         // Starts the watch without the random delay that spreads proxies starting together: a successor starts alone,
         // and would use an outdated list meanwhile.
-        discovery.watch(true);
+        discovery.set_watching(true);
     }
     let reloading = async move {
         while hangup.recv().await.is_some() {
             // An invalid configuration leaves the current one in use.
-            match Config::from_env(Wins::File) {
-                Ok(config) => discovery.move_to(config.discovery),
+            match Config::from_env(DiscoveryPrecedence::File) {
+                Ok(config) => discovery.change_address(config.discovery),
                 Err(error) => eprintln!("dewpier: not reloaded: {error}"),
             }
         }
         std::future::pending().await
     };
-    let server = Server::new(engine, config.settings, config.wire, Dialect::Platform, caps, metrics);
+    let server = Server::new(engine, config.settings, config.wire, Dialect::Platform, limits, metrics);
     let answering = server.clone();
     let operating = async move {
         match operator_listener {
-            Some(listener) => operators::serve(listener, Rc::new(move |call| answering.operate(call))).await,
+            Some(listener) => {
+                operators::serve(listener, Rc::new(move |call| answering.handle_operator_call(call))).await
+            }
             None => std::future::pending().await,
         }
     };
     // The limits are shared with the predecessor.
-    server.beside(predecessor.is_running());
+    server.update_limit_sharing(predecessor.is_running());
     let (serving_server, may_hand_over) = (server.clone(), Notify::new());
     let serving = async {
         if predecessor.shares_accept_queue() {
             // Until there is a backend list, the predecessor accepts the connections.
             let listed = async {
-                while !serving_server.listed() {
+                while !serving_server.has_list() {
                     tokio::time::sleep(LIST_CHECK_INTERVAL).await;
                 }
             };
@@ -114,7 +116,7 @@
         }
         let predecessor_exited = async {
             predecessor.wait_for_exit().await;
-            serving_server.beside(false);
+            serving_server.update_limit_sharing(false);
             std::future::pending().await
         };
         tokio::select! {
--- a/crates/dewpier/src/run.rs
+++ b/crates/dewpier/src/run.rs
@@ -8,8 +8,8 @@
 use crate::list_updater::{ListUpdater, random_seed};
 use crate::lists::ListSource;
 use crate::mysql::MySqlService;
-use dewpier_http::backend::{Answers, Http, Reuse};
-use dewpier_http::limits::{Budget, Caps};
+use dewpier_http::backend::{HttpUpstream, ResponsePolicy, ReusePolicy};
+use dewpier_http::limits::{Budget, ResourceLimits};
 use dewpier_http::request::Dialect;
 use dewpier_http::server::{self, Server};
 use dewpier_operate::io as operators;
@@ -76,15 +76,15 @@
     let mut list_updater = ListUpdater::start(source, wire.zones.clone()).await?;
 
     let metrics = Metrics::new(wire.classes.clone());
-    let caps = Caps::new(max_descriptors, memory_bytes);
-    let upstream = Http {
-        connections: Budget::new(caps.backends),
+    let limits = ResourceLimits::new(max_descriptors, memory_bytes);
+    let upstream = HttpUpstream {
+        connections: Budget::new(limits.backend_connections),
         connect_timeout: wire.connect_timeout,
         idle_close: wire.idle_close,
         probe_path: "/-/healthy",
-        reuse: Reuse::new(wire.handshake_price),
-        answers: Answers::Plain,
-        attempts: metrics.attempt_counter(),
+        reuse_policy: ReusePolicy::new(wire.handshake_price),
+        response_policy: ResponsePolicy::Plain,
+        attempt_counter: metrics.attempt_counter(),
     };
     let listener = server::bind(listen)?;
     let address = listener.local_addr()?;
@@ -92,8 +92,13 @@
     if let Some(operator_listener) = &operator_listener {
         eprintln!("dewpier: operators call at {}", operator_listener.local_addr()?);
     }
-    let engine =
-        Engine::leased(settings.clone(), wire.bounds(), random_seed(), upstream, list_updater.lease());
+    let engine = Engine::start_with_lease(
+        settings.clone(),
+        wire.engine_limits(),
+        random_seed(),
+        upstream,
+        list_updater.lease(),
+    );
     let carrier = fleet.as_ref().map(|config| config.carrier.clone());
     let fleet = fleet.map(|config| Fleet::start(config, &zone, wire.classes.clone()));
     let transport = match carrier {
@@ -110,11 +115,11 @@
         None => None,
     };
     on_listening(address);
-    let server = Server::new(engine.clone(), settings, wire, Dialect::Plain(routes), caps, metrics);
+    let server = Server::new(engine.clone(), settings, wire, Dialect::Plain(routes), limits, metrics);
     let (answering_server, answering_fleet) = (server.clone(), fleet.clone());
     let answer = move |call| match &answering_fleet {
-        Some(fleet) => fleet.operate(call, |call| answering_server.operate(call)),
-        None => answering_server.operate(call),
+        Some(fleet) => fleet.operate(call, |call| answering_server.handle_operator_call(call)),
+        None => answering_server.handle_operator_call(call),
     };
     let operating = async move {
         match operator_listener {
--- a/crates/dewpier/src/takeover.rs
+++ b/crates/dewpier/src/takeover.rs
@@ -102,7 +102,7 @@
     };
     let started = tokio::time::Instant::now();
     loop {
-        match server::bind_beside(address) {
+        match server::bind_shared(address) {
             Err(error)
                 if error.kind() == io::ErrorKind::AddrInUse && started.elapsed() < BIND_RETRY_DURATION =>
             {
@@ -140,14 +140,14 @@
 /// Performs the actions of a handover that concern this process.
 fn action_handler(server: Rc<Server>, successor_exited: Rc<Notify>) -> impl Fn(Action) + 'static {
     move |action| match action {
-        Action::ShareLimits(on) => server.beside(on),
+        Action::ShareLimits(on) => server.update_limit_sharing(on),
         Action::StopAccepting => {
             tracing::info!("a newer process accepts the connections to the address now");
             server.hand_over();
         }
         Action::ResumeAccepting => {
             tracing::warn!("the newer process has exited, taking clients again");
-            server.take_back();
+            server.resume_accepting();
             successor_exited.notify_one();
         }
         Action::SendSocket(_) | Action::SendMessage(..) | Action::Disconnect(_) => {}
