--- a/crates/dewpier/src/config/fleet.rs
+++ b/crates/dewpier/src/config/fleet.rs
@@ -206,12 +206,12 @@
         );
     }
     let verdict_settings = dewpier_verdicts::Settings {
-        stale,
+        max_evidence_age: stale,
         quorum,
-        most_out: check_number(&raw.most_out, "most_out", [0.0, 0.9], 0.3)?,
+        max_ejected: check_number(&raw.most_out, "most_out", [0.0, 0.9], 0.3)?,
         slow_factor: check_number(&raw.slow_factor, "slow_factor", [1.5, 100.0], 4.0)?,
         silent_after: check_millis(&raw.silent_after_ms, "silent_after_ms", [20, 60_000], 1000)?,
-        proxies,
+        fleet_size: proxies,
         ..dewpier_verdicts::Settings::default()
     };
     let carrier = match check_address(&raw.listen, "listen", uses_planners, raw.name.span())? {
--- a/crates/dewpier/src/config/planner.rs
+++ b/crates/dewpier/src/config/planner.rs
@@ -62,7 +62,7 @@
         Self::parse(&read_text(path)?, path)
     }
 
-    /// Parses and checks the text of a configuration file. CertificateFiles that it names are relative to the folder of `path`.
+    /// Parses and checks the text of a configuration file. Files that it names are relative to the folder of `path`.
     pub fn parse(text: &str, path: &Path) -> Result<Self, ConfigError> {
         parse(text, path, Self::check)
     }
--- a/crates/dewpier/src/config/tests.rs
+++ b/crates/dewpier/src/config/tests.rs
@@ -70,7 +70,7 @@
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/fleet.toml");
     let fleet = Config::read(Path::new(example)).unwrap().fleet.unwrap();
     assert_eq!(
-        (fleet.name.as_str(), fleet.verdict_settings.proxies, fleet.verdict_settings.quorum),
+        (fleet.name.as_str(), fleet.verdict_settings.fleet_size, fleet.verdict_settings.quorum),
         ("proxy-1", 2, 2)
     );
     let Carrier::Datagrams { listen, peer_addresses } = fleet.carrier else { panic!("{:?}", fleet.carrier) };
@@ -199,7 +199,7 @@
     let fleet = read(&minimal).unwrap().fleet.unwrap();
     // The list may contain the proxy itself, which is then not its own peer.
     assert_eq!(
-        (fleet.peers.len(), fleet.verdict_settings.proxies, fleet.send_interval.as_millis()),
+        (fleet.peers.len(), fleet.verdict_settings.fleet_size, fleet.send_interval.as_millis()),
         (1, 2, 250)
     );
     assert_eq!(fleet.verdict_settings.quorum, 2, "two proxies need a quorum of both");
--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -6,9 +6,10 @@
 use crate::fleet_transport::FleetTransport;
 use crate::snapshot_file;
 use dewpier_operate::calls::{self, Call};
-use dewpier_peers::{Name, Peers, Process};
+use dewpier_peers::{Peers, Process, ProxyId};
 use dewpier_verdicts::{
-    End, Kind, Known, Member, NodeId, Origin, Report, Rulings, Says, Snapshot, SnapshotError, Verdicts, When,
+    AttemptEnd, BootTime, Kind, ListedNode, LiveState, NodeId, OperatorOverrides, OverrideKind, ProcessId,
+    Snapshot, SnapshotError, VerdictSummary, Verdicts,
 };
 use gannetproxy::engine::{AttemptEvent, Engine, Upstream};
 use gannetproxy::{BackendId, Outcome};
@@ -48,14 +49,14 @@
 struct State {
     peers: Peers,
     verdicts: Verdicts,
-    rulings: Rulings,
+    overrides: OperatorOverrides,
     nodes: HashMap<BackendId, NodeId>,
     names: HashMap<NodeId, (BackendId, String)>,
     /// The verdicts that the decision module was given as hints. Keyed by backend id, as a node may leave the list or
     /// change its address before its hint is withdrawn.
     hinted: HashMap<BackendId, Kind>,
     /// The snapshot of a predecessor, its age when it was read, and when that was. Present until the first list.
-    unrestored: Option<(Snapshot, Duration, When)>,
+    unrestored: Option<(Snapshot, Duration, BootTime)>,
     snapshot_counts: SnapshotCounts,
 }
 
@@ -73,7 +74,7 @@
     state: RefCell<State>,
     config: FleetConfig,
     start: Instant,
-    own_id: Name,
+    own_id: ProxyId,
     classes: Vec<String>,
 }
 
@@ -82,10 +83,10 @@
 
 /// A verdict as printed for operators.
 #[derive(Serialize)]
-struct NamedReport {
+struct NamedSummary {
     node: String,
     #[serde(flatten)]
-    report: Report,
+    summary: VerdictSummary,
 }
 
 impl Fleet {
@@ -96,27 +97,27 @@
         let now = clock_offset(&config);
         // Zero is reserved.
         let incarnation = (crate::list_updater::random_seed() as u32).max(1);
-        let own_process = Process { name: Name::of(&config.name), life: incarnation };
-        let others: Vec<Name> = config.peers.iter().map(|name| Name::of(name)).collect();
-        let partners = dewpier_peers::partners(own_process.name, &others).len();
+        let own_process = Process { proxy: ProxyId::from_name(&config.name), incarnation };
+        let others: Vec<ProxyId> = config.peers.iter().map(|name| ProxyId::from_name(name)).collect();
+        let partners = dewpier_peers::partners(own_process.proxy, &others).len();
         let send_rate = partners.max(1) as f64 / config.send_interval.as_secs_f64();
         let peers = Peers::new(
             dewpier_peers::Settings {
-                me: own_process,
-                others,
-                every: config.send_interval,
-                stale: config.verdict_settings.window(),
-                most_taken: (RECEIVE_RATE_FACTOR * send_rate).ceil() as u32,
+                own_process,
+                fleet: others,
+                send_interval: config.send_interval,
+                max_echo_age: config.verdict_settings.window(),
+                max_datagrams_per_second: (RECEIVE_RATE_FACTOR * send_rate).ceil() as u32,
                 key: config.key.clone(),
             },
             now,
         );
         let verdicts =
             Verdicts::new(config.verdict_settings.clone(), own_process, zone, classes.len(), partners, now);
-        let rulings = Rulings::new(Origin::of(own_process));
+        let overrides = OperatorOverrides::new(ProcessId::from_process(own_process));
         let (nodes, names, hinted) = (HashMap::new(), HashMap::new(), HashMap::new());
         let unrestored = config.snapshot_file.as_deref().and_then(|path| {
-            match read_snapshot(path, &config, own_process.name) {
+            match read_snapshot(path, &config, own_process.proxy) {
                 Ok(unrestored) => unrestored,
                 Err(error) => {
                     tracing::warn!(file = %path.display(), error, "restoring the snapshot failed");
@@ -125,8 +126,8 @@
             }
         });
         let snapshot_counts = SnapshotCounts::default();
-        let state = State { peers, verdicts, rulings, nodes, names, hinted, unrestored, snapshot_counts };
-        Rc::new(Self { state: RefCell::new(state), config, start, own_id: own_process.name, classes })
+        let state = State { peers, verdicts, overrides, nodes, names, hinted, unrestored, snapshot_counts };
+        Rc::new(Self { state: RefCell::new(state), config, start, own_id: own_process.proxy, classes })
     }
 
     /// The time on this process's clock; see [`clock_offset`].
@@ -140,19 +141,20 @@
         // Read first, so that the snapshot's contents may come out older than they are, but never younger.
         let now = self.now();
         let age = match snapshot_file::now() {
-            Ok(boot_time) => age_when_read + boot_time.at.saturating_sub(read_at.at),
+            Ok(boot_time) => age_when_read + boot_time.since_boot.saturating_sub(read_at.since_boot),
             Err(error) => return tracing::warn!(%error, "restoring the snapshot failed"),
         };
-        let State { verdicts, rulings, .. } = state;
-        let others: HashSet<Name> = self.config.peers.iter().map(|name| Name::of(name)).collect();
-        let mut known = Known { verdicts, rulings, classes: &self.classes };
-        let restored = snapshot.take_up(&mut known, |name| others.contains(&name), age, now);
+        let State { verdicts, overrides, .. } = state;
+        let others: HashSet<ProxyId> =
+            self.config.peers.iter().map(|name| ProxyId::from_name(name)).collect();
+        let mut live_state = LiveState { verdicts, overrides, classes: &self.classes };
+        let restored = snapshot.restore(&mut live_state, |name| others.contains(&name), age, now);
         tracing::info!(
             age_ms = age.as_millis() as u64,
-            attempts = restored.seen,
-            reports = restored.words,
+            attempts = restored.attempt_counts,
+            reports = restored.reports,
             verdicts = restored.verdicts,
-            overrides = restored.rulings,
+            overrides = restored.overrides,
             "restored the snapshot of the previous process"
         );
     }
@@ -161,9 +163,9 @@
     fn build_snapshot(&self) -> Result<Vec<u8>, String> {
         let boot_time = snapshot_file::now().map_err(|error| error.to_string())?;
         let now = self.now();
-        let State { verdicts, rulings, .. } = &mut *self.state.borrow_mut();
-        let snapshot = Snapshot::of(&Known { verdicts, rulings, classes: &self.classes }, now);
-        snapshot.write(&self.config.key, self.own_id, boot_time).map_err(|error| error.to_string())
+        let State { verdicts, overrides, .. } = &mut *self.state.borrow_mut();
+        let snapshot = Snapshot::capture(&LiveState { verdicts, overrides, classes: &self.classes }, now);
+        snapshot.encode(&self.config.key, self.own_id, boot_time).map_err(|error| error.to_string())
     }
 
     /// Writes a snapshot at every interval until it is dropped, one at a time: a stalled disk delays only the next
@@ -205,8 +207,8 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let serving = list.iter().filter(|node| node.serving);
-        let listed = serving.map(|node| Member { node: node.id, cell: node.cell }).collect();
-        state.verdicts.list(listed, now);
+        let listed = serving.map(|node| ListedNode { node: node.id, cell: node.cell }).collect();
+        state.verdicts.set_nodes(listed, now);
         if !list.is_empty() {
             self.restore_snapshot(&mut state);
         }
@@ -223,19 +225,19 @@
             match event {
                 AttemptEvent::Started(backend, class) => {
                     if let Some(node) = state.nodes.get(&backend).copied() {
-                        state.verdicts.began((id.0, attempt), node, class, now);
+                        state.verdicts.record_start((id.0, attempt), node, class, now);
                     }
                 }
                 AttemptEvent::Ended(outcome) => {
                     let end = match outcome {
-                        Outcome::Served => End::Served,
-                        Outcome::Error | Outcome::Reset => End::Failed,
-                        Outcome::NoConnection => End::Unreached,
-                        Outcome::Timeout => End::Silent,
-                        Outcome::Cancelled => End::GivenUp,
-                        Outcome::Rejected | Outcome::NeverSent => End::Untold,
+                        Outcome::Served => AttemptEnd::Served,
+                        Outcome::Error | Outcome::Reset => AttemptEnd::Failed,
+                        Outcome::NoConnection => AttemptEnd::Unreached,
+                        Outcome::Timeout => AttemptEnd::Silent,
+                        Outcome::Cancelled => AttemptEnd::Cancelled,
+                        Outcome::Rejected | Outcome::NeverSent => AttemptEnd::Inconclusive,
                     };
-                    state.verdicts.ended((id.0, attempt), end, now);
+                    state.verdicts.record_end((id.0, attempt), end, now);
                 }
             }
         });
@@ -255,9 +257,9 @@
             self.config.send_interval,
             || self.now(),
             |step| {
-                let State { peers, verdicts, rulings, .. } = &mut *self.state.borrow_mut();
+                let State { peers, verdicts, overrides, .. } = &mut *self.state.borrow_mut();
                 // Operator overrides are small and go first.
-                step(peers, &mut [rulings, verdicts]);
+                step(peers, &mut [overrides, verdicts]);
             },
         );
         let updating_hints = async {
@@ -282,12 +284,12 @@
     fn update_verdicts(&self) -> Vec<(BackendId, f64)> {
         let now = self.now();
         let state = &mut *self.state.borrow_mut();
-        state.verdicts.answering(state.peers.answering(now));
-        state.rulings.tick(now);
-        state.verdicts.ruled(state.rulings.all(now), now);
+        state.verdicts.set_answering_partners(state.peers.count_answering_partners(now));
+        state.overrides.tick(now);
+        state.verdicts.set_overrides(state.overrides.active(now), now);
         state.verdicts.tick(now);
         let mut current = HashMap::new();
-        for (node, kind) in state.verdicts.avoided(now) {
+        for (node, kind) in state.verdicts.avoided_nodes(now) {
             if let Some((backend, name)) = state.names.get(&node) {
                 if state.hinted.get(backend) != Some(&kind) {
                     tracing::info!(node = %name, verdict = ?kind, "avoiding a node on the fleet's verdict");
@@ -326,11 +328,11 @@
             );
         };
         let (kind, seconds) = match action {
-            calls::NodeOverride::Avoid(seconds) => (Some(Says::Avoid), seconds),
-            calls::NodeOverride::Trust(seconds) => (Some(Says::Trust), seconds),
+            calls::NodeOverride::Avoid(seconds) => (Some(OverrideKind::Avoid), seconds),
+            calls::NodeOverride::Trust(seconds) => (Some(OverrideKind::Trust), seconds),
             calls::NodeOverride::AsSeen => (None, 0),
         };
-        match state.rulings.rule(id, kind, Duration::from_secs(seconds), now) {
+        match state.overrides.set(id, kind, Duration::from_secs(seconds), now) {
             Ok(()) => {
                 tracing::info!(node, ?kind, seconds, "an operator overrides the verdict on a node");
                 "YES all proxies that hear this one go by it\n".into()
@@ -339,50 +341,50 @@
         }
     }
 
-    /// The reports on nodes with their names.
-    fn named_reports(&self) -> Vec<NamedReport> {
+    /// The verdict summaries with the names of their nodes.
+    fn named_summaries(&self) -> Vec<NamedSummary> {
         let state = self.state.borrow();
         let name = |node| state.names.get(&node).map_or(String::new(), |(_, name)| name.clone());
-        let reports = state.verdicts.reports(self.now()).into_iter();
-        reports.map(|report| NamedReport { node: name(report.node), report }).collect()
+        let summaries = state.verdicts.summaries(self.now()).into_iter();
+        summaries.map(|summary| NamedSummary { node: name(summary.node), summary }).collect()
     }
 
     /// Formats the verdicts as text, followed by the line `END`.
     fn format_verdicts(&self) -> String {
         let mut text = String::new();
-        for NamedReport { node, report: r } in self.named_reports() {
-            let state = match (r.out, r.tries) {
+        for NamedSummary { node, summary } in self.named_summaries() {
+            let state = match (summary.ejected, summary.sends_trials) {
                 (true, true) => "out, tried from here",
                 (true, false) => "out",
-                (false, _) if r.ruling.is_some() => "not out: an operator says so",
+                (false, _) if summary.operator_override.is_some() => "not out: an operator says so",
                 (false, _) => "not out: as many are as may be",
             };
-            if let Some((kind, left)) = r.ruling {
-                let (kind, out) = match (kind, r.out) {
-                    (Says::Avoid, true) => ("avoid", "out"),
-                    (Says::Avoid, false) => ("avoid", "not out: it is the last one of its cell"),
-                    (Says::Trust, _) => ("trust", "not out"),
+            if let Some((kind, left)) = summary.operator_override {
+                let (kind, out) = match (kind, summary.ejected) {
+                    (OverrideKind::Avoid, true) => ("avoid", "out"),
+                    (OverrideKind::Avoid, false) => ("avoid", "not out: it is the last one of its cell"),
+                    (OverrideKind::Trust, _) => ("trust", "not out"),
                 };
                 let _ = writeln!(text, "{node}: {kind}, as an operator says for {left} ms more; {out}");
             }
-            if r.kind == Kind::Ruled {
+            if summary.kind == Kind::Ruled {
                 continue;
             }
-            let kind = format!("{:?}", r.kind).to_lowercase();
+            let kind = format!("{:?}", summary.kind).to_lowercase();
             // Writing to a string does not fail.
             let _ = writeln!(
                 text,
                 "{node}: {kind}, {state}; for {} ms by {} proxies, oldest word {} ms; good {}, unreached {}, failed {}, silent {}, slow {}; odds {:.1}, new at {:.1}",
-                r.for_ms,
-                r.observers,
-                r.oldest_ms,
-                r.good,
-                r.unreached,
-                r.failed,
-                r.silent,
-                r.slow,
-                r.odds,
-                r.needed
+                summary.active_ms,
+                summary.observers,
+                summary.oldest_report_ms,
+                summary.good,
+                summary.unreached,
+                summary.failed,
+                summary.silent,
+                summary.slow,
+                summary.log_odds,
+                summary.required_log_odds
             );
         }
         text + "END\n"
@@ -390,7 +392,7 @@
 
     /// Formats the verdicts as one line of JSON.
     fn format_verdicts_json(&self) -> String {
-        serde_json::to_string(&self.named_reports())
+        serde_json::to_string(&self.named_summaries())
             .map_or_else(|error| format!("NO {error}\n"), |text| text + "\n")
     }
 
@@ -398,24 +400,27 @@
     fn add_metrics(&self, vars: String) -> String {
         let Some(vars) = vars.strip_suffix("END\n") else { return vars };
         let state = self.state.borrow();
-        let (counts, reports) = (&state.peers.counts, state.verdicts.reports(self.now()));
+        let (counts, summaries) = (&state.peers.counts, state.verdicts.summaries(self.now()));
         let mut text = vars.to_string();
         let mut line = |name: &str, value: u64| {
             let _ = writeln!(text, "edge_relay.fleet.{name}={value}");
         };
         line("partners", state.peers.partners().len() as u64);
-        line("partners_answering", state.peers.answering(self.now()) as u64);
+        line("partners_answering", state.peers.count_answering_partners(self.now()) as u64);
         line("datagrams_sent", counts.sent);
         line("bytes_sent", counts.sent_bytes);
-        line("datagrams_taken", counts.taken);
-        for (reason, count) in counts.by_reason() {
+        line("datagrams_taken", counts.accepted);
+        for (reason, count) in counts.rejected_by_reason() {
             line(&format!("datagrams_refused.{}", format!("{reason:?}").to_lowercase()), count);
         }
         line("snapshots_written", state.snapshot_counts.written);
         line("snapshots_failed", state.snapshot_counts.failed);
-        line("verdicts", reports.iter().filter(|r| r.kind != Kind::Ruled).count() as u64);
-        line("rulings", reports.iter().filter(|r| r.ruling.is_some()).count() as u64);
-        line("nodes_out", reports.iter().filter(|r| r.out).count() as u64);
+        line("verdicts", summaries.iter().filter(|summary| summary.kind != Kind::Ruled).count() as u64);
+        line(
+            "rulings",
+            summaries.iter().filter(|summary| summary.operator_override.is_some()).count() as u64,
+        );
+        line("nodes_out", summaries.iter().filter(|summary| summary.ejected).count() as u64);
         text + "END\n"
     }
 }
@@ -423,19 +428,19 @@
 /// The time at which a process's clock starts: restored evidence is older than the process, and its time must not be
 /// negative.
 fn clock_offset(config: &FleetConfig) -> Duration {
-    config.verdict_settings.stale * 2
+    config.verdict_settings.max_evidence_age * 2
 }
 
 /// Reads the snapshot file: the snapshot, its age, and when it was read; none if the file does not exist.
 fn read_snapshot(
     path: &Path,
     config: &FleetConfig,
-    own_id: Name,
-) -> Result<Option<(Snapshot, Duration, When)>, String> {
+    own_id: ProxyId,
+) -> Result<Option<(Snapshot, Duration, BootTime)>, String> {
     let Some(bytes) = snapshot_file::read(path).map_err(|error| error.to_string())? else { return Ok(None) };
     let now = snapshot_file::now().map_err(|error| error.to_string())?;
-    let (snapshot, age) =
-        Snapshot::read(&bytes, &config.key, own_id, now).map_err(|error: SnapshotError| error.to_string())?;
+    let (snapshot, age) = Snapshot::decode(&bytes, &config.key, own_id, now)
+        .map_err(|error: SnapshotError| error.to_string())?;
     Ok(Some((snapshot, age, now)))
 }
 
--- a/crates/dewpier/src/fleet_transport.rs
+++ b/crates/dewpier/src/fleet_transport.rs
@@ -2,8 +2,8 @@
 
 use crate::config::Carrier;
 use crate::error::ServeError;
-use dewpier_peers::io::{Udp, Way};
-use dewpier_peers::{Name, Out};
+use dewpier_peers::io::{Transport, UdpTransport};
+use dewpier_peers::{OutgoingDatagram, ProxyId};
 use dewpier_plan::RelayedMessage;
 use dewpier_plan::io::RelayChannel;
 use std::io;
@@ -20,7 +20,7 @@
 /// The transport of a proxy's datagrams.
 pub(crate) enum FleetTransport {
     /// A UDP socket.
-    Udp(Udp),
+    Udp(UdpTransport),
     /// Relaying by planners.
     Planners(PlannerRelay),
 }
@@ -34,7 +34,7 @@
 }
 
 /// Both ends of the relay of a proxy: the transport for the fleet, and the end for the task that follows planners.
-pub(crate) fn planner_relay(proxy: Name) -> (PlannerRelay, RelayChannel) {
+pub(crate) fn planner_relay(proxy: ProxyId) -> (PlannerRelay, RelayChannel) {
     let (outgoing, relayed) = mpsc::channel(MAX_QUEUED_ROUNDS);
     let (received, incoming) = mpsc::channel(MAX_QUEUED_DATAGRAMS);
     (
@@ -52,9 +52,11 @@
                     io::Error::new(error.kind(), format!("fleet.listen {listen}: {error}"))
                 };
                 let socket = UdpSocket::bind(listen).await.map_err(add_setting)?;
-                let addresses =
-                    peer_addresses.iter().map(|(name, address)| (Name::of(name), *address)).collect();
-                Ok(Self::Udp(Udp { socket, at: addresses }))
+                let addresses = peer_addresses
+                    .iter()
+                    .map(|(name, address)| (ProxyId::from_name(name), *address))
+                    .collect();
+                Ok(Self::Udp(UdpTransport { socket, addresses }))
             }
             (Carrier::Planners, Some(relay)) => Ok(Self::Planners(relay)),
             // Unreachable: the check of the configuration rejects it.
@@ -67,7 +69,7 @@
     }
 }
 
-impl Way for FleetTransport {
+impl Transport for FleetTransport {
     async fn ready(&mut self) -> io::Result<()> {
         match self {
             Self::Udp(udp) => udp.ready().await,
@@ -75,14 +77,14 @@
         }
     }
 
-    fn take(&mut self, buffer: &mut [u8]) -> Option<(usize, Option<SocketAddr>)> {
+    fn try_receive(&mut self, buffer: &mut [u8]) -> Option<(usize, Option<SocketAddr>)> {
         match self {
-            Self::Udp(udp) => udp.take(buffer),
-            Self::Planners(relay) => relay.take(buffer),
+            Self::Udp(udp) => udp.try_receive(buffer),
+            Self::Planners(relay) => relay.try_receive(buffer),
         }
     }
 
-    fn send(&mut self, outs: Vec<Out>) {
+    fn send(&mut self, outs: Vec<OutgoingDatagram>) {
         match self {
             Self::Udp(udp) => udp.send(outs),
             Self::Planners(relay) => relay.send(outs),
@@ -90,7 +92,7 @@
     }
 }
 
-impl Way for PlannerRelay {
+impl Transport for PlannerRelay {
     async fn ready(&mut self) -> io::Result<()> {
         if self.next.is_none() {
             self.next = self.incoming.recv().await;
@@ -102,7 +104,7 @@
         }
     }
 
-    fn take(&mut self, buffer: &mut [u8]) -> Option<(usize, Option<SocketAddr>)> {
+    fn try_receive(&mut self, buffer: &mut [u8]) -> Option<(usize, Option<SocketAddr>)> {
         let datagram = self.next.take().or_else(|| self.incoming.try_recv().ok())?;
         // A datagram longer than the buffer is truncated, and its receiver rejects it.
         let length = datagram.len().min(buffer.len());
@@ -110,7 +112,7 @@
         Some((length, None))
     }
 
-    fn send(&mut self, outs: Vec<Out>) {
+    fn send(&mut self, outs: Vec<OutgoingDatagram>) {
         let letters = outs.into_iter().map(|out| RelayedMessage { to: out.to.0, bytes: out.bytes }).collect();
         let _ = self.outgoing.try_send(letters); // the next round repeats the contents
     }
@@ -122,10 +124,10 @@
 
     #[test]
     fn rounds_beyond_the_queue_are_dropped_and_long_datagrams_are_truncated() {
-        let (mut transport, mut relay) = planner_relay(Name(7));
+        let (mut transport, mut relay) = planner_relay(ProxyId(7));
         assert_eq!(relay.sender, 7);
         for round in 0..10 {
-            transport.send(vec![Out { to: Name(9), bytes: vec![round] }]);
+            transport.send(vec![OutgoingDatagram { to: ProxyId(9), bytes: vec![round] }]);
         }
         let first = relay.outgoing.try_recv().unwrap();
         assert_eq!(first, [RelayedMessage { to: 9, bytes: vec![0] }]);
@@ -135,14 +137,14 @@
             "the other rounds are dropped"
         );
         let mut buffer = [0; 4];
-        assert_eq!(transport.take(&mut buffer), None);
+        assert_eq!(transport.try_receive(&mut buffer), None);
         relay.incoming.try_send(vec![5; 9]).unwrap();
         relay.incoming.try_send(vec![6; 2]).unwrap();
         let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
         runtime.block_on(transport.ready()).unwrap();
         runtime.block_on(transport.ready()).unwrap();
-        assert_eq!((transport.take(&mut buffer), buffer), (Some((4, None)), [5; 4]));
-        assert_eq!(transport.take(&mut buffer), Some((2, None)));
+        assert_eq!((transport.try_receive(&mut buffer), buffer), (Some((4, None)), [5; 4]));
+        assert_eq!(transport.try_receive(&mut buffer), Some((2, None)));
         drop(relay);
         assert!(runtime.block_on(transport.ready()).is_err());
     }
--- a/crates/dewpier/src/members.rs
+++ b/crates/dewpier/src/members.rs
@@ -106,7 +106,7 @@
         let fleet_node = |(name, member): (&String, &Member)| FleetNode {
             backend: member.entry.id,
             name: name.clone(),
-            id: NodeId::of(name, &member.address.to_string()),
+            id: NodeId::new(name, &member.address.to_string()),
             cell: member.entry.cell,
             serving: member.serving,
         };
--- a/crates/dewpier/src/run.rs
+++ b/crates/dewpier/src/run.rs
@@ -14,7 +14,7 @@
 use dewpier_http::server::{self, Server};
 use dewpier_operate::io as operators;
 use dewpier_operate::metrics::Metrics;
-use dewpier_peers::Name;
+use dewpier_peers::ProxyId;
 use gannetproxy::engine::Engine;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -64,7 +64,7 @@
     } = config;
     let (relay_transport, relay) = match &fleet {
         Some(config) if config.carrier == Carrier::Planners => {
-            let (transport, relay) = fleet_transport::planner_relay(Name::of(&config.name));
+            let (transport, relay) = fleet_transport::planner_relay(ProxyId::from_name(&config.name));
             (Some(transport), Some(relay))
         }
         _ => (None, None),
--- a/crates/dewpier/src/snapshot_file.rs
+++ b/crates/dewpier/src/snapshot_file.rs
@@ -1,6 +1,6 @@
 //! Reads and writes the snapshot file, in which a process persists the fleet's evidence for its successor.
 
-use dewpier_verdicts::{MOST_SNAPSHOT, When};
+use dewpier_verdicts::{BootTime, MAX_SNAPSHOT_BYTES};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::os::unix::fs::OpenOptionsExt;
@@ -21,10 +21,10 @@
 }
 
 /// The current time since the host's boot, including time in suspend.
-pub fn now() -> io::Result<When> {
+pub fn now() -> io::Result<BootTime> {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    let at = Duration::try_from(time).map_err(io::Error::other)?;
-    Ok(When { boot: boot_id()?, at })
+    let since_boot = Duration::try_from(time).map_err(io::Error::other)?;
+    Ok(BootTime { boot_id: boot_id()?, since_boot })
 }
 
 /// Reads the file; none if it does not exist. At most one byte more than a valid snapshot is read.
@@ -38,7 +38,7 @@
     }
     let mut bytes = Vec::new();
     // The extra byte shows that a file is too long.
-    File::open(path)?.take(MOST_SNAPSHOT as u64 + 1).read_to_end(&mut bytes)?;
+    File::open(path)?.take(MAX_SNAPSHOT_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     Ok(Some(bytes))
 }
 
--- a/crates/dewpier/tests/snapshot.rs
+++ b/crates/dewpier/tests/snapshot.rs
@@ -1,7 +1,7 @@
 //! Processes of a fleet that are killed all at once and go on from what they knew, and what becomes of a file that can't
 //! be gone by; and a node that is another process, of which what is known must not count.
 
-use dewpier_peers::{Key, Name};
+use dewpier_peers::{Key, ProxyId};
 use dewpier_standins::wait_for;
 use dewpier_trials::schedule::Size;
 use dewpier_trials::stage::{SECRET, Settings, Stage};
@@ -84,8 +84,8 @@
     let mut version = whole.clone();
     version[9] = 77;
     let cases: [(usize, &[u8], &str); 5] = [
-        (1, &spoilt, "its seal does not fit"),
-        (2, &whole, "its seal does not fit"),
+        (1, &spoilt, "the authentication tag does not match"),
+        (2, &whole, "the authentication tag does not match"),
         (3, &other[..20], "20 bytes: expected 50 to 1048576"),
         (4, &version, "byte 8: version 77, expected 1"),
         (5, b"", "0 bytes: expected"),
@@ -112,11 +112,11 @@
 
 /// What was kept, as if it had been kept so much later: what a process would go by that does not count the time between.
 fn younger(kept: &[u8], proxy: usize, by: Duration) -> Vec<u8> {
-    let (said, _) = kept.split_at(kept.len() - dewpier_peers::SEAL);
+    let (said, _) = kept.split_at(kept.len() - dewpier_peers::TAG_BYTES);
     let mut said = said.to_vec();
     let at = u64::from_be_bytes(said[26..34].try_into().unwrap()) + by.as_millis() as u64;
     said[26..34].copy_from_slice(&at.to_be_bytes());
-    let seal = Key::from_secret(SECRET).seal(Name::of(&format!("proxy-{proxy}")), &said);
+    let seal = Key::from_secret(SECRET).compute_tag(ProxyId::from_name(&format!("proxy-{proxy}")), &said);
     said.extend(seal);
     said
 }
