--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -6,7 +6,7 @@
 use crate::clients::ClientConnection;
 use crate::limits::Permit;
 use bytes::Bytes;
-use dewpier_operate::figures::{Ending, Taken};
+use dewpier_operate::metrics::{OpenRequest, RequestOutcome};
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::io;
@@ -188,13 +188,17 @@
 /// A streamed response and the request that ends with it.
 pub struct StreamedResponse {
     body: ResponseStream,
-    accepted_request: Option<Taken>,
+    accepted_request: Option<OpenRequest>,
     client: Rc<ClientConnection>,
 }
 
 impl ClientBody {
     /// Creates the streamed response to a request of `client`.
-    pub fn streamed(body: ResponseStream, accepted_request: Taken, client: Rc<ClientConnection>) -> Self {
+    pub fn streamed(
+        body: ResponseStream,
+        accepted_request: OpenRequest,
+        client: Rc<ClientConnection>,
+    ) -> Self {
         client.set_streaming(true);
         Self::Streamed(Box::new(StreamedResponse { body, accepted_request: Some(accepted_request), client }))
     }
@@ -202,7 +206,7 @@
 
 impl StreamedResponse {
     fn record_completed(&mut self) {
-        self.accepted_request.take().into_iter().for_each(|request| request.end(Ending::Completed));
+        self.accepted_request.take().into_iter().for_each(|request| request.end(RequestOutcome::Completed));
     }
 }
 
--- a/crates/http/src/peer.rs
+++ b/crates/http/src/peer.rs
@@ -3,7 +3,7 @@
 use crate::body::{RequestBody, UploadProgress};
 use crate::limits::{MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES};
 use bytes::{Bytes, BytesMut};
-use dewpier_operate::figures::Attempts;
+use dewpier_operate::metrics::AttemptCounter;
 use gannetproxy::Outcome;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -65,7 +65,7 @@
     /// All bytes have been sent.
     sent: AtomicBool,
     /// Counts the attempt once it has been sent, if set.
-    attempt_counter: Mutex<Option<Attempts>>,
+    attempt_counter: Mutex<Option<AttemptCounter>>,
     /// The progress of the request body, if it is streamed.
     upload: Mutex<Option<UploadProgress>>,
     /// Bytes received before the request is sent are an error, as they belong to an earlier request.
@@ -73,7 +73,7 @@
 }
 
 impl RequestTransmission {
-    fn begin(&self, attempt_counter: Option<Attempts>, progress: Option<UploadProgress>, reused: bool) {
+    fn begin(&self, attempt_counter: Option<AttemptCounter>, progress: Option<UploadProgress>, reused: bool) {
         self.reject_early_data.store(reused && progress.is_none(), Ordering::Relaxed);
         if let Ok(mut upload) = self.upload.lock() {
             *upload = progress;
@@ -98,7 +98,7 @@
         self.sent.store(true, Ordering::Relaxed);
         // Taken, because a request may be flushed repeatedly.
         if let Some(attempts) = self.attempt_counter.lock().ok().and_then(|mut counter| counter.take()) {
-            attempts.count();
+            attempts.increment();
         }
     }
 }
@@ -283,7 +283,7 @@
     pub async fn exchange(
         &mut self,
         mut request: Request<RequestBody>,
-        attempt_counter: Option<Attempts>,
+        attempt_counter: Option<AttemptCounter>,
         upload: Option<(UploadProgress, Duration)>,
         reused: bool,
     ) -> Result<BackendReply, ExchangeError> {
