--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -10,8 +10,8 @@
 use crate::socket::ClientSocket;
 use bytes::Bytes;
 use dewpier_operate::calls::{self, Call};
-use dewpier_operate::figures::{Ending, Figures, Members};
-use dewpier_operate::life::Life;
+use dewpier_operate::lifecycle::Lifecycle;
+use dewpier_operate::metrics::{BackendCounts, Metrics, RequestOutcome};
 use gannetproxy::engine::{Answer, Engine};
 use gannetproxy::{RequestId, Settings, Time};
 use http_body_util::Full;
@@ -52,8 +52,8 @@
     dialect: Dialect,
     start: Instant,
     /// The lifecycle of the process: whether it accepts clients and when they are closed.
-    lifecycle: RefCell<Life>,
-    figures: Rc<Figures>,
+    lifecycle: RefCell<Lifecycle>,
+    metrics: Rc<Metrics>,
     /// Set once idle connections are to be closed.
     closing: watch::Sender<bool>,
     clients: Rc<ClientConnections>,
@@ -126,7 +126,7 @@
         wire: WireSettings,
         dialect: Dialect,
         limits: ResourceLimits,
-        figures: Rc<Figures>,
+        metrics: Rc<Metrics>,
     ) -> Rc<Self> {
         let longest_deadline = settings.classes.iter().map(|c| c.deadline).fold(0.0, Time::max);
         Rc::new(Self {
@@ -135,8 +135,8 @@
             wire,
             dialect,
             start: Instant::now(),
-            lifecycle: RefCell::new(Life::new(longest_deadline)),
-            figures,
+            lifecycle: RefCell::new(Lifecycle::new(longest_deadline)),
+            metrics,
             closing: watch::Sender::new(false),
             clients: ClientConnections::new(limits.client_connections),
             pending_stream: Cell::new(None),
@@ -157,13 +157,13 @@
         let accepting = self.clone().accept(&listener);
         let stopped = async {
             stop.await;
-            let serve_time = self.lifecycle.borrow_mut().stop(self.now());
-            let time_left = self.lifecycle.borrow().left(self.now());
+            let serve_time = self.lifecycle.borrow_mut().begin_stop(self.now());
+            let time_left = self.lifecycle.borrow().request_time_left(self.now());
             time_left.into_iter().for_each(|time_left| self.engine.cap_deadlines(time_left));
             let clients_gone = async {
                 // After a handover no client connects, and the remaining ones are closed with their next
                 // response.
-                while self.lifecycle.borrow().accepts() || !self.clients.is_empty() {
+                while self.lifecycle.borrow().is_accepting() || !self.clients.is_empty() {
                     tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
                 }
             };
@@ -179,7 +179,7 @@
         if let Some(stream) = self.pending_stream.take() {
             self.clone().serve(stream, self.clients.add());
         }
-        while self.lifecycle.borrow().accepts()
+        while self.lifecycle.borrow().is_accepting()
             && let Some(stream) = accept_pending(&listener)
         {
             self.clone().serve(stream, self.clients.add());
@@ -190,9 +190,12 @@
         let mut idle_checks = 0;
         while !self.clients.is_empty() && idle_checks < MAX_IDLE_CHECKS && self.has_time_left() {
             self.clients.wait_for_close(IDLE_CHECK_INTERVAL).await;
-            let may_wait =
-                self.lifecycle.borrow().left(self.now()).is_none_or(|time_left| !time_left.is_zero());
-            let is_receiving = self.figures.pending() > 0 || self.clients.is_any_reading();
+            let may_wait = self
+                .lifecycle
+                .borrow()
+                .request_time_left(self.now())
+                .is_none_or(|time_left| !time_left.is_zero());
+            let is_receiving = self.metrics.pending() > 0 || self.clients.is_any_reading();
             let has_work = self.engine.has_open_requests() || (is_receiving && may_wait);
             idle_checks = if has_work { 0 } else { idle_checks + 1 };
         }
@@ -200,7 +203,7 @@
 
     /// Returns whether the process has time left before it must end.
     fn has_time_left(&self) -> bool {
-        self.lifecycle.borrow().ends_within(self.now()).is_none_or(|time_left| !time_left.is_zero())
+        self.lifecycle.borrow().time_until_exit(self.now()).is_none_or(|time_left| !time_left.is_zero())
     }
 
     /// Returns whether a backend list has been received.
@@ -231,7 +234,7 @@
 
     /// Accepts again, because the other process is gone.
     pub fn resume_accepting(&self) {
-        self.lifecycle.borrow_mut().take_back();
+        self.lifecycle.borrow_mut().resume_accepting();
         self.accepting_changed.notify_one();
     }
 
@@ -240,20 +243,22 @@
         let mut lifecycle = self.lifecycle.borrow_mut();
         match call {
             Call::Check if !self.engine.has_list() => "NO no list of backends yet\n".into(),
-            Call::Check if !lifecycle.takes_clients() => "NO takes no clients\n".into(),
+            Call::Check if !lifecycle.is_taking_clients() => "NO takes no clients\n".into(),
             Call::Check => "YES takes clients\n".into(),
             Call::Vars => {
                 let (listed, avoided) = self.engine.count_backends();
-                calls::vars(&self.figures, Members { listed, avoided })
+                calls::format_metrics(&self.metrics, BackendCounts { listed, avoided })
+            }
+            Call::Verdicts | Call::VerdictsJson | Call::Override { .. } => {
+                "NO it belongs to no fleet\n".into()
             }
-            Call::Verdicts | Call::VerdictsJson | Call::Rule { .. } => "NO it belongs to no fleet\n".into(),
             Call::DrainOn => {
-                lifecycle.drain_on(self.now());
+                lifecycle.start_drain(self.now());
                 "YES drains\n".into()
             }
             Call::DrainOff => {
-                lifecycle.drain_off();
-                match lifecycle.takes_clients() {
+                lifecycle.cancel_drain();
+                match lifecycle.is_taking_clients() {
                     true => "YES takes clients\n".into(),
                     false => "NO it stops, or another process has its address\n".into(),
                 }
@@ -268,7 +273,7 @@
     async fn close_overdue_clients(&self) {
         loop {
             tokio::time::sleep(clients::SWEEP_INTERVAL).await;
-            let max_rest = self.lifecycle.borrow().closes_rested(self.now());
+            let max_rest = self.lifecycle.borrow().idle_close_threshold(self.now());
             self.clients.close_overdue(max_rest);
         }
     }
@@ -276,7 +281,7 @@
     async fn accept(self: Rc<Self>, listener: &TcpListener) {
         let mut failing = false;
         loop {
-            if !self.lifecycle.borrow().accepts() {
+            if !self.lifecycle.borrow().is_accepting() {
                 self.accepting_changed.notified().await;
                 continue;
             }
@@ -330,7 +335,7 @@
                 // After an invalid request, the rest of the input can't be trusted.
                 let is_client_error = reply.extensions().get::<ClientErrorMarker>().is_some();
                 let is_closing =
-                    server.lifecycle.borrow().says_close(server.now()) || *server.closing.borrow();
+                    server.lifecycle.borrow().is_announcing_close(server.now()) || *server.closing.borrow();
                 if is_full
                     || is_client_error
                     || is_closing
@@ -400,7 +405,7 @@
         is_full: bool,
     ) -> Reply {
         if request.uri().path() == "/-/ready" {
-            return match self.engine.has_list() && self.lifecycle.borrow().ready() {
+            return match self.engine.has_list() && self.lifecycle.borrow().is_ready() {
                 true => plain_reply(StatusCode::OK, "ready\n"),
                 false => plain_reply(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             };
@@ -415,12 +420,12 @@
             client.set_streaming(true);
         }
         let _body_permit = parsed.body_permit;
-        let accepted_request = self.figures.take(parsed.request.class);
+        let accepted_request = self.metrics.begin_request(parsed.request.class);
         if is_full {
-            accepted_request.end(Ending::Rejected);
+            accepted_request.end(RequestOutcome::Rejected);
             return plain_reply(StatusCode::SERVICE_UNAVAILABLE, "too many connections\n");
         }
-        if let Some(time_left) = self.lifecycle.borrow().left(self.now()) {
+        if let Some(time_left) = self.lifecycle.borrow().request_time_left(self.now()) {
             parsed.request.budget = parsed.request.budget.min(time_left.as_secs_f64());
         }
         let Some((id, answer)) =
@@ -433,7 +438,7 @@
         let answer = answer.await;
         drop(disconnect_guard); // the request is answered, so that the guard has no effect
         if let Ok(Answer::Served(_)) = answer {
-            self.lifecycle.borrow_mut().served(self.now(), submitted.elapsed());
+            self.lifecycle.borrow_mut().record_served(self.now(), submitted.elapsed());
         }
         let answer = match answer {
             Ok(Answer::Served(BackendResponse { status, headers, body: ResponseBody::Streamed(stream) })) => {
@@ -445,9 +450,9 @@
             answer => answer,
         };
         accepted_request.end(match answer {
-            Ok(Answer::Served(_)) => Ending::Completed,
-            Ok(Answer::Rejected(..)) => Ending::Rejected,
-            Ok(Answer::Failed(_)) | Err(_) => Ending::Failed,
+            Ok(Answer::Served(_)) => RequestOutcome::Completed,
+            Ok(Answer::Rejected(..)) => RequestOutcome::Rejected,
+            Ok(Answer::Failed(_)) | Err(_) => RequestOutcome::Failed,
         });
         match answer {
             // A 503 means that a retry is harmless, so that a 503 of a backend isn't forwarded if the request
