--- a/crates/mysql/src/capability.rs
+++ b/crates/mysql/src/capability.rs
@@ -1,34 +1,35 @@
-//! What two sides of a connection may agree on ("Capabilities Flags" in MySQL's internals manual).
+//! Capability flags, on which both sides of a connection agree at login ("Capabilities Flags" in MySQL's internals
+//! manual).
 
-/// The better flags of the old password; always set.
+/// The newer form of the old passwords; always set.
 pub const LONG_PASSWORD: u32 = 1;
-/// Counts of rows that were found, not of those that were changed.
+/// Affected rows are those found rather than those changed.
 pub const FOUND_ROWS: u32 = 1 << 1;
-/// Longer flags of columns; always set.
+/// Longer column flags; always set.
 pub const LONG_FLAG: u32 = 1 << 2;
-/// A database may be named with the login.
+/// The login may name a database.
 pub const CONNECT_WITH_DB: u32 = 1 << 3;
-/// Spaces before the parenthesis of a function.
+/// Spaces are allowed before the parenthesis of a function call.
 pub const IGNORE_SPACE: u32 = 1 << 8;
-/// The protocol of version 4.1. Without it nobody is served.
+/// The protocol of version 4.1, which the proxy requires.
 pub const PROTOCOL_41: u32 = 1 << 9;
-/// Status flags tell of transactions.
+/// Status flags report transactions.
 pub const TRANSACTIONS: u32 = 1 << 13;
-/// Answers to the login have a length of their own.
+/// The authentication response has a length.
 pub const SECURE_CONNECTION: u32 = 1 << 15;
-/// Several results to one statement.
+/// A statement may have several results.
 pub const MULTI_RESULTS: u32 = 1 << 17;
-/// The method of the login is named.
+/// The login names the authentication plugin.
 pub const PLUGIN_AUTH: u32 = 1 << 19;
-/// Attributes of the client come with the login.
+/// The login has attributes of the client.
 pub const CONNECT_ATTRS: u32 = 1 << 20;
-/// The answer to the login has a length of variable size.
+/// The authentication response has a length-encoded length.
 pub const PLUGIN_AUTH_LENENC: u32 = 1 << 21;
-/// An OK ends rows, where an EOF did.
+/// Rows end with an OK packet instead of an EOF packet.
 pub const DEPRECATE_EOF: u32 = 1 << 24;
 
-/// What clients are offered.
-pub const OFFERED: u32 = LONG_PASSWORD
+/// Capabilities offered to clients.
+pub const OFFERED_CAPABILITIES: u32 = LONG_PASSWORD
     | FOUND_ROWS
     | LONG_FLAG
     | CONNECT_WITH_DB
@@ -42,8 +43,8 @@
     | PLUGIN_AUTH_LENENC
     | DEPRECATE_EOF;
 
-/// What both sides must have.
-pub const NEEDED: u32 = PROTOCOL_41 | SECURE_CONNECTION;
+/// Capabilities that clients and servers must have.
+pub const REQUIRED_CAPABILITIES: u32 = PROTOCOL_41 | SECURE_CONNECTION;
 
-/// Those of a client that its server's answers depend on: a connection to a server has the same.
-pub const SHAPING: u32 = FOUND_ROWS | IGNORE_SPACE | MULTI_RESULTS | DEPRECATE_EOF;
+/// Capabilities that affect a server's responses. A server connection needs the same ones as its client.
+pub const RESPONSE_CAPABILITIES: u32 = FOUND_ROWS | IGNORE_SPACE | MULTI_RESULTS | DEPRECATE_EOF;
--- a/crates/mysql/src/error.rs
+++ b/crates/mysql/src/error.rs
@@ -1,94 +1,97 @@
-//! Errors as servers word them ("ERR_Packet" in MySQL's internals manual), those of servers and our own.
+//! Error packets ("ERR_Packet" in MySQL's internals manual), and the error codes and SQLSTATEs that the proxy uses.
 
-use crate::fields::{Fields, Short};
+use crate::fields::{FieldReader, MalformedPacket};
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// Too many connections: nothing of a statement has run.
-pub const CON_COUNT: u16 = 1040;
-/// A wrong name or password.
-pub const ACCESS_DENIED: u16 = 1045;
-/// A command that is not known.
-pub const UNKNOWN_COMMAND: u16 = 1047;
-/// The server is going: what runs may be ended.
-pub const SERVER_SHUTDOWN: u16 = 1053;
-/// Anything.
-pub const UNKNOWN: u16 = 1105;
-/// What a server sent broke off.
-pub const NET_READ: u16 = 1158;
-/// A packet out of order.
-pub const PACKETS_OUT_OF_ORDER: u16 = 1156;
-/// A packet that is too long.
-pub const PACKET_TOO_LARGE: u16 = 1153;
-/// A user has too many connections.
-pub const TOO_MANY_USER_CONNECTIONS: u16 = 1203;
-/// Arguments that don't fit.
-pub const WRONG_ARGUMENTS: u16 = 1210;
-/// Not carried.
-pub const NOT_SUPPORTED: u16 = 1235;
-/// An option of the server, such as that it is read only, forbids it: nothing has run.
-pub const OPTION_PREVENTS: u16 = 1290;
-/// A prepared statement that is not known.
-pub const UNKNOWN_STATEMENT: u16 = 1243;
+/// Too many connections; no statement has run.
+pub const ER_CON_COUNT_ERROR: u16 = 1040;
+/// Wrong user name or password.
+pub const ER_ACCESS_DENIED_ERROR: u16 = 1045;
+/// Unknown command.
+pub const ER_UNKNOWN_COM_ERROR: u16 = 1047;
+/// The server is shutting down and may abort running statements.
+pub const ER_SERVER_SHUTDOWN: u16 = 1053;
+/// An error without a code of its own.
+pub const ER_UNKNOWN_ERROR: u16 = 1105;
+/// The response of a server broke off.
+pub const ER_NET_READ_ERROR: u16 = 1158;
+/// A packet has the wrong sequence number.
+pub const ER_NET_PACKETS_OUT_OF_ORDER: u16 = 1156;
+/// A packet is too long.
+pub const ER_NET_PACKET_TOO_LARGE: u16 = 1153;
+/// A user has too many connections; no statement has run.
+pub const ER_TOO_MANY_USER_CONNECTIONS: u16 = 1203;
+/// Wrong arguments.
+pub const ER_WRONG_ARGUMENTS: u16 = 1210;
+/// Not supported.
+pub const ER_NOT_SUPPORTED_YET: u16 = 1235;
+/// An option of the server, such as `read_only`, forbids the statement; it has not run.
+pub const ER_OPTION_PREVENTS_STATEMENT: u16 = 1290;
+/// Unknown prepared statement.
+pub const ER_UNKNOWN_STMT_HANDLER: u16 = 1243;
 /// Too many prepared statements.
-pub const TOO_MANY_STATEMENTS: u16 = 1461;
-/// Too much is going on: nothing has run.
-pub const TOO_MANY_CONCURRENT: u16 = 1637;
-/// A packet that is not what it says.
-pub const MALFORMED_PACKET: u16 = 1835;
-/// The server reads only: nothing has run.
-pub const READ_ONLY_MODE: u16 = 1836;
+pub const ER_MAX_PREPARED_STMT_COUNT_REACHED: u16 = 1461;
+/// Too many transactions are open; the statement has not run.
+pub const ER_TOO_MANY_CONCURRENT_TRXS: u16 = 1637;
+/// Malformed packet.
+pub const ER_MALFORMED_PACKET: u16 = 1835;
+/// The server is read-only; the statement has not run.
+pub const ER_READ_ONLY_MODE: u16 = 1836;
 
-/// The SQLSTATE of what may be tried again without harm (serialization failure).
-pub const TRY_AGAIN: &[u8; 5] = b"40001";
-/// The SQLSTATE of what is not known to have run or not (transaction resolution unknown).
-pub const MAY_HAVE_RUN: &[u8; 5] = b"08007";
-/// The SQLSTATE of what has none of its own.
-pub const GENERAL: &[u8; 5] = b"HY000";
+/// SQLSTATE of a statement that can be retried without harm (serialization failure).
+pub const SQLSTATE_SERIALIZATION_FAILURE: &[u8; 5] = b"40001";
+/// SQLSTATE of a statement that may have run (transaction resolution unknown).
+pub const SQLSTATE_RESOLUTION_UNKNOWN: &[u8; 5] = b"08007";
+/// SQLSTATE of an error that has no other.
+pub const SQLSTATE_GENERAL_ERROR: &[u8; 5] = b"HY000";
 
-/// An error.
+/// An error packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Error {
-    /// Its number.
-    pub number: u16,
-    /// Its SQLSTATE.
-    pub state: [u8; 5],
-    /// Its words.
-    pub text: String,
+pub struct ErrPacket {
+    /// The error code.
+    pub code: u16,
+    /// The SQLSTATE.
+    pub sqlstate: [u8; 5],
+    /// The message.
+    pub message: String,
 }
 
-impl Error {
-    /// One of our own.
-    pub fn new(number: u16, state: &[u8; 5], text: impl Into<String>) -> Self {
-        Self { number, state: *state, text: text.into() }
+impl ErrPacket {
+    /// Creates an error of the proxy.
+    pub fn new(code: u16, sqlstate: &[u8; 5], message: impl Into<String>) -> Self {
+        Self { code, sqlstate: *sqlstate, message: message.into() }
     }
 
-    /// As a packet.
-    pub fn packet(&self) -> Bytes {
-        let mut out = BytesMut::with_capacity(9 + self.text.len());
+    /// Encodes the packet.
+    pub fn encode(&self) -> Bytes {
+        let mut out = BytesMut::with_capacity(9 + self.message.len());
         out.put_u8(0xff);
-        out.put_u16_le(self.number);
+        out.put_u16_le(self.code);
         out.put_u8(b'#');
-        out.put_slice(&self.state);
-        out.put_slice(self.text.as_bytes());
+        out.put_slice(&self.sqlstate);
+        out.put_slice(self.message.as_bytes());
         out.freeze()
     }
 
-    /// Of a packet that begins as an error does.
-    pub fn read(packet: &[u8]) -> Result<Self, Short> {
-        let mut fields = Fields::of("an error", packet);
-        fields.one("its mark")?;
-        let number = fields.fixed(2, "a number")? as u16;
-        let mut state = *GENERAL;
-        // Before the login is over servers may leave it out.
-        if fields.rest().first() == Some(&b'#') {
-            fields.one("its mark")?;
-            state.copy_from_slice(fields.bytes(5, "an SQLSTATE")?);
+    /// Parses a packet that begins with the header byte of an error.
+    pub fn parse(packet: &[u8]) -> Result<Self, MalformedPacket> {
+        let mut fields = FieldReader::new("an error", packet);
+        fields.read_u8("its mark")?;
+        let code = fields.read_fixed_int(2, "a code")? as u16;
+        let mut sqlstate = *SQLSTATE_GENERAL_ERROR;
+        // Servers may omit the SQLSTATE until the login is complete.
+        if fields.remaining().first() == Some(&b'#') {
+            fields.read_u8("its mark")?;
+            sqlstate.copy_from_slice(fields.read_bytes(5, "an SQLSTATE")?);
         }
-        Ok(Self { number, state, text: String::from_utf8_lossy(fields.rest()).into_owned() })
+        Ok(Self { code, sqlstate, message: String::from_utf8_lossy(fields.remaining()).into_owned() })
     }
 }
 
-/// A server that answers a statement so has run nothing of it, and another one may.
-pub fn never_ran(number: u16) -> bool {
-    matches!(number, CON_COUNT | TOO_MANY_USER_CONNECTIONS | OPTION_PREVENTS | READ_ONLY_MODE)
+/// Whether an error code shows that the server has run no part of the statement.
+pub fn is_rejected_before_execution(code: u16) -> bool {
+    matches!(
+        code,
+        ER_CON_COUNT_ERROR | ER_TOO_MANY_USER_CONNECTIONS | ER_OPTION_PREVENTS_STATEMENT | ER_READ_ONLY_MODE
+    )
 }
--- a/crates/mysql/src/fields.rs
+++ b/crates/mysql/src/fields.rs
@@ -1,100 +1,100 @@
-//! The parts of packets: integers of fixed and of variable length, strings with an end and with a length
-//! ("Integer Types" and "String Types" in MySQL's internals manual). Nothing is read that is not there.
+//! Reads and writes the parts of packets: integers of fixed length and length-encoded integers, null-terminated and
+//! length-encoded strings ("Integer Types" and "String Types" in MySQL's internals manual).
 
 use bytes::{BufMut, BytesMut};
 use thiserror::Error;
 
-/// A packet ends before its parts do, or a part is none.
+/// A packet ends too early, or a part of it is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("{packet}: expected {expected}, found {left} bytes more")]
-pub struct Short {
-    /// The packet.
+#[error("{packet}: expected {expected}, found {remaining_bytes} bytes more")]
+pub struct MalformedPacket {
+    /// The kind of packet.
     pub packet: &'static str,
-    /// The part that is missing.
+    /// The part that was expected.
     pub expected: &'static str,
-    /// The bytes that are left of it.
-    pub left: usize,
+    /// Bytes left in the packet.
+    pub remaining_bytes: usize,
 }
 
-/// Takes a packet apart from its beginning on.
+/// Reads the parts of a packet in order.
 #[derive(Clone, Copy, Debug)]
-pub struct Fields<'a> {
+pub struct FieldReader<'a> {
     packet: &'static str,
-    rest: &'a [u8],
+    remaining: &'a [u8],
 }
 
-impl<'a> Fields<'a> {
-    /// Of a packet, which is called so where it is told of.
-    pub fn of(packet: &'static str, bytes: &'a [u8]) -> Self {
-        Self { packet, rest: bytes }
+impl<'a> FieldReader<'a> {
+    /// A reader of a packet, which errors call `packet`.
+    pub fn new(packet: &'static str, bytes: &'a [u8]) -> Self {
+        Self { packet, remaining: bytes }
     }
 
-    /// What is left.
-    pub fn rest(&self) -> &'a [u8] {
-        self.rest
+    /// The bytes that were not read yet.
+    pub fn remaining(&self) -> &'a [u8] {
+        self.remaining
     }
 
-    fn short(&self, expected: &'static str) -> Short {
-        Short { packet: self.packet, expected, left: self.rest.len() }
+    fn malformed(&self, expected: &'static str) -> MalformedPacket {
+        MalformedPacket { packet: self.packet, expected, remaining_bytes: self.remaining.len() }
     }
 
-    /// So many bytes.
-    pub fn bytes(&mut self, count: usize, expected: &'static str) -> Result<&'a [u8], Short> {
-        let (part, rest) = self.rest.split_at_checked(count).ok_or(self.short(expected))?;
-        self.rest = rest;
+    /// Reads `count` bytes.
+    pub fn read_bytes(&mut self, count: usize, expected: &'static str) -> Result<&'a [u8], MalformedPacket> {
+        let (part, remaining) = self.remaining.split_at_checked(count).ok_or(self.malformed(expected))?;
+        self.remaining = remaining;
         Ok(part)
     }
 
-    /// One byte.
-    pub fn one(&mut self, expected: &'static str) -> Result<u8, Short> {
-        self.bytes(1, expected).map(|part| part[0])
+    /// Reads one byte.
+    pub fn read_u8(&mut self, expected: &'static str) -> Result<u8, MalformedPacket> {
+        self.read_bytes(1, expected).map(|part| part[0])
     }
 
-    /// An integer of so many bytes, eight at most, the low one first.
-    pub fn fixed(&mut self, count: usize, expected: &'static str) -> Result<u64, Short> {
-        let part = self.bytes(count, expected)?;
+    /// Reads a little-endian integer of `count` bytes, at most eight.
+    pub fn read_fixed_int(&mut self, count: usize, expected: &'static str) -> Result<u64, MalformedPacket> {
+        let part = self.read_bytes(count, expected)?;
         Ok(part.iter().rev().fold(0, |sum, byte| sum << 8 | u64::from(*byte)))
     }
 
-    /// An integer of variable length.
-    pub fn integer(&mut self, expected: &'static str) -> Result<u64, Short> {
-        let (bytes, value) = integer(self.rest).ok_or(self.short(expected))?;
-        self.rest = &self.rest[bytes..];
+    /// Reads a length-encoded integer.
+    pub fn read_lenenc_int(&mut self, expected: &'static str) -> Result<u64, MalformedPacket> {
+        let (width, value) = decode_lenenc_int(self.remaining).ok_or(self.malformed(expected))?;
+        self.remaining = &self.remaining[width..];
         Ok(value)
     }
 
-    /// A string with its length in front.
-    pub fn counted(&mut self, expected: &'static str) -> Result<&'a [u8], Short> {
-        let length = self.integer(expected)?;
-        self.bytes(usize::try_from(length).unwrap_or(usize::MAX), expected)
+    /// Reads a length-encoded string.
+    pub fn read_lenenc_string(&mut self, expected: &'static str) -> Result<&'a [u8], MalformedPacket> {
+        let length = self.read_lenenc_int(expected)?;
+        self.read_bytes(usize::try_from(length).unwrap_or(usize::MAX), expected)
     }
 
-    /// A string that ends with a zero, which is not part of it.
-    pub fn ended(&mut self, expected: &'static str) -> Result<&'a [u8], Short> {
-        let end = self.rest.iter().position(|byte| *byte == 0).ok_or(self.short(expected))?;
-        let part = self.bytes(end, expected)?;
-        self.bytes(1, expected)?;
+    /// Reads a null-terminated string, without its terminator.
+    pub fn read_null_terminated(&mut self, expected: &'static str) -> Result<&'a [u8], MalformedPacket> {
+        let end = self.remaining.iter().position(|byte| *byte == 0).ok_or(self.malformed(expected))?;
+        let part = self.read_bytes(end, expected)?;
+        self.read_bytes(1, expected)?;
         Ok(part)
     }
 }
 
-/// The bytes that an integer of variable length takes, and its value.
-pub(crate) fn integer(bytes: &[u8]) -> Option<(usize, u64)> {
-    let wide = |n: usize| {
+/// Decodes a length-encoded integer. Returns its encoded length in bytes and its value.
+pub(crate) fn decode_lenenc_int(bytes: &[u8]) -> Option<(usize, u64)> {
+    let decode_wide = |n: usize| {
         let bytes = bytes.get(1..=n)?;
         Some((n + 1, bytes.iter().rev().fold(0, |sum, byte| sum << 8 | u64::from(*byte))))
     };
     match bytes.first()? {
         n @ 0..=0xfa => Some((1, u64::from(*n))),
-        0xfc => wide(2),
-        0xfd => wide(3),
-        0xfe => wide(8),
+        0xfc => decode_wide(2),
+        0xfd => decode_wide(3),
+        0xfe => decode_wide(8),
         _ => None,
     }
 }
 
-/// Appends an integer of variable length.
-pub fn put_integer(out: &mut BytesMut, value: u64) {
+/// Appends a length-encoded integer.
+pub fn put_lenenc_int(out: &mut BytesMut, value: u64) {
     match value {
         0..=0xfa => out.put_u8(value as u8),
         0xfb..=0xffff => {
@@ -112,14 +112,14 @@
     }
 }
 
-/// Appends a string with its length in front.
-pub fn put_counted(out: &mut BytesMut, part: &[u8]) {
-    put_integer(out, part.len() as u64);
+/// Appends a length-encoded string.
+pub fn put_lenenc_string(out: &mut BytesMut, part: &[u8]) {
+    put_lenenc_int(out, part.len() as u64);
     out.put_slice(part);
 }
 
-/// Appends a string and a zero. Zeros in it would end it early: they are left out.
-pub fn put_ended(out: &mut BytesMut, part: &[u8]) {
+/// Appends a null-terminated string. Zero bytes in the string are omitted, as they would end it.
+pub fn put_null_terminated(out: &mut BytesMut, part: &[u8]) {
     part.iter().filter(|byte| **byte != 0).for_each(|byte| out.put_u8(*byte));
     out.put_u8(0);
 }
@@ -129,17 +129,17 @@
     use super::*;
 
     #[test]
-    fn integers_come_back_at_every_width_and_cut_ones_are_told() {
+    fn integers_round_trip_at_every_width_and_truncated_ones_are_rejected() {
         for value in [0, 1, 250, 251, 252, 65_535, 65_536, 0xff_ffff, 0x100_0000, u64::MAX] {
             let mut out = BytesMut::new();
-            put_integer(&mut out, value);
-            assert_eq!(Fields::of("a", &out).integer("b"), Ok(value));
-            let cut = &out[..out.len() - 1];
-            let short = Short { packet: "a", expected: "b", left: cut.len() };
-            assert_eq!(Fields::of("a", cut).integer("b"), Err(short), "{value}");
+            put_lenenc_int(&mut out, value);
+            assert_eq!(FieldReader::new("a", &out).read_lenenc_int("b"), Ok(value));
+            let truncated = &out[..out.len() - 1];
+            let malformed = MalformedPacket { packet: "a", expected: "b", remaining_bytes: truncated.len() };
+            assert_eq!(FieldReader::new("a", truncated).read_lenenc_int("b"), Err(malformed), "{value}");
         }
-        // A length is a claim: nothing is taken for it that is not there.
-        let lies = [0xfe, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, b'x'];
-        assert!(Fields::of("a", &lies).counted("b").is_err());
+        // A string that is shorter than its encoded length is rejected.
+        let overlong = [0xfe, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, b'x'];
+        assert!(FieldReader::new("a", &overlong).read_lenenc_string("b").is_err());
     }
 }
--- a/crates/mysql/src/io/answer.rs
+++ b/crates/mysql/src/io/answer.rs
@@ -1,11 +1,11 @@
-//! A server's answer to its end: held up to a bound, and passed on past it as it comes.
+//! Reads a server's response to its end. A response is buffered up to a limit, and streamed to the client beyond it.
 
-use super::ways::Ways;
-use super::wire::{Wire, WireError};
-use crate::error::Error;
+use super::exchange_settings::ExchangeSettings;
+use super::wire::{PacketStream, ReceiveError};
+use crate::error::ErrPacket;
 use crate::packet;
-use crate::reply::{Ended, HEAD, Reply};
-use crate::session::Hold;
+use crate::reply::{MAX_HEAD_BYTES, ResponseEnd, ResponseTracker};
+use crate::session::Pinning;
 use bytes::{Bytes, BytesMut};
 use gannetproxy::engine::{Permit, ReplySink};
 use std::cell::Cell;
@@ -13,119 +13,133 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Bytes of answers are counted, and passed on, in pieces of so many.
-const PIECE: usize = 16 << 10;
-/// Pieces that wait for the client, of an answer that is passed on as it comes.
-const AHEAD: usize = 4;
-/// Of such an answer more must come within this, and be taken.
-pub(super) const GOES_ON_WITHIN: Duration = Duration::from_secs(60);
+/// Unit in bytes in which response buffers are counted, and in which responses are streamed.
+const CHUNK_BYTES: usize = 16 << 10;
+/// Chunks of a streamed response that may wait for the client.
+const MAX_QUEUED_CHUNKS: usize = 4;
+/// Time in which the next packet of a streamed response must arrive, and in which the client must accept a chunk.
+pub(super) const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a server answered.
-pub struct Served {
-    /// The frames, as they go to the client.
+/// A server's response.
+pub struct ServerResponse {
+    /// The frames to send to the client.
     pub frames: Bytes,
-    /// The number of the frame that comes next.
-    pub next: u8,
-    /// What comes behind them.
-    pub rest: Rest,
-    /// Their part of what answers may take.
-    pub(super) _room: Vec<Permit>,
+    /// Sequence number of the next frame.
+    pub next_sequence: u8,
+    /// What follows the frames.
+    pub remainder: Remainder,
+    /// The part of the buffer budget that the frames occupy.
+    pub(super) _permits: Vec<Permit>,
 }
 
-/// What comes behind the first frames of an answer.
-pub enum Rest {
-    /// Nothing: how it ended, and what holds the session from there on.
-    Over(Ended, Hold),
-    /// More. It is whole only where it ends by [`Piece::Over`].
-    Streams(mpsc::Receiver<Piece>),
+/// What follows the first frames of a response.
+pub enum Remainder {
+    /// Nothing: the end of the response, and the session's pinning after it.
+    Complete(ResponseEnd, Pinning),
+    /// More frames. The response is complete only if the last chunk is a [`ResponseChunk::End`].
+    Streaming(mpsc::Receiver<ResponseChunk>),
 }
 
-/// A piece of an answer that is passed on as it comes.
-pub enum Piece {
-    /// Frames, and the number of the one that comes next.
+/// A part of a streamed response.
+pub enum ResponseChunk {
+    /// Frames, and the sequence number of the next one.
     Frames(Bytes, u8),
-    /// As [`Rest::Over`].
-    Over(Ended, Hold),
+    /// The end of the response, and the session's pinning after it.
+    End(ResponseEnd, Pinning),
 }
 
-/// Why an answer can't be followed to its end.
-pub(super) enum Cut {
-    /// The connection broke, or what came is no answer.
-    Broken,
-    /// A packet of it is longer than is carried.
-    Long,
-    /// It has begun to go out, and its client takes no more of it.
-    Untaken,
+/// Why a response can't be read to its end.
+pub(super) enum ReadFailure {
+    /// The connection broke, or a packet violates the protocol.
+    ConnectionBroken,
+    /// A packet is longer than the limit.
+    PacketTooLong,
+    /// The client no longer accepts the response.
+    NotConsumed,
 }
 
-impl From<WireError> for Cut {
-    fn from(error: WireError) -> Self {
+impl From<ReceiveError> for ReadFailure {
+    fn from(error: ReceiveError) -> Self {
         match error {
-            WireError::Frame(packet::FrameError::TooLong { .. }) => Self::Long,
-            _ => Self::Broken,
+            ReceiveError::Frame(packet::FrameError::TooLong { .. }) => Self::PacketTooLong,
+            _ => Self::ConnectionBroken,
         }
     }
 }
 
-/// An answer that has come to its end.
-pub(super) struct Answered {
-    /// Its frames, or what is left of them to pass on.
+/// A response that was read to its end.
+pub(super) struct CompletedResponse {
+    /// The frames that were not streamed yet.
     pub(super) frames: BytesMut,
-    pub(super) next: u8,
-    pub(super) room: Vec<Permit>,
-    pub(super) ended: Ended,
-    pub(super) leaves: bool,
-    /// Where its beginning went to.
-    pub(super) to: Option<mpsc::Sender<Piece>>,
+    pub(super) next_sequence: u8,
+    pub(super) permits: Vec<Permit>,
+    pub(super) end: ResponseEnd,
+    pub(super) has_insert_id_or_warnings: bool,
+    /// Sender of the chunks, if the beginning was streamed.
+    pub(super) chunk_sender: Option<mpsc::Sender<ResponseChunk>>,
 }
 
-impl Ways {
-    /// Reads an answer to its end. Past what is held it is passed on as it comes; `begun` then tells so.
-    pub(super) async fn answer(
+impl ExchangeSettings {
+    /// Reads a response to its end. Once it exceeds the buffer limit it is streamed through `reply_sink`, and
+    /// `streaming_started` is set.
+    pub(super) async fn read_response(
         &self,
-        wire: &mut Wire,
-        mut reply: Reply,
-        begin: &ReplySink<Served>,
-        begun: &Cell<bool>,
-    ) -> Result<Answered, Cut> {
-        let (mut frames, mut room, mut to) = (BytesMut::new(), Vec::new(), None::<mpsc::Sender<Piece>>);
+        stream: &mut PacketStream,
+        mut tracker: ResponseTracker,
+        reply_sink: &ReplySink<ServerResponse>,
+        streaming_started: &Cell<bool>,
+    ) -> Result<CompletedResponse, ReadFailure> {
+        let (mut frames, mut permits, mut chunk_sender) =
+            (BytesMut::new(), Vec::new(), None::<mpsc::Sender<ResponseChunk>>);
         loop {
-            let sequence = wire.sequence();
-            let packet = match &to {
-                // Before it begins the engine's own timer sees to it.
-                None => wire.next().await?,
-                Some(_) => timeout(GOES_ON_WITHIN, wire.next()).await.map_err(|_| Cut::Broken)??,
+            let sequence = stream.sequence();
+            let packet = match &chunk_sender {
+                // Until the response is streamed, the engine's timer limits the wait.
+                None => stream.next_packet().await?,
+                Some(_) => timeout(STREAM_STALL_TIMEOUT, stream.next_packet())
+                    .await
+                    .map_err(|_| ReadFailure::ConnectionBroken)??,
             };
-            packet::write(&mut frames, &packet, sequence);
-            let head = packet.get(..HEAD).unwrap_or(&packet);
-            if let Some(ended) = reply.packet(head, packet.len()).map_err(|_| Cut::Broken)? {
-                let (next, leaves) = (wire.sequence(), reply.leaves());
-                return Ok(Answered { frames, next, room, ended, leaves, to });
+            packet::write_packet(&mut frames, &packet, sequence);
+            let head = packet.get(..MAX_HEAD_BYTES).unwrap_or(&packet);
+            if let Some(end) =
+                tracker.track_packet(head, packet.len()).map_err(|_| ReadFailure::ConnectionBroken)?
+            {
+                let (next_sequence, has_insert_id_or_warnings) =
+                    (stream.sequence(), tracker.has_insert_id_or_warnings());
+                return Ok(CompletedResponse {
+                    frames,
+                    next_sequence,
+                    permits,
+                    end,
+                    has_insert_id_or_warnings,
+                    chunk_sender,
+                });
             }
-            match &to {
-                Some(to) if frames.len() >= PIECE => {
-                    let piece = Piece::Frames(frames.split().freeze(), wire.sequence());
-                    let taken = timeout(GOES_ON_WITHIN, to.send(piece)).await;
-                    if !matches!(taken, Ok(Ok(()))) {
-                        return Err(Cut::Untaken);
+            match &chunk_sender {
+                Some(sender) if frames.len() >= CHUNK_BYTES => {
+                    let chunk = ResponseChunk::Frames(frames.split().freeze(), stream.sequence());
+                    let sent = timeout(STREAM_STALL_TIMEOUT, sender.send(chunk)).await;
+                    if !matches!(sent, Ok(Ok(()))) {
+                        return Err(ReadFailure::NotConsumed);
                     }
                 }
                 Some(_) => {}
                 None => {
-                    while room.len() * PIECE < frames.len() {
-                        let Some(permit) = self.response_budget.try_acquire(PIECE) else { break };
-                        room.push(permit);
+                    while permits.len() * CHUNK_BYTES < frames.len() {
+                        let Some(permit) = self.response_budget.try_acquire(CHUNK_BYTES) else { break };
+                        permits.push(permit);
                     }
-                    if frames.len() > self.max_buffered_bytes || room.len() * PIECE < frames.len() {
-                        let (sender, receiver) = mpsc::channel(AHEAD);
-                        let (frames, next) = (frames.split().freeze(), wire.sequence());
-                        let rest = Rest::Streams(receiver);
-                        let _room = std::mem::take(&mut room);
-                        if !begin.send(Served { frames, next, rest, _room }) {
-                            return Err(Cut::Untaken);
+                    if frames.len() > self.max_buffered_bytes || permits.len() * CHUNK_BYTES < frames.len() {
+                        let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
+                        let (frames, next_sequence) = (frames.split().freeze(), stream.sequence());
+                        let remainder = Remainder::Streaming(receiver);
+                        let _permits = std::mem::take(&mut permits);
+                        if !reply_sink.send(ServerResponse { frames, next_sequence, remainder, _permits }) {
+                            return Err(ReadFailure::NotConsumed);
                         }
-                        begun.set(true);
-                        to = Some(sender);
+                        streaming_started.set(true);
+                        chunk_sender = Some(sender);
                     }
                 }
             }
@@ -133,10 +147,10 @@
     }
 }
 
-/// An answer of one error of our own.
-pub(super) fn worded(error: &Error, hold: Hold) -> Served {
+/// A response that consists of an error of the proxy.
+pub(super) fn error_response(error: &ErrPacket, pinning: Pinning) -> ServerResponse {
     let mut frames = BytesMut::new();
-    let next = packet::write(&mut frames, &error.packet(), 1);
-    let rest = Rest::Over(Ended::Error(error.number), hold);
-    Served { frames: frames.freeze(), next, rest, _room: Vec::new() }
+    let next_sequence = packet::write_packet(&mut frames, &error.encode(), 1);
+    let remainder = Remainder::Complete(ResponseEnd::Error(error.code), pinning);
+    ServerResponse { frames: frames.freeze(), next_sequence, remainder, _permits: Vec::new() }
 }
--- a/crates/mysql/src/io/conn.rs
+++ b/crates/mysql/src/io/conn.rs
@@ -1,13 +1,13 @@
-//! A connection to a server: how it is opened, made what a command needs, and what is sent on it.
+//! A connection to a server: opening it, preparing it for a command, and sending commands on it.
 
-use super::ways::Ways;
-use super::wire::{Wire, WireError};
+use super::exchange_settings::ExchangeSettings;
+use super::wire::{PacketStream, ReceiveError};
 use crate::capability::DEPRECATE_EOF;
-use crate::error::Error;
-use crate::login::{Entry, MOST_PACKET, Shape, Step};
-use crate::prepared::{self, Needed};
-use crate::reply::{Answers, Ended, HEAD, Reply};
-use crate::session::{INIT_DB, RESET_CONNECTION};
+use crate::error::ErrPacket;
+use crate::login::{ConnectionProfile, MAX_LOGIN_PACKET_BYTES, ServerLogin, ServerLoginStep};
+use crate::prepared::{self, RequiredStatement};
+use crate::reply::{MAX_HEAD_BYTES, ResponseEnd, ResponseKind, ResponseTracker};
+use crate::session::{COM_INIT_DB, COM_RESET_CONNECTION};
 use bytes::BytesMut;
 use gannetproxy::engine::Permit;
 use std::collections::HashMap;
@@ -15,111 +15,132 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// What a command needs of its connection.
+/// What a command requires of its connection.
 #[derive(Clone, Debug)]
-pub struct Wanted {
-    /// What its answer must look like.
-    pub shape: Shape,
-    /// The session's number, which no other session has.
-    pub session: u64,
-    /// The database that it is to run in.
+pub struct ConnectionRequirements {
+    /// Capabilities and collation.
+    pub profile: ConnectionProfile,
+    /// Id of the session, unique within the process.
+    pub session_id: u64,
+    /// The database in which the command runs.
     pub database: Option<String>,
-    /// The prepared statement that it is about, which is prepared where it is not yet.
-    pub needs: Option<Needed>,
+    /// The prepared statement that the command executes. It is prepared first if the connection does not have it.
+    pub required_statement: Option<RequiredStatement>,
 }
 
-impl Wanted {
-    /// Rows are to end with an OK.
+impl ConnectionRequirements {
+    /// Whether rows end with an OK packet instead of an EOF packet.
     pub(super) fn deprecate_eof(&self) -> bool {
-        self.shape.capabilities & DEPRECATE_EOF != 0
+        self.profile.capabilities & DEPRECATE_EOF != 0
     }
 }
 
 /// A connection to a server, logged in.
-pub(super) struct Conn {
-    pub(super) wire: Wire,
+pub(super) struct ServerConnection {
+    pub(super) stream: PacketStream,
     _permit: Permit,
-    pub(super) shape: Shape,
-    /// The database it is in.
+    pub(super) profile: ConnectionProfile,
+    /// The selected database.
     pub(super) database: Option<String>,
-    /// Whose it was last.
-    pub(super) session: u64,
-    /// That session's prepared statements, by its numbers and the server's.
-    pub(super) prepared: HashMap<u32, u32>,
+    /// The session that used the connection last.
+    pub(super) session_id: u64,
+    /// Ids of that session's prepared statements at the server, by the session's ids.
+    pub(super) prepared_ids: HashMap<u32, u32>,
 }
 
-/// Statements that are prepared on one connection at once; the one of the lowest number goes for a further one.
-const MOST_PREPARED: usize = 64;
+/// Statements that may be prepared on one connection; beyond it the one with the lowest id is closed.
+const MAX_PREPARED_PER_CONNECTION: usize = 64;
 
-impl Ways {
-    /// A new connection, logged in.
-    pub(super) async fn connect(&self, address: SocketAddr, shape: Shape, session: u64) -> Option<Conn> {
+impl ExchangeSettings {
+    /// Opens a connection and logs in. None if that fails or takes too long.
+    pub(super) async fn connect(
+        &self,
+        address: SocketAddr,
+        profile: ConnectionProfile,
+        session_id: u64,
+    ) -> Option<ServerConnection> {
         let permit = self.connection_budget.try_acquire(1)?;
-        let connected = async {
-            let mut wire = Wire::new(TcpStream::connect(address).await.ok()?, MOST_PACKET);
-            let mut entry = Entry::new(shape);
+        let connecting = async {
+            let mut stream =
+                PacketStream::new(TcpStream::connect(address).await.ok()?, MAX_LOGIN_PACKET_BYTES);
+            let mut login = ServerLogin::new(profile);
             loop {
-                let said = wire.next().await.ok()?;
-                match entry.packet(&said, &self.credentials) {
-                    Ok(Step::Say(packet)) => wire.send(&packet).await.ok()?,
-                    Ok(Step::Wait) => {}
-                    Ok(Step::Done) => break,
-                    Err(unfit) => {
-                        eprintln!("dewpier: {address}: {unfit}");
+                let packet = stream.next_packet().await.ok()?;
+                match login.handle_packet(&packet, &self.credentials) {
+                    Ok(ServerLoginStep::Send(packet)) => stream.send_packet(&packet).await.ok()?,
+                    Ok(ServerLoginStep::Receive) => {}
+                    Ok(ServerLoginStep::Done) => break,
+                    Err(error) => {
+                        eprintln!("dewpier: login to {address} failed: {error}");
                         return None;
                     }
                 }
             }
-            wire.bound(self.max_packet_bytes);
-            Some(Conn { wire, _permit: permit, shape, database: None, session, prepared: HashMap::new() })
+            stream.set_max_bytes(self.max_packet_bytes);
+            Some(ServerConnection {
+                stream,
+                _permit: permit,
+                profile,
+                database: None,
+                session_id,
+                prepared_ids: HashMap::new(),
+            })
         };
-        timeout(self.connect_timeout, connected).await.ok().flatten()
+        timeout(self.connect_timeout, connecting).await.ok().flatten()
     }
 }
 
-impl Conn {
-    /// A command of our own, which is answered by an OK or an error.
-    pub(super) async fn asked(&mut self, command: &[u8]) -> Result<Ended, WireError> {
-        self.wire.expect(0);
-        self.wire.send(command).await?;
-        let packet = self.wire.next().await?;
-        let head = packet.get(..HEAD).unwrap_or(&packet);
-        let ended = Reply::new(Answers::Ok, false).packet(head, packet.len());
-        match ended {
-            Ok(Some(ended)) => Ok(ended),
+impl ServerConnection {
+    /// Runs a command of the proxy to which the server responds with an OK or an error.
+    pub(super) async fn run_command(&mut self, command: &[u8]) -> Result<ResponseEnd, ReceiveError> {
+        self.stream.set_sequence(0);
+        self.stream.send_packet(command).await?;
+        let packet = self.stream.next_packet().await?;
+        let head = packet.get(..MAX_HEAD_BYTES).unwrap_or(&packet);
+        let end = ResponseTracker::new(ResponseKind::Ok, false).track_packet(head, packet.len());
+        match end {
+            Ok(Some(end)) => Ok(end),
             _ => Err(std::io::Error::from(std::io::ErrorKind::InvalidData).into()),
         }
     }
 
-    /// Makes it what a command needs: nothing of another session is left on it, and it is in the right database.
-    /// None where it is spoilt; the server's error where it has no such database, or can't prepare the statement.
-    pub(super) async fn made_fit(&mut self, wanted: &Wanted) -> Option<Result<(), Error>> {
-        if self.session != wanted.session {
-            match self.asked(&[RESET_CONNECTION]).await {
-                // Statements that were prepared on it are gone with it.
-                Ok(Ended::Whole { .. }) => (self.session, self.prepared) = (wanted.session, HashMap::new()),
+    /// Makes the connection meet a command's requirements: removes the state of another session, selects the database and
+    /// prepares the statement. None if the connection is unusable; an error if the server does not have the database or
+    /// can't prepare the statement.
+    pub(super) async fn meet_requirements(
+        &mut self,
+        required: &ConnectionRequirements,
+    ) -> Option<Result<(), ErrPacket>> {
+        if self.session_id != required.session_id {
+            match self.run_command(&[COM_RESET_CONNECTION]).await {
+                // The reset has also closed the prepared statements.
+                Ok(ResponseEnd::Complete { .. }) => {
+                    (self.session_id, self.prepared_ids) = (required.session_id, HashMap::new())
+                }
                 _ => return None,
             }
         }
-        match &wanted.database {
+        match &required.database {
             Some(name) if self.database.as_ref() != Some(name) => {
-                let command = [&[INIT_DB], name.as_bytes()].concat();
-                match self.asked(&command).await {
-                    Ok(Ended::Whole { .. }) => self.database = Some(name.clone()),
-                    Ok(Ended::Error(number)) => {
+                let command = [&[COM_INIT_DB], name.as_bytes()].concat();
+                match self.run_command(&command).await {
+                    Ok(ResponseEnd::Complete { .. }) => self.database = Some(name.clone()),
+                    Ok(ResponseEnd::Error(code)) => {
                         let text = format!("dewpier: the server has no database '{name}' for this user");
-                        return Some(Err(Error::new(number, b"42000", text)));
+                        return Some(Err(ErrPacket::new(code, b"42000", text)));
                     }
                     Err(_) => return None,
                 }
             }
             _ => {}
         }
-        match &wanted.needs {
-            Some(needed) if !self.prepared.contains_key(&needed.number) => {
-                let command = [&[prepared::PREPARE], &needed.text[..]].concat();
-                match self.prepare(&command, wanted).await {
-                    Ok(Ok(id)) => self.keep(needed.number, id).await.ok()?,
+        match &required.required_statement {
+            Some(statement) if !self.prepared_ids.contains_key(&statement.statement_id) => {
+                let command = [&[prepared::COM_STMT_PREPARE], &statement.sql[..]].concat();
+                match self.prepare(&command, required).await {
+                    Ok(Ok(server_statement_id)) => {
+                        self.record_prepared(statement.statement_id, server_statement_id).await.ok()?
+                    }
                     Ok(Err(error)) => return Some(Err(error)),
                     Err(_) => return None,
                 }
@@ -129,51 +150,77 @@
         Some(Ok(()))
     }
 
-    /// Has a statement prepared: the server's number for it, or its error.
-    async fn prepare(&mut self, command: &[u8], wanted: &Wanted) -> Result<Result<u32, Error>, WireError> {
-        let broken = || WireError::from(std::io::Error::from(std::io::ErrorKind::InvalidData));
-        self.wire.expect(0);
-        self.wire.send(command).await?;
-        let mut reply = Reply::new(Answers::Prepared, wanted.deprecate_eof());
+    /// Prepares a statement. Returns its id at the server, or the server's error.
+    async fn prepare(
+        &mut self,
+        command: &[u8],
+        required: &ConnectionRequirements,
+    ) -> Result<Result<u32, ErrPacket>, ReceiveError> {
+        let broken = || ReceiveError::from(std::io::Error::from(std::io::ErrorKind::InvalidData));
+        self.stream.set_sequence(0);
+        self.stream.send_packet(command).await?;
+        let mut tracker = ResponseTracker::new(ResponseKind::PrepareOk, required.deprecate_eof());
         loop {
-            let packet = self.wire.next().await?;
-            let head = packet.get(..HEAD).unwrap_or(&packet);
-            match reply.packet(head, packet.len()) {
+            let packet = self.stream.next_packet().await?;
+            let head = packet.get(..MAX_HEAD_BYTES).unwrap_or(&packet);
+            match tracker.track_packet(head, packet.len()) {
                 Ok(None) => {}
-                Ok(Some(Ended::Whole { prepared: Some(prepared), .. })) => return Ok(Ok(prepared.id)),
-                Ok(Some(Ended::Error(_))) => return Ok(Err(Error::read(&packet).map_err(|_| broken())?)),
+                Ok(Some(ResponseEnd::Complete { prepared: Some(prepared), .. })) => {
+                    return Ok(Ok(prepared.statement_id));
+                }
+                Ok(Some(ResponseEnd::Error(_))) => {
+                    return Ok(Err(ErrPacket::parse(&packet).map_err(|_| broken())?));
+                }
                 _ => return Err(broken()),
             }
         }
     }
 
-    /// Remembers a statement that is prepared on it.
-    pub(super) async fn keep(&mut self, number: u32, id: u32) -> std::io::Result<()> {
-        self.prepared.insert(number, id);
-        if self.prepared.len() > MOST_PREPARED
-            && let Some(lowest) = self.prepared.keys().filter(|known| **known != number).min().copied()
-            && let Some(closed) = self.prepared.remove(&lowest)
+    /// Records a prepared statement, and closes another if there are too many.
+    pub(super) async fn record_prepared(
+        &mut self,
+        statement_id: u32,
+        server_statement_id: u32,
+    ) -> std::io::Result<()> {
+        self.prepared_ids.insert(statement_id, server_statement_id);
+        if self.prepared_ids.len() > MAX_PREPARED_PER_CONNECTION
+            && let Some(lowest) = self.prepared_ids.keys().filter(|id| **id != statement_id).min().copied()
+            && let Some(closed) = self.prepared_ids.remove(&lowest)
         {
-            self.wire.expect(0);
-            self.wire.send(&[&[prepared::CLOSE][..], &closed.to_le_bytes()].concat()).await?; // not answered
+            self.stream.set_sequence(0);
+            self.stream
+                .send_packet(&[&[prepared::COM_STMT_CLOSE][..], &closed.to_le_bytes()].concat())
+                .await?; // not answered
         }
         Ok(())
     }
 
-    /// Sends a command, and what goes ahead of it.
-    pub(super) async fn send(&mut self, command: &[u8], wanted: &Wanted) -> std::io::Result<()> {
-        let ahead = wanted.needs.iter().flat_map(|needed| &needed.ahead).map(|ahead| &ahead[..]);
-        for command in ahead.chain([command]) {
-            self.wire.expect(0);
-            let Some(needed) = &wanted.needs else {
-                self.wire.send(command).await?;
+    /// Sends a command, after the long data of its parameters.
+    pub(super) async fn send_command(
+        &mut self,
+        command: &[u8],
+        required: &ConnectionRequirements,
+    ) -> std::io::Result<()> {
+        let long_data = required
+            .required_statement
+            .iter()
+            .flat_map(|statement| &statement.long_data)
+            .map(|command| &command[..]);
+        for command in long_data.chain([command]) {
+            self.stream.set_sequence(0);
+            let Some(statement) = &required.required_statement else {
+                self.stream.send_packet(command).await?;
                 continue;
             };
-            // Its number is the session's: the server has another.
-            let id = self.prepared.get(&needed.number).ok_or(std::io::ErrorKind::InvalidInput)?;
+            // The command has the session's id of the statement, which is replaced by the server's.
+            let server_statement_id =
+                self.prepared_ids.get(&statement.statement_id).ok_or(std::io::ErrorKind::InvalidInput)?;
             let mut command = BytesMut::from(command);
-            command.get_mut(1..5).into_iter().for_each(|bytes| bytes.copy_from_slice(&id.to_le_bytes()));
-            self.wire.send(&command).await?;
+            command
+                .get_mut(1..5)
+                .into_iter()
+                .for_each(|bytes| bytes.copy_from_slice(&server_statement_id.to_le_bytes()));
+            self.stream.send_packet(&command).await?;
         }
         Ok(())
     }
--- a/crates/mysql/src/io/ways.rs
+++ b/crates/mysql/src/io/exchange_settings.rs
@@ -1,13 +1,13 @@
-//! What exchanges with servers are bound by.
+//! Settings of the exchanges with servers.
 
 use crate::login::Credentials;
 use gannetproxy::engine::Budget;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The bounds, and who the proxy is to servers.
+/// A copy of the upstream's settings that an exchange owns.
 #[derive(Clone)]
-pub(super) struct Ways {
+pub(super) struct ExchangeSettings {
     pub(super) connection_budget: Rc<Budget>,
     pub(super) response_budget: Rc<Budget>,
     pub(super) max_buffered_bytes: usize,
--- a/crates/mysql/src/io/front.rs
+++ b/crates/mysql/src/io/front.rs
@@ -1,14 +1,16 @@
-//! Where MySQL clients connect: logins, their commands one after the other, and the graceful stop.
+//! The listener for MySQL clients: their logins, the commands of each session in order, and the graceful stop.
 
-use super::answer::{Piece, Rest, Served};
-use super::conn::Wanted;
-use super::upstream::{MySqlUpstream, Payload, Role, Slot};
-use super::wire::{Wire, WireError};
-use crate::auth::{NONCE, PasswordHash};
-use crate::error::{CON_COUNT, Error, NET_READ, PACKET_TOO_LARGE, PACKETS_OUT_OF_ORDER};
-use crate::login::{Door, Guest, MOST_PACKET, Next};
+use super::answer::{Remainder, ResponseChunk, ServerResponse};
+use super::conn::ConnectionRequirements;
+use super::upstream::{MySqlUpstream, Payload, PinnedSlot, Role};
+use super::wire::{PacketStream, ReceiveError};
+use crate::auth::{NONCE_BYTES, PasswordHash};
+use crate::error::{
+    ER_CON_COUNT_ERROR, ER_NET_PACKET_TOO_LARGE, ER_NET_PACKETS_OUT_OF_ORDER, ER_NET_READ_ERROR, ErrPacket,
+};
+use crate::login::{AuthenticatedClient, ClientLogin, ClientLoginStep, MAX_LOGIN_PACKET_BYTES};
 use crate::packet::FrameError;
-use crate::session::{Lost, Plan, Sent, Session, Then, ok};
+use crate::session::{CommandAction, CommandFailure, FailureAction, ForwardedCommand, Session, ok_packet};
 use bytes::Bytes;
 use gannetproxy::engine::{Answer, Engine};
 use gannetproxy::{Request, RequestId, Time};
@@ -20,68 +22,69 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
 
-/// A login must be over within this.
-const LOGIN_WITHIN: Duration = Duration::from_secs(10);
-/// A command that has begun must have come whole within this,
-const READ_WITHIN: Duration = Duration::from_secs(30);
-/// and an answer be taken.
-const TAKEN_WITHIN: Duration = Duration::from_secs(60);
-/// On a stop a session that is held to its connection may go on for so long.
-const HELD_AFTER_STOP: Duration = Duration::from_millis(1500);
-const STEP: Duration = Duration::from_millis(20);
+/// Time in which a client must have logged in.
+const LOGIN_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time in which the rest of a command must arrive.
+const COMMAND_READ_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time in which a client must accept what is sent to it.
+const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time for which a pinned session may continue after a stop was requested.
+const PINNED_SESSION_GRACE: Duration = Duration::from_millis(1500);
+/// Interval of the checks for open sessions during a stop, and delay after a failed accept.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a front is told.
+/// Settings of the client side.
 #[derive(Clone, Debug)]
 pub struct FrontSettings {
-    /// The version that clients are told.
+    /// Server version that clients are told.
     pub server_version: String,
-    /// Sessions at once.
+    /// Maximum number of concurrent sessions.
     pub max_sessions: usize,
-    /// A session that asks for nothing for so long is closed.
+    /// Time after which a session without commands is closed.
     pub idle_timeout: Duration,
-    /// The longest command, in bytes.
+    /// Longest command, in bytes.
     pub max_command_bytes: usize,
-    /// So long after a session has written its reads go to the primary as well.
+    /// Time after a write of a session in which its reads go to the primary.
     pub read_own_writes_window: Duration,
-    /// The patience of statements that read, and of those that may write, in seconds.
+    /// Time limits in seconds of reads, and of statements that may write.
     pub deadlines: [Time; 2],
 }
 
-/// Answers MySQL clients. Reads are of an engine's class 0, all else of class 1.
+/// Serves MySQL clients. Reads are requests of the engines' class 0, all other statements of class 1.
 pub struct Front {
-    /// The servers that do all, or all but reads.
+    /// The servers that handle every statement, or all but reads if there are replicas.
     primary: Rc<Engine<MySqlUpstream>>,
-    /// Those that read.
+    /// The servers that handle reads.
     replicas: Option<Rc<Engine<MySqlUpstream>>>,
-    /// Clients, and what is kept of their passwords.
+    /// Password hashes by user name.
     users: HashMap<String, PasswordHash>,
     settings: FrontSettings,
-    sessions: Cell<usize>,
-    /// Numbers that are never used twice.
-    numbers: Cell<u64>,
+    session_count: Cell<usize>,
+    /// The next id of a client connection or session; ids are not reused.
+    next_id: Cell<u64>,
     closing: watch::Sender<bool>,
 }
 
-/// Tells the engine that the client has left, if it is dropped before the answer.
-struct Leaving<'a>(&'a Engine<MySqlUpstream>, RequestId);
+/// Reports the client's disconnect to the engine if dropped. After the response this has no effect.
+struct DisconnectGuard<'a>(&'a Engine<MySqlUpstream>, RequestId);
 
-impl Drop for Leaving<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         self.0.client_disconnected(self.1);
     }
 }
 
-struct Counted(Rc<Front>);
+/// Counts a session until dropped.
+struct SessionGuard(Rc<Front>);
 
-impl Drop for Counted {
+impl Drop for SessionGuard {
     fn drop(&mut self) {
-        self.0.sessions.set(self.0.sessions.get() - 1);
+        self.0.session_count.set(self.0.session_count.get() - 1);
     }
 }
 
 impl Front {
-    /// One before such servers, for clients of whose passwords that is kept. Where there are replicas, what only
-    /// reads goes to them.
+    /// Creates a front for these users. Without replicas the primary handles the reads as well.
     pub fn new(
         primary: Rc<Engine<MySqlUpstream>>,
         replicas: Option<Rc<Engine<MySqlUpstream>>>,
@@ -94,21 +97,21 @@
             replicas,
             users,
             settings,
-            sessions: Cell::new(0),
-            numbers: Cell::new(1),
+            session_count: Cell::new(0),
+            next_id: Cell::new(1),
             closing,
         })
     }
 
-    /// Serves until `stop`, answers what was taken, and returns. Runs on a [`tokio::task::LocalSet`].
+    /// Serves until `stop` completes, then finishes the open requests. Runs on a [`tokio::task::LocalSet`].
     pub async fn run(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
         let accepting = async {
             loop {
                 match listener.accept().await {
-                    Ok((stream, _)) => self.clone().admit(stream),
+                    Ok((stream, _)) => self.clone().start_session(stream),
                     Err(error) => {
                         eprintln!("dewpier: accept: {error}");
-                        tokio::time::sleep(STEP).await;
+                        tokio::time::sleep(POLL_INTERVAL).await;
                     }
                 }
             }
@@ -119,241 +122,273 @@
         }
         drop(listener);
         self.closing.send_replace(true);
-        // A client that does not take its answer must not keep us until SIGKILL.
-        let mut idle = Duration::ZERO;
-        while self.sessions.get() > 0 && idle < 2 * HELD_AFTER_STOP {
-            tokio::time::sleep(STEP).await;
-            let owes =
-                self.primary.has_open_requests() || self.replicas.iter().any(|r| r.has_open_requests());
-            idle = if owes { Duration::ZERO } else { idle + STEP };
+        // A client that does not read its response must not delay the exit until the process is killed.
+        let mut quiet_time = Duration::ZERO;
+        while self.session_count.get() > 0 && quiet_time < 2 * PINNED_SESSION_GRACE {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            let has_open_requests = self.primary.has_open_requests()
+                || self.replicas.iter().any(|engine| engine.has_open_requests());
+            quiet_time = if has_open_requests { Duration::ZERO } else { quiet_time + POLL_INTERVAL };
         }
     }
 
-    fn number(&self) -> u64 {
-        let number = self.numbers.get();
-        self.numbers.set(number + 1);
-        number
+    fn allocate_id(&self) -> u64 {
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        id
     }
 
-    fn admit(self: Rc<Self>, stream: TcpStream) {
-        self.sessions.set(self.sessions.get() + 1);
-        let counted = Counted(self.clone());
+    fn start_session(self: Rc<Self>, stream: TcpStream) {
+        self.session_count.set(self.session_count.get() + 1);
+        let guard = SessionGuard(self.clone());
         tokio::task::spawn_local(async move {
-            let front = &counted.0;
-            let mut wire = Wire::new(stream, MOST_PACKET);
-            // Beyond that newcomers are not even told.
-            if front.sessions.get() > 2 * front.settings.max_sessions {
+            let front = &guard.0;
+            let mut stream = PacketStream::new(stream, MAX_LOGIN_PACKET_BYTES);
+            // Far above the limit, connections are closed without an error packet.
+            if front.session_count.get() > 2 * front.settings.max_sessions {
                 return;
             }
-            if front.sessions.get() > front.settings.max_sessions {
-                let error = Error::new(CON_COUNT, b"08004", "Too many connections");
-                let _ = timeout(LOGIN_WITHIN, wire.send(&error.packet())).await;
-                return wire.close().await;
+            if front.session_count.get() > front.settings.max_sessions {
+                let error = ErrPacket::new(ER_CON_COUNT_ERROR, b"08004", "Too many connections");
+                let _ = timeout(LOGIN_TIMEOUT, stream.send_packet(&error.encode())).await;
+                return stream.shutdown().await;
             }
-            if let Ok(Some(guest)) = timeout(LOGIN_WITHIN, front.login(&mut wire)).await {
-                wire.bound(front.settings.max_command_bytes);
-                front.serve(&mut wire, guest).await;
+            if let Ok(Some(client)) = timeout(LOGIN_TIMEOUT, front.login(&mut stream)).await {
+                stream.set_max_bytes(front.settings.max_command_bytes);
+                front.serve_session(&mut stream, client).await;
             }
-            wire.close().await;
+            stream.shutdown().await;
         });
     }
 
-    async fn login(&self, wire: &mut Wire) -> Option<Guest> {
-        // Clients that take a zero for the end of the nonce would make another proof.
-        let nonce: [u8; NONCE] = std::array::from_fn(|_| rand::random_range(1..=127));
-        let (mut door, greeting) = Door::new(nonce, self.number() as u32, &self.settings.server_version);
-        wire.send(&greeting).await.ok()?;
+    async fn login(&self, stream: &mut PacketStream) -> Option<AuthenticatedClient> {
+        // Some clients take a zero byte for the end of the nonce.
+        let nonce: [u8; NONCE_BYTES] = std::array::from_fn(|_| rand::random_range(1..=127));
+        let (mut login, handshake) =
+            ClientLogin::new(nonce, self.allocate_id() as u32, &self.settings.server_version);
+        stream.send_packet(&handshake).await.ok()?;
         loop {
-            let packet = match wire.next().await {
+            let packet = match stream.next_packet().await {
                 Ok(packet) => packet,
                 Err(error) => {
-                    refuse(wire, &error).await;
+                    report_receive_error(stream, &error).await;
                     return None;
                 }
             };
-            match door.packet(&packet, &self.users) {
-                Next::Ask(packet) => wire.send(&packet).await.ok()?,
-                Next::In(guest, first) => {
-                    if let Some(first) = first {
-                        wire.send(&first).await.ok()?;
+            match login.handle_packet(&packet, &self.users) {
+                ClientLoginStep::Send(packet) => stream.send_packet(&packet).await.ok()?,
+                ClientLoginStep::Accepted(client, first_packet) => {
+                    if let Some(first_packet) = first_packet {
+                        stream.send_packet(&first_packet).await.ok()?;
                     }
-                    wire.send(&ok()).await.ok()?;
-                    return Some(guest);
+                    stream.send_packet(&ok_packet()).await.ok()?;
+                    return Some(client);
                 }
-                Next::Out(error) => {
-                    let _ = wire.send(&error.packet()).await; // it has been told, or has left
+                ClientLoginStep::Rejected(error) => {
+                    let _ = stream.send_packet(&error.encode()).await; // the connection is closed either way
                     return None;
                 }
             }
         }
     }
 
-    /// One command after the other, until the client leaves, is to be closed, or breaks the protocol.
-    async fn serve(&self, wire: &mut Wire, guest: Guest) {
-        let mut session = Session::new(&guest, self.settings.max_command_bytes);
-        let (mut number, slot) = (self.number(), Rc::new(Slot::default()));
-        let wrote = Cell::new(None);
+    /// Handles the commands of a session in order, until the client disconnects or violates the protocol, or the session is
+    /// closed.
+    async fn serve_session(&self, stream: &mut PacketStream, client: AuthenticatedClient) {
+        let mut session = Session::new(&client, self.settings.max_command_bytes);
+        let (mut session_id, slot) = (self.allocate_id(), Rc::new(PinnedSlot::default()));
+        let last_write = Cell::new(None);
         let mut closing = self.closing.subscribe();
         loop {
-            wire.expect(0);
-            let held = session.hold().any();
+            stream.set_sequence(0);
+            let is_pinned = session.pinning().is_pinned();
             let stopped = async {
-                let _ = closing.wait_for(|closing| *closing).await; // the sender is in self
-                if held {
-                    tokio::time::sleep(HELD_AFTER_STOP).await;
+                let _ = closing.wait_for(|closing| *closing).await; // can't fail: self owns the sender
+                if is_pinned {
+                    tokio::time::sleep(PINNED_SESSION_GRACE).await;
                 }
             };
             let command = tokio::select! {
-                biased; // a command that has come is read before the session is closed
-                command = self.command(wire) => command,
+                biased; // a command that has arrived is read before the session is closed
+                command = self.read_command(stream) => command,
                 () = stopped => return,
             };
             let command = match command {
                 Some(Ok(command)) => command,
-                Some(Err(error)) => return refuse(wire, &error).await,
+                Some(Err(error)) => return report_receive_error(stream, &error).await,
                 None => return,
             };
-            let told = match session.command(&command) {
-                Plan::Quit => return,
-                Plan::Answer(packet) => tell(wire, &packet).await,
-                Plan::Silent => continue,
-                Plan::Reset(packet) => {
+            let sent = match session.handle_command(&command) {
+                CommandAction::Quit => return,
+                CommandAction::Respond(packet) => send_to_client(stream, &packet).await,
+                CommandAction::NoResponse => continue,
+                CommandAction::ResetSession(packet) => {
                     slot.clear();
-                    number = self.number();
-                    tell(wire, &packet).await
+                    session_id = self.allocate_id();
+                    send_to_client(stream, &packet).await
                 }
-                Plan::Send(sent) => {
-                    let asked = Asked { command: command.freeze(), number, slot: &slot, wrote: &wrote };
-                    match self.send(wire, &mut session, asked, sent).await {
-                        Some(Told::Frames(answer)) => {
-                            let (served, sent) = *answer;
-                            match self.pass(wire, &mut session, &slot, served, sent).await {
-                                Some(Then::Tell(error)) => tell(wire, &error.packet()).await,
-                                Some(Then::End(error)) => {
-                                    let _ = tell(wire, &error.packet()).await; // it has been told, or has left
+                CommandAction::Forward(forwarded) => {
+                    let pending = PendingCommand {
+                        command: command.freeze(),
+                        session_id,
+                        slot: &slot,
+                        last_write: &last_write,
+                    };
+                    match self.run_command(stream, &mut session, pending, forwarded).await {
+                        Some(CommandResult::Response(response)) => {
+                            let (response, forwarded) = *response;
+                            match self.send_response(stream, &mut session, &slot, response, forwarded).await {
+                                Some(FailureAction::ReportError(error)) => {
+                                    send_to_client(stream, &error.encode()).await
+                                }
+                                Some(FailureAction::ReportAndClose(error)) => {
+                                    let _ = send_to_client(stream, &error.encode()).await; // the connection is closed either way
                                     return;
                                 }
-                                Some(Then::Anywhere(_)) => Some(()),
-                                None => return, // it does not take its answer
+                                Some(FailureAction::RetryElsewhere(_)) => Some(()),
+                                None => return, // the client does not accept the response
                             }
                         }
-                        Some(Told::Error(error)) => tell(wire, &error.packet()).await,
-                        Some(Told::End(error)) => {
-                            let _ = tell(wire, &error.packet()).await; // it has been told, or has left
+                        Some(CommandResult::Error(error)) => send_to_client(stream, &error.encode()).await,
+                        Some(CommandResult::ErrorAndClose(error)) => {
+                            let _ = send_to_client(stream, &error.encode()).await; // the connection is closed either way
                             return;
                         }
                         None => return,
                     }
                 }
             };
-            if told.is_none() {
+            if sent.is_none() {
                 return;
             }
         }
     }
 
-    /// The next command; none where the client has been idle for too long or stops halfway.
-    async fn command(&self, wire: &mut Wire) -> Option<Result<bytes::BytesMut, WireError>> {
-        timeout(self.settings.idle_timeout, wire.begun()).await.ok()?;
-        timeout(READ_WITHIN, wire.next()).await.ok()
+    /// Reads the next command. None if the client is idle for too long or the command stays incomplete.
+    async fn read_command(&self, stream: &mut PacketStream) -> Option<Result<bytes::BytesMut, ReceiveError>> {
+        timeout(self.settings.idle_timeout, stream.wait_readable()).await.ok()?;
+        timeout(COMMAND_READ_TIMEOUT, stream.next_packet()).await.ok()
     }
 
-    /// Passes on an answer: all of it, or as it comes. None where the client does not take it. What is told behind it
-    /// where it breaks off comes as the next frame, so that the client can't take it for a whole one; `Anywhere`
-    /// stands for nothing to tell.
-    async fn pass(
+    /// Sends a response to the client, streamed or as a whole. None if the client does not accept it. If the response breaks
+    /// off, the result is the error to send: it takes the next sequence number, so that the client can't mistake the
+    /// response for a complete one. `RetryElsewhere` means that nothing is left to do.
+    async fn send_response(
         &self,
-        wire: &mut Wire,
+        stream: &mut PacketStream,
         session: &mut Session,
-        slot: &Slot,
-        served: Served,
-        sent: Sent,
-    ) -> Option<Then> {
-        let Served { frames, mut next, rest, .. } = served;
-        timeout(TAKEN_WITHIN, wire.pass(&frames)).await.ok()?.ok()?;
+        slot: &PinnedSlot,
+        response: ServerResponse,
+        forwarded: ForwardedCommand,
+    ) -> Option<FailureAction> {
+        let ServerResponse { frames, mut next_sequence, remainder, .. } = response;
+        timeout(CLIENT_WRITE_TIMEOUT, stream.send_frames(&frames)).await.ok()?.ok()?;
         drop(frames);
-        let mut pieces = match rest {
-            Rest::Over(ended, hold) => {
-                session.answered(&sent, &ended, hold);
-                return Some(Then::Anywhere(sent));
+        let mut chunks = match remainder {
+            Remainder::Complete(end, pinning) => {
+                session.record_response(&forwarded, &end, pinning);
+                return Some(FailureAction::RetryElsewhere(forwarded));
             }
-            Rest::Streams(pieces) => pieces,
+            Remainder::Streaming(chunks) => chunks,
         };
         loop {
-            match pieces.recv().await {
-                Some(Piece::Frames(frames, after)) => {
-                    timeout(TAKEN_WITHIN, wire.pass(&frames)).await.ok()?.ok()?;
-                    next = after;
+            match chunks.recv().await {
+                Some(ResponseChunk::Frames(frames, sequence_after)) => {
+                    timeout(CLIENT_WRITE_TIMEOUT, stream.send_frames(&frames)).await.ok()?.ok()?;
+                    next_sequence = sequence_after;
                 }
-                Some(Piece::Over(ended, hold)) => {
-                    session.answered(&sent, &ended, hold);
-                    return Some(Then::Anywhere(sent));
+                Some(ResponseChunk::End(end, pinning)) => {
+                    session.record_response(&forwarded, &end, pinning);
+                    return Some(FailureAction::RetryElsewhere(forwarded));
                 }
                 None => {
-                    wire.expect(next);
+                    stream.set_sequence(next_sequence);
                     slot.clear();
-                    if sent.read {
+                    if forwarded.is_repeatable {
                         let text = "dewpier: the server stopped halfway through its answer";
-                        return Some(Then::Tell(Error::new(NET_READ, b"08S01", text)));
+                        return Some(FailureAction::ReportError(ErrPacket::new(
+                            ER_NET_READ_ERROR,
+                            b"08S01",
+                            text,
+                        )));
                     }
-                    return Some(session.lost(sent, Lost::Failed));
+                    return Some(session.record_failure(forwarded, CommandFailure::Failed));
                 }
             }
         }
     }
 
-    /// Has a command done. None where the client has left.
-    async fn send(&self, wire: &Wire, session: &mut Session, asked: Asked<'_>, sent: Sent) -> Option<Told> {
-        let mut sent = sent;
+    /// Runs a command on a server, again elsewhere if that is harmless. None if the client has disconnected.
+    async fn run_command(
+        &self,
+        stream: &PacketStream,
+        session: &mut Session,
+        pending: PendingCommand<'_>,
+        forwarded: ForwardedCommand,
+    ) -> Option<CommandResult> {
+        let mut forwarded = forwarded;
         loop {
             let answer = tokio::select! {
-                answer = self.ask(session, &asked, &sent) => answer,
-                () = wire.left() => return None,
+                answer = self.submit(session, &pending, &forwarded) => answer,
+                () = stream.wait_for_disconnect() => return None,
             };
-            let lost = match answer {
-                Answer::Served(served) | Answer::Rejected(_, Some(served)) | Answer::Failed(Some(served)) => {
-                    return Some(Told::Frames(Box::new((served, sent))));
+            let failure = match answer {
+                Answer::Served(response)
+                | Answer::Rejected(_, Some(response))
+                | Answer::Failed(Some(response)) => {
+                    return Some(CommandResult::Response(Box::new((response, forwarded))));
                 }
-                Answer::Rejected(wait, None) => Lost::Refused(wait),
-                Answer::Failed(None) => Lost::Failed,
+                Answer::Rejected(retry_after, None) => CommandFailure::Rejected(retry_after),
+                Answer::Failed(None) => CommandFailure::Failed,
             };
-            asked.slot.clear();
-            match session.lost(sent, lost) {
-                Then::Anywhere(again) => sent = again,
-                Then::Tell(error) => return Some(Told::Error(error)),
-                Then::End(error) => return Some(Told::End(error)),
+            pending.slot.clear();
+            match session.record_failure(forwarded, failure) {
+                FailureAction::RetryElsewhere(retried) => forwarded = retried,
+                FailureAction::ReportError(error) => return Some(CommandResult::Error(error)),
+                FailureAction::ReportAndClose(error) => return Some(CommandResult::ErrorAndClose(error)),
             }
         }
     }
 
-    /// Where a statement goes that no connection holds.
-    fn engine(&self, asked: &Asked<'_>, sent: &Sent) -> &Rc<Engine<MySqlUpstream>> {
-        let wrote = asked.wrote.get().is_some_and(|at| at.elapsed() < self.settings.read_own_writes_window);
-        let replicas = self.replicas.as_ref().filter(|_| sent.read && !wrote);
+    /// The engine for a statement of a session that is not pinned.
+    fn select_engine(
+        &self,
+        pending: &PendingCommand<'_>,
+        forwarded: &ForwardedCommand,
+    ) -> &Rc<Engine<MySqlUpstream>> {
+        let has_written =
+            pending.last_write.get().is_some_and(|at| at.elapsed() < self.settings.read_own_writes_window);
+        let replicas = self.replicas.as_ref().filter(|_| forwarded.is_repeatable && !has_written);
         replicas.unwrap_or(&self.primary)
     }
 
-    async fn ask(&self, session: &Session, asked: &Asked<'_>, sent: &Sent) -> Answer<Served> {
+    /// Submits a command to the engine of its server or role, and waits for the answer.
+    async fn submit(
+        &self,
+        session: &Session,
+        pending: &PendingCommand<'_>,
+        forwarded: &ForwardedCommand,
+    ) -> Answer<ServerResponse> {
         let payload = Payload {
-            command: sent.command.as_ref().unwrap_or(&asked.command).clone(),
-            wanted: Wanted {
-                shape: session.shape,
-                session: asked.number,
+            command: forwarded.command.as_ref().unwrap_or(&pending.command).clone(),
+            requirements: ConnectionRequirements {
+                profile: session.profile,
+                session_id: pending.session_id,
                 database: session.database.clone(),
-                needs: sent.needs.clone(),
+                required_statement: forwarded.required_statement.clone(),
             },
-            prepares: sent.prepares.as_ref().map(|(number, _)| *number),
-            answers: sent.answers,
-            chooses: sent.chooses.clone(),
-            hold: sent.hold,
-            held: sent.held,
-            slot: asked.slot.clone(),
+            prepares: forwarded.prepares.as_ref().map(|(statement_id, _)| *statement_id),
+            response_kind: forwarded.response_kind,
+            selects_database: forwarded.selects_database.clone(),
+            pinning: forwarded.pinning,
+            is_pinned: forwarded.is_pinned,
+            slot: pending.slot.clone(),
         };
-        let class = usize::from(!sent.read);
+        let class = usize::from(!forwarded.is_repeatable);
         let budget = self.settings.deadlines[class];
         let engine;
-        let (id, answer) = if sent.held {
-            let Some((role, backend)) = asked.slot.backend() else { return Answer::Rejected(None, None) };
+        let (id, answer) = if forwarded.is_pinned {
+            let Some((role, backend)) = pending.slot.backend() else { return Answer::Rejected(None, None) };
             engine = match (role, &self.replicas) {
                 (Role::Replica, Some(replicas)) => replicas,
                 _ => &self.primary,
@@ -361,56 +396,56 @@
             engine.submit_request_to(backend, budget, payload)
         } else {
             let request = Request { class, budget, ..Request::default() };
-            engine = self.engine(asked, sent);
+            engine = self.select_engine(pending, forwarded);
             match engine.submit_request(None, request, payload) {
-                Some(asked) => asked,
+                Some(submitted) => submitted,
                 None => return Answer::Rejected(None, None),
             }
         };
-        if !sent.read {
-            asked.wrote.set(Some(Instant::now()));
+        if !forwarded.is_repeatable {
+            pending.last_write.set(Some(Instant::now()));
         }
-        let leaving = Leaving(engine, id);
+        let guard = DisconnectGuard(engine, id);
         let answer = answer.await;
-        drop(leaving); // it has had its answer: nothing is told
-        if !sent.read {
-            asked.wrote.set(Some(Instant::now())); // it may have taken its time
+        drop(guard); // has no effect after the answer
+        if !forwarded.is_repeatable {
+            pending.last_write.set(Some(Instant::now())); // the write may have taken effect only now
         }
         answer.unwrap_or(Answer::Failed(None))
     }
 }
 
-/// A command, whose it is, and where that one's connection is kept.
-struct Asked<'a> {
+/// A command and the session that sent it.
+struct PendingCommand<'a> {
     command: Bytes,
-    number: u64,
-    slot: &'a Rc<Slot>,
-    /// When the session last sent what may write.
-    wrote: &'a Cell<Option<Instant>>,
+    session_id: u64,
+    slot: &'a Rc<PinnedSlot>,
+    /// When the session last sent a statement that may write.
+    last_write: &'a Cell<Option<Instant>>,
 }
 
-/// What a client is told.
-enum Told {
-    Frames(Box<(Served, Sent)>),
-    Error(Error),
-    End(Error),
+/// What is sent to the client after a command.
+enum CommandResult {
+    Response(Box<(ServerResponse, ForwardedCommand)>),
+    Error(ErrPacket),
+    ErrorAndClose(ErrPacket),
 }
 
-/// Tells a client something. None where it does not take it.
-async fn tell(wire: &mut Wire, packet: &[u8]) -> Option<()> {
-    timeout(TAKEN_WITHIN, wire.send(packet)).await.ok()?.ok()
+/// Sends a packet to a client. None if the client does not accept it.
+async fn send_to_client(stream: &mut PacketStream, packet: &[u8]) -> Option<()> {
+    timeout(CLIENT_WRITE_TIMEOUT, stream.send_packet(packet)).await.ok()?.ok()
 }
 
-/// Tells a client why nothing more is read of it.
-async fn refuse(wire: &mut Wire, error: &WireError) {
+/// Tells a client why its connection is closed.
+async fn report_receive_error(stream: &mut PacketStream, error: &ReceiveError) {
     let error = match error {
-        WireError::Io(_) => return,
-        WireError::Frame(why @ FrameError::OutOfOrder { .. }) => {
-            Error::new(PACKETS_OUT_OF_ORDER, b"08S01", why.to_string())
+        ReceiveError::Io(_) => return,
+        ReceiveError::Frame(reason @ FrameError::OutOfOrder { .. }) => {
+            ErrPacket::new(ER_NET_PACKETS_OUT_OF_ORDER, b"08S01", reason.to_string())
         }
-        WireError::Frame(why @ FrameError::TooLong { .. }) => {
-            Error::new(PACKET_TOO_LARGE, b"08S01", why.to_string())
+        ReceiveError::Frame(reason @ FrameError::TooLong { .. }) => {
+            ErrPacket::new(ER_NET_PACKET_TOO_LARGE, b"08S01", reason.to_string())
         }
     };
-    let _ = timeout(LOGIN_WITHIN, wire.send(&error.packet())).await; // it has been told, or has left
+    let _ = timeout(LOGIN_TIMEOUT, stream.send_packet(&error.encode())).await; // the connection is closed either way
 }
--- a/crates/mysql/src/io/mod.rs
+++ b/crates/mysql/src/io/mod.rs
@@ -1,13 +1,13 @@
-//! MySQL over TCP: the front that clients log in to, and the connections to servers.
+//! MySQL over TCP: the front that accepts clients, and the upstream with its connections to servers.
 
 mod answer;
 mod conn;
+mod exchange_settings;
 mod front;
 mod upstream;
-mod ways;
 mod wire;
 
-pub use answer::{Piece, Rest, Served};
-pub use conn::Wanted;
+pub use answer::{Remainder, ResponseChunk, ServerResponse};
+pub use conn::ConnectionRequirements;
 pub use front::{Front, FrontSettings};
-pub use upstream::{Endpoint, MySqlUpstream, Payload, Role, Slot};
+pub use upstream::{Endpoint, MySqlUpstream, Payload, PinnedSlot, Role};
--- a/crates/mysql/src/io/upstream.rs
+++ b/crates/mysql/src/io/upstream.rs
@@ -1,13 +1,16 @@
-//! Servers that speak MySQL: kept connections, one exchange on them at a time, and the exact end of each.
+//! The MySQL upstream of the engine: idle connections to each server, and one exchange at a time on a connection.
 
-use super::answer::{Answered, Cut, GOES_ON_WITHIN, Piece, Rest, Served, worded};
-use super::conn::{Conn, Wanted};
-use super::ways::Ways;
-use crate::error::{self, Error, GENERAL, UNKNOWN};
-use crate::login::{Credentials, Shape};
+use super::answer::{
+    CompletedResponse, ReadFailure, Remainder, ResponseChunk, STREAM_STALL_TIMEOUT, ServerResponse,
+    error_response,
+};
+use super::conn::{ConnectionRequirements, ServerConnection};
+use super::exchange_settings::ExchangeSettings;
+use crate::error::{self, ER_UNKNOWN_ERROR, ErrPacket, SQLSTATE_GENERAL_ERROR};
+use crate::login::{ConnectionProfile, Credentials};
 use crate::packet;
-use crate::reply::{Answers, Ended, Reply};
-use crate::session::{Hold, PING};
+use crate::reply::{ResponseEnd, ResponseKind, ResponseTracker};
+use crate::session::{COM_PING, Pinning};
 use bytes::Bytes;
 use gannetproxy::engine::{Attempt, Budget, Upstream, UpstreamResult};
 use gannetproxy::{BackendId, Outcome};
@@ -17,125 +20,132 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// Part of the time after which servers close idle connections up to which one is used again.
-const REUSE_WITHIN: f64 = 0.7;
-/// What a probe logs in as.
-const PROBED: Shape = Shape { capabilities: 0, collation: 45 };
+/// Fraction of the servers' idle timeout after which an idle connection is no longer reused.
+const REUSE_IDLE_FRACTION: f64 = 0.7;
+/// The connection profile of probes.
+const PROBE_PROFILE: ConnectionProfile = ConnectionProfile { capabilities: 0, collation: 45 };
 
-struct Idle {
-    conn: Conn,
-    since: Instant,
+struct IdleConnection {
+    connection: ServerConnection,
+    idle_since: Instant,
 }
 
-/// What a list of servers is for.
+/// The statements that the servers of a list handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// All statements.
     Primary,
-    /// Reads alone.
+    /// Reads only.
     Replica,
 }
 
-/// Where a session keeps the connection that it is held to.
+/// Holds the connection that a session is pinned to.
 #[derive(Default)]
-pub struct Slot(RefCell<Option<(Role, BackendId, Conn)>>);
+pub struct PinnedSlot(RefCell<Option<(Role, BackendId, ServerConnection)>>);
 
-impl Slot {
-    /// Whose connection it is.
+impl PinnedSlot {
+    /// The role and the id of the server that the connection leads to.
     pub fn backend(&self) -> Option<(Role, BackendId)> {
         self.0.borrow().as_ref().map(|(role, backend, _)| (*role, *backend))
     }
 
-    /// Lets it go: the server undoes what was not committed.
+    /// Closes the connection; the server rolls back an open transaction.
     pub fn clear(&self) {
         self.0.take();
     }
 
-    fn take(&self) -> Option<Conn> {
-        self.0.take().map(|(.., conn)| conn)
+    fn take(&self) -> Option<ServerConnection> {
+        self.0.take().map(|(.., connection)| connection)
     }
 }
 
-/// A command, and on what connection it may go.
+/// A command, and the connection that it may use.
 pub struct Payload {
-    /// The packet.
+    /// The command packet.
     pub command: Bytes,
-    /// What it needs of its connection.
-    pub wanted: Wanted,
-    /// The session's number for the statement that it prepares.
+    /// What the command requires of its connection.
+    pub requirements: ConnectionRequirements,
+    /// The session's id for the statement that the command prepares.
     pub prepares: Option<u32>,
-    /// How it is answered.
-    pub answers: Answers,
-    /// The one that it chooses.
-    pub chooses: Option<String>,
-    /// What holds its session while it runs.
-    pub hold: Hold,
-    /// It goes on the connection in `slot`, and no other.
-    pub held: bool,
-    /// Where its connection goes if the session is held to it.
-    pub slot: Rc<Slot>,
+    /// The form of the response.
+    pub response_kind: ResponseKind,
+    /// The database that the command selects.
+    pub selects_database: Option<String>,
+    /// The session's pinning while the command runs.
+    pub pinning: Pinning,
+    /// The command may only use the connection in `slot`.
+    pub is_pinned: bool,
+    /// Receives the connection if the session is pinned to it after the response.
+    pub slot: Rc<PinnedSlot>,
 }
 
-/// A server and the connections to it.
+/// A server and the idle connections to it.
 pub struct Endpoint {
     address: Cell<SocketAddr>,
-    idle: RefCell<Vec<Idle>>,
-    /// Goes up when its connections are no longer to be kept.
-    era: Cell<u64>,
+    idle: RefCell<Vec<IdleConnection>>,
+    /// Incremented when the present connections must not be reused.
+    generation: Cell<u64>,
 }
 
 impl Endpoint {
     fn release(&self) {
-        self.era.set(self.era.get() + 1);
+        self.generation.set(self.generation.get() + 1);
         self.idle.borrow_mut().clear();
     }
 
-    /// The one used last that fits. One in a database can't be made to be in none.
-    fn kept(&self, wanted: &Wanted, within: Duration) -> Option<Conn> {
+    /// Takes the most recently used suitable connection. A connection with a database can't serve a session without one.
+    fn take_idle(
+        &self,
+        requirements: &ConnectionRequirements,
+        max_idle: Duration,
+    ) -> Option<ServerConnection> {
         loop {
             let mut idle = self.idle.borrow_mut();
-            let fits = |conn: &Conn| {
-                conn.shape == wanted.shape && (wanted.database.is_some() || conn.database.is_none())
+            let is_suitable = |connection: &ServerConnection| {
+                connection.profile == requirements.profile
+                    && (requirements.database.is_some() || connection.database.is_none())
             };
-            let place = idle.iter().rposition(|idle| fits(&idle.conn) && idle.since.elapsed() < within)?;
-            let Idle { conn, .. } = idle.remove(place);
-            if conn.wire.quiet() {
-                return Some(conn);
+            let index = idle
+                .iter()
+                .rposition(|idle| is_suitable(&idle.connection) && idle.idle_since.elapsed() < max_idle)?;
+            let IdleConnection { connection, .. } = idle.remove(index);
+            if connection.stream.is_quiet() {
+                return Some(connection);
             }
         }
     }
 }
 
-/// All servers, and what holds for each.
+/// The upstream of an engine: the settings and budgets for all servers of one list.
 pub struct MySqlUpstream {
-    /// Connections that may be open at once, to all of them.
+    /// Limits the open connections to all servers.
     pub connection_budget: Rc<Budget>,
-    /// Bytes of answers that may be held at once.
+    /// Limits the bytes buffered for all responses.
     pub response_budget: Rc<Budget>,
-    /// So much of an answer is held before any of it goes to the client, in bytes: up to there it can be asked
-    /// for again. Less where there is no room.
+    /// Bytes of a response that are buffered before any of it is sent to the client, if the budget has room. Until then the
+    /// statement can be retried.
     pub max_buffered_bytes: usize,
-    /// The longest packet that is carried, in bytes: a row.
+    /// Longest packet that is accepted, in bytes. This limits the length of a row.
     pub max_packet_bytes: usize,
-    /// A connection that is not up and logged in by then never is.
+    /// Time in which a connection must be established and logged in.
     pub connect_timeout: Duration,
-    /// Servers close idle connections after this.
+    /// Time after which servers close idle connections.
     pub server_idle_timeout: Duration,
-    /// Who the proxy is to them.
+    /// User and password of the proxy at the servers.
     pub credentials: Rc<Credentials>,
-    /// What they are for.
+    /// The statements that the servers handle.
     pub role: Role,
 }
 
 impl MySqlUpstream {
-    fn ways(&self) -> Ways {
-        Ways {
+    fn exchange_settings(&self) -> ExchangeSettings {
+        ExchangeSettings {
             connection_budget: self.connection_budget.clone(),
             response_budget: self.response_budget.clone(),
             max_buffered_bytes: self.max_buffered_bytes,
             max_packet_bytes: self.max_packet_bytes,
             connect_timeout: self.connect_timeout,
-            reuse_timeout: self.server_idle_timeout.mul_f64(REUSE_WITHIN),
+            reuse_timeout: self.server_idle_timeout.mul_f64(REUSE_IDLE_FRACTION),
             credentials: self.credentials.clone(),
         }
     }
@@ -143,11 +153,11 @@
 
 impl Upstream for MySqlUpstream {
     type Payload = Payload;
-    type Reply = Served;
+    type Reply = ServerResponse;
     type Endpoint = Endpoint;
 
     fn create_endpoint(&self, address: SocketAddr) -> Endpoint {
-        Endpoint { address: Cell::new(address), idle: RefCell::default(), era: Cell::new(0) }
+        Endpoint { address: Cell::new(address), idle: RefCell::default(), generation: Cell::new(0) }
     }
 
     fn set_address(&self, endpoint: &Endpoint, address: SocketAddr) {
@@ -161,8 +171,11 @@
     }
 
     fn close_expired(&self, endpoint: &Endpoint) {
-        let within = self.server_idle_timeout.mul_f64(REUSE_WITHIN);
-        endpoint.idle.borrow_mut().retain(|idle| idle.since.elapsed() < within && idle.conn.wire.quiet());
+        let max_idle = self.server_idle_timeout.mul_f64(REUSE_IDLE_FRACTION);
+        endpoint
+            .idle
+            .borrow_mut()
+            .retain(|idle| idle.idle_since.elapsed() < max_idle && idle.connection.stream.is_quiet());
     }
 
     fn is_full(&self) -> bool {
@@ -170,7 +183,7 @@
     }
 
     fn oldest_idle_since(&self, endpoint: &Endpoint) -> Option<Instant> {
-        endpoint.idle.borrow().first().map(|idle| idle.since)
+        endpoint.idle.borrow().first().map(|idle| idle.idle_since)
     }
 
     fn close_oldest_idle(&self, endpoint: &Endpoint) {
@@ -184,10 +197,10 @@
         &self,
         endpoint: Rc<Endpoint>,
         payload: Rc<Payload>,
-        attempt: Attempt<Served>,
-    ) -> impl Future<Output = UpstreamResult<Served>> + 'static {
-        let (ways, role) = (self.ways(), self.role);
-        async move { exchange(&endpoint, &payload, &attempt, &ways, role).await }
+        attempt: Attempt<ServerResponse>,
+    ) -> impl Future<Output = UpstreamResult<ServerResponse>> + 'static {
+        let (settings, role) = (self.exchange_settings(), self.role);
+        async move { exchange(&endpoint, &payload, &attempt, &settings, role).await }
     }
 
     fn probe(
@@ -195,149 +208,195 @@
         endpoint: Rc<Endpoint>,
         attempt: Attempt<()>,
     ) -> impl Future<Output = UpstreamResult<()>> + 'static {
-        let ways = self.ways();
+        let settings = self.exchange_settings();
         async move {
-            let within = 4 * ways.connect_timeout;
-            let probed = async {
-                let Some(mut conn) = ways.connect(endpoint.address.get(), PROBED, 0).await else {
+            let probe_timeout = 4 * settings.connect_timeout;
+            let probe = async {
+                let Some(mut connection) = settings.connect(endpoint.address.get(), PROBE_PROFILE, 0).await
+                else {
                     return Outcome::NoConnection;
                 };
                 if !attempt.gate.can_send(&attempt.clock) {
                     return Outcome::NoConnection;
                 }
-                match conn.asked(&[PING]).await {
-                    Ok(Ended::Whole { .. }) => Outcome::Served,
-                    Ok(Ended::Error(_)) => Outcome::Error,
+                match connection.run_command(&[COM_PING]).await {
+                    Ok(ResponseEnd::Complete { .. }) => Outcome::Served,
+                    Ok(ResponseEnd::Error(_)) => Outcome::Error,
                     Err(_) => Outcome::Reset,
                 }
             };
-            UpstreamResult::without_reply(timeout(within, probed).await.unwrap_or(Outcome::Timeout))
+            UpstreamResult::without_reply(timeout(probe_timeout, probe).await.unwrap_or(Outcome::Timeout))
         }
     }
 }
 
-fn done(outcome: Outcome, served: Option<Served>) -> UpstreamResult<Served> {
-    UpstreamResult { outcome, reply: served, fallback: None, report: None }
+fn upstream_result(outcome: Outcome, reply: Option<ServerResponse>) -> UpstreamResult<ServerResponse> {
+    UpstreamResult { outcome, reply, fallback: None, report: None }
 }
 
-/// Puts a connection where it belongs after an exchange: with its session, or where others find it.
-fn put(endpoint: &Endpoint, era: u64, payload: &Payload, whose: (Role, BackendId), conn: Conn, hold: Hold) {
-    if hold.any() {
-        payload.slot.0.replace(Some((whose.0, whose.1, conn)));
-    } else if conn.wire.quiet() && endpoint.era.get() == era {
-        endpoint.idle.borrow_mut().push(Idle { conn, since: Instant::now() });
+/// Stores a connection after an exchange: in the slot of its session if that is pinned, otherwise with the idle ones.
+fn store_connection(
+    endpoint: &Endpoint,
+    generation: u64,
+    payload: &Payload,
+    server: (Role, BackendId),
+    connection: ServerConnection,
+    pinning: Pinning,
+) {
+    if pinning.is_pinned() {
+        payload.slot.0.replace(Some((server.0, server.1, connection)));
+    } else if connection.stream.is_quiet() && endpoint.generation.get() == generation {
+        endpoint.idle.borrow_mut().push(IdleConnection { connection, idle_since: Instant::now() });
     }
 }
 
+/// Sends a command to a server and reads the response.
 async fn exchange(
     endpoint: &Endpoint,
     payload: &Payload,
-    attempt: &Attempt<Served>,
-    ways: &Ways,
+    attempt: &Attempt<ServerResponse>,
+    settings: &ExchangeSettings,
     role: Role,
-) -> UpstreamResult<Served> {
-    let (era, whose) = (endpoint.era.get(), (role, attempt.backend));
-    let mut conn = loop {
-        let kept = match payload.held {
-            true => payload.slot.take().filter(|conn| conn.wire.quiet()),
-            false => endpoint.kept(&payload.wanted, ways.reuse_timeout),
+) -> UpstreamResult<ServerResponse> {
+    let (generation, server) = (endpoint.generation.get(), (role, attempt.backend));
+    let mut connection = loop {
+        let reused = match payload.is_pinned {
+            true => payload.slot.take().filter(|connection| connection.stream.is_quiet()),
+            false => endpoint.take_idle(&payload.requirements, settings.reuse_timeout),
         };
-        let new = kept.is_none();
-        let conn = match (kept, payload.held) {
-            (Some(conn), _) => Some(conn),
+        let is_new = reused.is_none();
+        let connection = match (reused, payload.is_pinned) {
+            (Some(connection), _) => Some(connection),
             (None, true) => None,
             (None, false) => {
-                ways.connect(endpoint.address.get(), payload.wanted.shape, payload.wanted.session).await
+                settings
+                    .connect(
+                        endpoint.address.get(),
+                        payload.requirements.profile,
+                        payload.requirements.session_id,
+                    )
+                    .await
             }
         };
-        let Some(mut conn) = conn else {
-            return done(Outcome::NoConnection, None);
+        let Some(mut connection) = connection else {
+            return upstream_result(Outcome::NoConnection, None);
         };
-        // Its client may have left while the connection was made; and that the whole list is over says nothing
-        // against this server.
+        // The client may have disconnected while the connection was opened. The expiry of the list's lease is not a
+        // failure of this server.
         if !attempt.request_open.get() || !attempt.gate.is_lease_valid() {
-            return done(Outcome::NeverSent, None);
+            return upstream_result(Outcome::NeverSent, None);
         }
-        // The news of a drain may have come while the connection was made.
+        // A drain notice may have arrived while the connection was opened.
         if !attempt.gate.can_send(&attempt.clock) {
-            return done(Outcome::NoConnection, None);
+            return upstream_result(Outcome::NoConnection, None);
         }
-        match conn.made_fit(&payload.wanted).await {
-            Some(Ok(())) => break conn,
+        match connection.meet_requirements(&payload.requirements).await {
+            Some(Ok(())) => break connection,
             Some(Err(error)) => {
-                let hold = payload.hold.after(payload.answers, &Ended::Error(error.number), false);
-                let hold = if payload.held { hold } else { Hold::default() };
-                put(endpoint, era, payload, whose, conn, hold);
-                return done(Outcome::Served, Some(worded(&error, hold)));
+                let pinning = payload.pinning.after_response(
+                    payload.response_kind,
+                    &ResponseEnd::Error(error.code),
+                    false,
+                );
+                let pinning = if payload.is_pinned { pinning } else { Pinning::default() };
+                store_connection(endpoint, generation, payload, server, connection, pinning);
+                return upstream_result(Outcome::Served, Some(error_response(&error, pinning)));
             }
-            // A kept one may have been closed meanwhile. What it was asked for does nothing.
-            None if new => return done(Outcome::NoConnection, None),
+            // The server may have closed a reused connection. The preparing commands have no effect, so another
+            // connection is tried.
+            None if is_new => return upstream_result(Outcome::NoConnection, None),
             None => {}
         }
     };
     if !attempt.request_open.get() {
-        return done(Outcome::NeverSent, None);
+        return upstream_result(Outcome::NeverSent, None);
     }
     if !attempt.gate.can_send(&attempt.clock) {
-        return done(Outcome::NoConnection, None);
+        return upstream_result(Outcome::NoConnection, None);
     }
     attempt.written.set(true);
-    if conn.send(&payload.command, &payload.wanted).await.is_err() {
-        return done(Outcome::Reset, None);
+    if connection.send_command(&payload.command, &payload.requirements).await.is_err() {
+        return upstream_result(Outcome::Reset, None);
     }
-    let reply = Reply::new(payload.answers, payload.wanted.deprecate_eof());
-    let begun = Cell::new(false);
-    let answered = ways.answer(&mut conn.wire, reply, &attempt.reply_sink, &begun).await;
-    let Answered { mut frames, next, room, ended, leaves, to } = match answered {
-        Ok(answered) => answered,
-        Err(Cut::Untaken) => return done(Outcome::Cancelled, None),
-        Err(Cut::Broken) => return done(Outcome::Reset, None),
-        // With the connection goes what held the session to it, or the answer has begun: that is told as a loss.
-        Err(Cut::Long) if payload.hold.any() || begun.get() => return done(Outcome::Error, None),
-        Err(Cut::Long) => {
+    let tracker = ResponseTracker::new(payload.response_kind, payload.requirements.deprecate_eof());
+    let streaming_started = Cell::new(false);
+    let response = settings
+        .read_response(&mut connection.stream, tracker, &attempt.reply_sink, &streaming_started)
+        .await;
+    let CompletedResponse {
+        mut frames,
+        next_sequence,
+        permits,
+        end,
+        has_insert_id_or_warnings,
+        chunk_sender,
+    } = match response {
+        Ok(completed) => completed,
+        Err(ReadFailure::NotConsumed) => return upstream_result(Outcome::Cancelled, None),
+        Err(ReadFailure::ConnectionBroken) => return upstream_result(Outcome::Reset, None),
+        // The pinned session loses its connection, or a part of the response was sent: both are reported as a failure.
+        Err(ReadFailure::PacketTooLong) if payload.pinning.is_pinned() || streaming_started.get() => {
+            return upstream_result(Outcome::Error, None);
+        }
+        Err(ReadFailure::PacketTooLong) => {
             let text = format!(
                 "dewpier: the statement has run; a row of its answer is over {} bytes",
-                ways.max_packet_bytes
+                settings.max_packet_bytes
             );
-            let error = Error::new(UNKNOWN, GENERAL, text);
-            return done(Outcome::Served, Some(worded(&error, Hold::default())));
+            let error = ErrPacket::new(ER_UNKNOWN_ERROR, SQLSTATE_GENERAL_ERROR, text);
+            return upstream_result(Outcome::Served, Some(error_response(&error, Pinning::default())));
         }
     };
-    if ended == Ended::Error(error::SERVER_SHUTDOWN) && to.is_none() {
-        return done(Outcome::Error, None);
+    if end == ResponseEnd::Error(error::ER_SERVER_SHUTDOWN) && chunk_sender.is_none() {
+        return upstream_result(Outcome::Error, None);
     }
-    // Of what may be a procedure a part may have run before the server said no.
-    let may_be_parts = payload.held || payload.hold.state;
-    let never_ran =
-        matches!(ended, Ended::Error(number) if error::never_ran(number)) && !may_be_parts && to.is_none();
-    if let (Some(name), Ended::Whole { .. }) = (&payload.chooses, ended) {
-        conn.database = Some(name.clone());
+    // A stored procedure may have run in part before the server rejected a statement of it.
+    let may_have_run_in_part = payload.is_pinned || payload.pinning.session_state;
+    let is_unexecuted = matches!(end, ResponseEnd::Error(code) if error::is_rejected_before_execution(code))
+        && !may_have_run_in_part
+        && chunk_sender.is_none();
+    if let (Some(name), ResponseEnd::Complete { .. }) = (&payload.selects_database, end) {
+        connection.database = Some(name.clone());
     }
-    if let (Some(number), Ended::Whole { prepared: Some(prepared), .. }) = (payload.prepares, ended) {
-        // The client knows it by the session's number.
-        let id = packet::HEADER + 1..packet::HEADER + 5;
-        frames.get_mut(id).into_iter().for_each(|bytes| bytes.copy_from_slice(&number.to_le_bytes()));
-        if conn.keep(number, prepared.id).await.is_err() {
-            return done(Outcome::Reset, None);
+    if let (Some(statement_id), ResponseEnd::Complete { prepared: Some(prepared), .. }) =
+        (payload.prepares, end)
+    {
+        // The client knows the statement by the session's id.
+        let id_range = packet::HEADER_BYTES + 1..packet::HEADER_BYTES + 5;
+        frames
+            .get_mut(id_range)
+            .into_iter()
+            .for_each(|bytes| bytes.copy_from_slice(&statement_id.to_le_bytes()));
+        if connection.record_prepared(statement_id, prepared.statement_id).await.is_err() {
+            return upstream_result(Outcome::Reset, None);
         }
     }
-    let hold = if never_ran { Hold::default() } else { payload.hold.after(payload.answers, &ended, leaves) };
-    put(endpoint, era, payload, whose, conn, hold);
-    if let Some(to) = to {
-        // Whoever takes it sees by the end that it is whole.
-        let last = async {
-            to.send(Piece::Frames(frames.freeze(), next)).await?;
-            to.send(Piece::Over(ended, hold)).await
+    let pinning = if is_unexecuted {
+        Pinning::default()
+    } else {
+        payload.pinning.after_response(payload.response_kind, &end, has_insert_id_or_warnings)
+    };
+    store_connection(endpoint, generation, payload, server, connection, pinning);
+    if let Some(sender) = chunk_sender {
+        // The end tells the receiver that the response is complete.
+        let last_chunks = async {
+            sender.send(ResponseChunk::Frames(frames.freeze(), next_sequence)).await?;
+            sender.send(ResponseChunk::End(end, pinning)).await
         };
-        return match timeout(GOES_ON_WITHIN, last).await {
-            Ok(Ok(())) => done(Outcome::Served, None),
-            _ => done(Outcome::Cancelled, None),
+        return match timeout(STREAM_STALL_TIMEOUT, last_chunks).await {
+            Ok(Ok(())) => upstream_result(Outcome::Served, None),
+            _ => upstream_result(Outcome::Cancelled, None),
         };
     }
-    let answer = Some(Served { frames: frames.freeze(), next, rest: Rest::Over(ended, hold), _room: room });
-    match never_ran {
-        // Another server may do it; else the client hears what this one said.
-        true => UpstreamResult { fallback: answer, ..done(Outcome::Rejected, None) },
-        false => done(Outcome::Served, answer),
+    let response = Some(ServerResponse {
+        frames: frames.freeze(),
+        next_sequence,
+        remainder: Remainder::Complete(end, pinning),
+        _permits: permits,
+    });
+    match is_unexecuted {
+        // Another server may run the command; otherwise the client gets this server's response.
+        true => UpstreamResult { fallback: response, ..upstream_result(Outcome::Rejected, None) },
+        false => upstream_result(Outcome::Served, response),
     }
 }
--- a/crates/mysql/src/io/wire.rs
+++ b/crates/mysql/src/io/wire.rs
@@ -1,6 +1,6 @@
-//! Packets on a socket.
+//! Reads and writes packets on a socket.
 
-use crate::packet::{FrameError, Packets, write};
+use crate::packet::{FrameError, PacketReader, write_packet};
 use bytes::BytesMut;
 use std::io;
 use std::time::Duration;
@@ -8,108 +8,109 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::TcpStream;
 
-/// So much is asked of the socket at a time.
-const READ: usize = 16 << 10;
-/// How often it is seen whether the other side has left, where bytes of it wait unread.
-const LOOK: Duration = Duration::from_millis(20);
+/// Bytes requested from the socket at a time.
+const READ_BYTES: usize = 16 << 10;
+/// How often a disconnect is checked for while received bytes are unread.
+const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why there is no next packet.
+/// Why no packet was received.
 #[derive(Debug, Error)]
-pub(super) enum WireError {
-    /// The connection broke, or ended.
+pub(super) enum ReceiveError {
+    /// The connection broke or was closed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// What came is no packet.
+    /// The frames violate the protocol.
     #[error("{0}")]
     Frame(#[from] FrameError),
 }
 
-/// One side of a connection.
-pub(super) struct Wire {
+/// One end of a connection.
+pub(super) struct PacketStream {
     stream: TcpStream,
-    read: BytesMut,
-    packets: Packets,
+    buffer: BytesMut,
+    reader: PacketReader,
 }
 
-impl Wire {
-    /// A connection on which packets of so many bytes at most are read.
-    pub fn new(stream: TcpStream, most: usize) -> Self {
-        let _ = stream.set_nodelay(true); // it still works if not
-        Self { stream, read: BytesMut::new(), packets: Packets::new(most) }
+impl PacketStream {
+    /// Wraps a connection from which packets of at most `max_bytes` are read.
+    pub fn new(stream: TcpStream, max_bytes: usize) -> Self {
+        let _ = stream.set_nodelay(true); // the connection works without it
+        Self { stream, buffer: BytesMut::new(), reader: PacketReader::new(max_bytes) }
     }
 
-    /// From now on packets of so many bytes at most.
-    pub fn bound(&mut self, most: usize) {
-        self.packets.bound(most);
+    /// Changes the longest packet that is read.
+    pub fn set_max_bytes(&mut self, max_bytes: usize) {
+        self.reader.set_max_bytes(max_bytes);
     }
 
-    /// The next exchange begins with that number.
-    pub fn expect(&mut self, sequence: u8) {
-        self.packets.expect(sequence);
+    /// Sets the sequence number of the next frame.
+    pub fn set_sequence(&mut self, sequence: u8) {
+        self.reader.set_sequence(sequence);
     }
 
-    /// The number that is next.
+    /// The sequence number of the next frame.
     pub fn sequence(&self) -> u8 {
-        self.packets.sequence()
+        self.reader.sequence()
     }
 
-    /// The next packet. Nothing is lost if it is dropped before.
-    pub async fn next(&mut self) -> Result<BytesMut, WireError> {
+    /// Reads the next packet. Cancel safe: what was read stays in the buffer.
+    pub async fn next_packet(&mut self) -> Result<BytesMut, ReceiveError> {
         loop {
-            if let Some(packet) = self.packets.next(&mut self.read)? {
+            if let Some(packet) = self.reader.next_packet(&mut self.buffer)? {
                 return Ok(packet);
             }
-            self.read.reserve(READ);
-            if self.stream.read_buf(&mut self.read).await? == 0 {
+            self.buffer.reserve(READ_BYTES);
+            if self.stream.read_buf(&mut self.buffer).await? == 0 {
                 return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
             }
         }
     }
 
-    /// Waits until some of the next packet has come, or the other side has left.
-    pub async fn begun(&self) {
-        if self.read.is_empty() {
-            let _ = self.stream.peek(&mut [0]).await; // what is wrong shows when it is read
+    /// Waits until a part of the next packet has arrived, or the peer has disconnected.
+    pub async fn wait_readable(&self) {
+        if self.buffer.is_empty() {
+            let _ = self.stream.peek(&mut [0]).await; // an error is reported by the next read
         }
     }
 
-    /// Writes a packet with the number that is next.
-    pub async fn send(&mut self, payload: &[u8]) -> io::Result<()> {
+    /// Writes a packet with the next sequence number.
+    pub async fn send_packet(&mut self, payload: &[u8]) -> io::Result<()> {
         let mut out = BytesMut::with_capacity(payload.len() + 64);
-        let after = write(&mut out, payload, self.packets.sequence());
-        self.packets.expect(after);
+        let next_sequence = write_packet(&mut out, payload, self.reader.sequence());
+        self.reader.set_sequence(next_sequence);
         self.stream.write_all(&out).await
     }
 
-    /// Writes frames as they are.
-    pub async fn pass(&mut self, frames: &[u8]) -> io::Result<()> {
+    /// Writes frames unchanged.
+    pub async fn send_frames(&mut self, frames: &[u8]) -> io::Result<()> {
         self.stream.write_all(frames).await
     }
 
-    /// Nothing has come, and the other side has not closed: between two exchanges anything else spoils it.
-    pub fn quiet(&self) -> bool {
-        let mut one = [0];
-        let nothing =
-            matches!(self.stream.try_read(&mut one), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
-        nothing && self.read.is_empty()
+    /// Whether nothing was received and the peer has not closed. Between two exchanges anything else makes the connection
+    /// unusable.
+    pub fn is_quiet(&self) -> bool {
+        let mut byte = [0];
+        let no_data =
+            matches!(self.stream.try_read(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
+        no_data && self.buffer.is_empty()
     }
 
-    /// Waits until the other side has left, also behind bytes of it that nobody has read yet.
-    pub async fn left(&self) {
+    /// Waits until the peer has disconnected, even if bytes that it sent before are unread.
+    pub async fn wait_for_disconnect(&self) {
         loop {
             match self.stream.ready(Interest::READABLE).await {
                 Ok(ready) if !ready.is_read_closed() => {}
                 _ => return,
             }
             match self.stream.peek(&mut [0]).await {
-                Ok(1..) => tokio::time::sleep(LOOK).await, // its end can't be waited for behind them
+                Ok(1..) => tokio::time::sleep(DISCONNECT_POLL_INTERVAL).await, // readiness does not report a close behind unread bytes
                 _ => return,
             }
         }
     }
 
-    /// Says that nothing more comes, so that what was written last is read before the end.
-    pub async fn close(mut self) {
-        let _ = self.stream.shutdown().await; // it ends either way
+    /// Shuts down the sending side, so that the peer reads what was written last before the close.
+    pub async fn shutdown(mut self) {
+        let _ = self.stream.shutdown().await; // the connection is dropped either way
     }
 }
--- a/crates/mysql/src/lib.rs
+++ b/crates/mysql/src/lib.rs
@@ -1,11 +1,10 @@
-//! The MySQL wire protocol as dewpier carries it: a core without I/O, and a thin front and upstream round it.
+//! The MySQL wire protocol on the engine: a protocol core without I/O, a front for clients and an upstream for servers.
 //!
-//! A client's statement is a request: it goes through the engine and its module, which say to which server and
-//! whether again, and ends once. [`packet`] and [`fields`] are the bytes, [`handshake`], [`auth`] and [`login`]
-//! the logins on both sides; [`statement`] and [`repeat`] say what a statement may be done with, [`prepared`] keeps those that
-//! are prepared, [`session`] what
-//! holds a client to a connection and what is true when that is lost, [`reply`] where an answer ends. [`io`]
-//! touches sockets.
+//! Each statement of a client is a request of the engine, whose decision module chooses the server and whether to retry.
+//! [`packet`], [`fields`] and [`error`] encode and parse packets; [`handshake`], [`auth`], [`capability`] and [`login`]
+//! handle the logins of clients, and those of the proxy at servers; [`statement`] and [`repeat`] classify statements;
+//! [`prepared`] holds prepared statements; [`session`] decides which connection a session may use and what a lost
+//! connection means for it; [`reply`] finds the end of a response. [`io`] does the network I/O.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/mysql/src/login.rs
+++ b/crates/mysql/src/login.rs
@@ -1,215 +1,241 @@
-//! Logins as state machines, on both sides: a client's to the proxy, and the proxy's to a server. No I/O.
+//! State machines of the logins: of a client to the proxy, and of the proxy to a server. No I/O.
 
-use crate::auth::{self, NATIVE, NONCE, PasswordHash, SHA2};
-use crate::capability::{CONNECT_ATTRS, CONNECT_WITH_DB, NEEDED, OFFERED, SHAPING};
-use crate::error::{ACCESS_DENIED, Error, NOT_SUPPORTED, UNKNOWN};
-use crate::fields::Short;
-use crate::handshake::{Greeting, Login, Switch};
+use crate::auth::{self, CACHING_SHA2_PASSWORD, MYSQL_NATIVE_PASSWORD, NONCE_BYTES, PasswordHash};
+use crate::capability::{
+    CONNECT_ATTRS, CONNECT_WITH_DB, OFFERED_CAPABILITIES, REQUIRED_CAPABILITIES, RESPONSE_CAPABILITIES,
+};
+use crate::error::{ER_ACCESS_DENIED_ERROR, ER_NOT_SUPPORTED_YET, ER_UNKNOWN_ERROR, ErrPacket};
+use crate::fields::MalformedPacket;
+use crate::handshake::{AuthSwitchRequest, HandshakeResponse, HandshakeV10};
 use bytes::Bytes;
 use std::collections::HashMap;
 use thiserror::Error;
 
-/// The longest packet of a login that is read, in bytes: attributes of clients are the longest part.
-pub const MOST_PACKET: usize = 64 << 10;
+/// Longest accepted packet of a login. The attributes of a client are its longest part.
+pub const MAX_LOGIN_PACKET_BYTES: usize = 64 << 10;
 
-/// What a packet about a login that goes on begins with.
-const MORE: u8 = 0x01;
-/// Of [`SHA2`]: the proof holds.
-const FAST: u8 = 0x03;
-/// Of [`SHA2`]: the server does not keep what a proof is checked with, and wants the password itself.
-const FULL: u8 = 0x04;
+/// First byte of a packet with further data of the authentication.
+const AUTH_MORE_DATA: u8 = 0x01;
+/// State of [`CACHING_SHA2_PASSWORD`]: the response is valid.
+const FAST_AUTH_SUCCESS: u8 = 0x03;
+/// State of [`CACHING_SHA2_PASSWORD`]: the server has not cached the hash of the password, and requires the password.
+const FULL_AUTHENTICATION: u8 = 0x04;
 
-/// What holds for a client's whole session, and for a connection to a server that may serve it.
+/// The properties that a client's session and its connections to servers have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Shape {
-    /// Those of [`SHAPING`] that both sides have.
+pub struct ConnectionProfile {
+    /// Those of [`RESPONSE_CAPABILITIES`] that both sides have.
     pub capabilities: u32,
-    /// The collation, and with it the charset of statements and answers.
+    /// Collation, and with it the character set of statements and responses.
     pub collation: u8,
 }
 
-/// A client that is let in.
+/// A client that has logged in.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Guest {
-    /// Its name.
+pub struct AuthenticatedClient {
+    /// User name.
     pub user: String,
-    /// The database that it wants.
+    /// Database to select.
     pub database: Option<String>,
-    /// What its answers look like.
-    pub shape: Shape,
+    /// Capabilities and collation of the client.
+    pub profile: ConnectionProfile,
 }
 
-/// What comes next in a client's login.
+/// The next step of a client's login.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Next {
-    /// Send this, and hand in what comes.
-    Ask(Bytes),
-    /// It is let in: it is told by an OK, behind this packet if there is one.
-    In(Guest, Option<Bytes>),
-    /// It is not: this is its last packet.
-    Out(Error),
+pub enum ClientLoginStep {
+    /// Send this packet, and handle the client's next one.
+    Send(Bytes),
+    /// The client is logged in: send the packet, if there is one, and an OK.
+    Accepted(AuthenticatedClient, Option<Bytes>),
+    /// The login failed: send the error and close the connection.
+    Rejected(ErrPacket),
 }
 
 /// A client's login to the proxy.
 #[derive(Debug)]
-pub struct Door {
-    nonce: [u8; NONCE],
-    /// The client, while a proof by another method is waited for.
-    asked: Option<Login>,
+pub struct ClientLogin {
+    nonce: [u8; NONCE_BYTES],
+    /// The client's first packet, while the response of another plugin is awaited.
+    pending_response: Option<HandshakeResponse>,
 }
 
-impl Door {
-    /// A login that is to be proved with this nonce, and the greeting to begin with.
-    pub fn new(nonce: [u8; NONCE], connection: u32, version: &str) -> (Self, Bytes) {
-        let greeting = Greeting {
+impl ClientLogin {
+    /// Starts a login with this nonce. Returns it with the first packet to send.
+    pub fn new(nonce: [u8; NONCE_BYTES], connection_id: u32, version: &str) -> (Self, Bytes) {
+        let handshake = HandshakeV10 {
             version: version.into(),
-            connection,
+            connection_id,
             nonce,
-            capabilities: OFFERED,
+            capabilities: OFFERED_CAPABILITIES,
             collation: 45, // utf8mb4_general_ci
-            status: 2,
-            method: NATIVE.into(),
+            status_flags: 2,
+            auth_plugin: MYSQL_NATIVE_PASSWORD.into(),
         };
-        (Self { nonce, asked: None }, greeting.packet())
+        (Self { nonce, pending_response: None }, handshake.encode())
     }
 
-    /// A packet of the client.
-    pub fn packet(&mut self, packet: &[u8], users: &HashMap<String, PasswordHash>) -> Next {
-        let (login, proof) = match self.asked.take() {
+    /// Handles a packet of the client.
+    pub fn handle_packet(&mut self, packet: &[u8], users: &HashMap<String, PasswordHash>) -> ClientLoginStep {
+        let (login, response) = match self.pending_response.take() {
             Some(login) => (login, packet.to_vec()),
-            None => match Login::read(packet) {
+            None => match HandshakeResponse::parse(packet) {
                 Ok(login) => {
-                    let proof = login.proof.clone();
-                    (login, proof)
+                    let response = login.auth_response.clone();
+                    (login, response)
+                }
+                Err(malformed) => {
+                    return ClientLoginStep::Rejected(ErrPacket::new(
+                        ER_UNKNOWN_ERROR,
+                        b"08S01",
+                        malformed.to_string(),
+                    ));
                 }
-                Err(short) => return Next::Out(Error::new(UNKNOWN, b"08S01", short.to_string())),
             },
         };
-        if login.capabilities & NEEDED != NEEDED {
+        if login.capabilities & REQUIRED_CAPABILITIES != REQUIRED_CAPABILITIES {
             let text = "expected a client of protocol 4.1 with secure logins (TLS is not offered)";
-            return Next::Out(Error::new(NOT_SUPPORTED, b"08004", text));
+            return ClientLoginStep::Rejected(ErrPacket::new(ER_NOT_SUPPORTED_YET, b"08004", text));
         }
-        // One who is not known takes the same way as one with a wrong password.
-        let kept = users.get(&login.user);
-        let method = kept.map_or(NATIVE, PasswordHash::plugin);
-        let named = if login.method.is_empty() { NATIVE } else { login.method.as_str() };
-        if named != method {
-            let switch = Switch { method: method.into(), nonce: self.nonce };
-            self.asked = Some(Login { method: method.into(), ..login });
-            return Next::Ask(switch.packet());
+        // An unknown user takes the same steps as a user with a wrong password.
+        let stored = users.get(&login.user);
+        let plugin = stored.map_or(MYSQL_NATIVE_PASSWORD, PasswordHash::plugin);
+        let named_plugin =
+            if login.auth_plugin.is_empty() { MYSQL_NATIVE_PASSWORD } else { login.auth_plugin.as_str() };
+        if named_plugin != plugin {
+            let switch = AuthSwitchRequest { auth_plugin: plugin.into(), nonce: self.nonce };
+            self.pending_response = Some(HandshakeResponse { auth_plugin: plugin.into(), ..login });
+            return ClientLoginStep::Send(switch.encode());
         }
-        if !kept.is_some_and(|kept| kept.verify_response(&self.nonce, &proof)) {
+        if !stored.is_some_and(|hash| hash.verify_response(&self.nonce, &response)) {
             let text = format!("Access denied for user '{}'", login.user);
-            return Next::Out(Error::new(ACCESS_DENIED, b"28000", text));
+            return ClientLoginStep::Rejected(ErrPacket::new(ER_ACCESS_DENIED_ERROR, b"28000", text));
         }
-        let first = (method == SHA2).then(|| Bytes::from_static(&[MORE, FAST]));
-        let shape =
-            Shape { capabilities: login.capabilities & OFFERED & SHAPING, collation: login.collation };
-        Next::In(Guest { user: login.user, database: login.database, shape }, first)
+        let first_packet = (plugin == CACHING_SHA2_PASSWORD)
+            .then(|| Bytes::from_static(&[AUTH_MORE_DATA, FAST_AUTH_SUCCESS]));
+        let profile = ConnectionProfile {
+            capabilities: login.capabilities & OFFERED_CAPABILITIES & RESPONSE_CAPABILITIES,
+            collation: login.collation,
+        };
+        ClientLoginStep::Accepted(
+            AuthenticatedClient { user: login.user, database: login.database, profile },
+            first_packet,
+        )
     }
 }
 
-/// Why a server can't be logged in to.
+/// Why a login to a server failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Unfit {
-    /// It says something that is none of a login.
+pub enum ServerLoginError {
+    /// A packet of the server is malformed.
     #[error("{0}")]
-    Packet(#[from] Short),
-    /// It says no.
-    #[error("error {}: {}", .0.number, .0.text)]
-    Refused(Error),
-    /// It lacks what the client was promised.
+    MalformedPacket(#[from] MalformedPacket),
+    /// The server rejected the login.
+    #[error("error {}: {}", .0.code, .0.message)]
+    Rejected(ErrPacket),
+    /// The server lacks capabilities that the client was offered.
     #[error("the server lacks capabilities {0:#x}")]
-    Lacks(u32),
-    /// It wants a proof that is not carried.
-    #[error("the server wants a login by {0:?}")]
-    Method(String),
-    /// Something else.
+    MissingCapabilities(u32),
+    /// The server requires an unsupported authentication plugin.
+    #[error("the server requires authentication plugin {0:?}, which is not supported")]
+    UnsupportedPlugin(String),
+    /// The server sent a packet that is not part of a login.
     #[error("a login: expected OK or an error, found a packet that begins with {0:#04x}")]
-    Unexpected(u8),
+    UnexpectedPacket(u8),
 }
 
-/// What comes next in a login to a server.
+/// The next step of a login to a server.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Send this, and hand in what comes.
-    Say(Bytes),
-    /// Hand in what comes.
-    Wait,
-    /// It is done.
+pub enum ServerLoginStep {
+    /// Send this packet, and handle the server's next one.
+    Send(Bytes),
+    /// Handle the server's next packet.
+    Receive,
+    /// The connection is logged in.
     Done,
 }
 
-/// Who the proxy is to servers.
+/// The user of the proxy at the servers.
 #[derive(Clone, Debug)]
 pub struct Credentials {
-    /// Its name.
+    /// User name.
     pub user: String,
-    /// Its password.
+    /// Password.
     pub password: String,
 }
 
 /// The proxy's login to a server.
 #[derive(Debug)]
-pub struct Entry {
-    shape: Shape,
-    greeted: bool,
-    /// The connection's number at the server, once it has said it.
-    pub connection: u32,
+pub struct ServerLogin {
+    profile: ConnectionProfile,
+    handshake_received: bool,
+    /// Id of the connection at the server; 0 until the server's handshake.
+    pub connection_id: u32,
 }
 
-impl Entry {
-    /// A login for clients of that shape. No database is named: it is chosen before each statement that wants
-    /// another.
-    pub fn new(shape: Shape) -> Self {
-        Self { shape, greeted: false, connection: 0 }
+impl ServerLogin {
+    /// Starts a login with this profile. It names no database: the database is selected before a statement.
+    pub fn new(profile: ConnectionProfile) -> Self {
+        Self { profile, handshake_received: false, connection_id: 0 }
     }
 
-    /// A packet of the server.
-    pub fn packet(&mut self, packet: &[u8], own: &Credentials) -> Result<Step, Unfit> {
-        let proof = |method: &str, nonce| auth::proof(method, &own.password, nonce);
+    /// Handles a packet of the server.
+    pub fn handle_packet(
+        &mut self,
+        packet: &[u8],
+        credentials: &Credentials,
+    ) -> Result<ServerLoginStep, ServerLoginError> {
+        let create_response =
+            |plugin: &str, nonce| auth::create_auth_response(plugin, &credentials.password, nonce);
         match packet.first() {
-            Some(0xff) => Err(Unfit::Refused(Error::read(packet)?)),
-            _ if !self.greeted => {
-                let greeting = Greeting::read(packet)?;
-                let wanted = self.shape.capabilities | NEEDED;
-                let lacking = wanted & !greeting.capabilities;
-                if lacking != 0 {
-                    return Err(Unfit::Lacks(lacking));
+            Some(0xff) => Err(ServerLoginError::Rejected(ErrPacket::parse(packet)?)),
+            _ if !self.handshake_received => {
+                let handshake = HandshakeV10::parse(packet)?;
+                let required = self.profile.capabilities | REQUIRED_CAPABILITIES;
+                let missing = required & !handshake.capabilities;
+                if missing != 0 {
+                    return Err(ServerLoginError::MissingCapabilities(missing));
                 }
-                (self.greeted, self.connection) = (true, greeting.connection);
-                let own_flags = OFFERED & !(SHAPING | CONNECT_WITH_DB | CONNECT_ATTRS);
-                // A proof by a method that is not known here is not made: the server will ask for another.
-                let named = if greeting.method.is_empty() { NATIVE } else { greeting.method.as_str() };
-                let (method, proof) = match proof(named, &greeting.nonce) {
-                    Some(proof) => (named, proof),
-                    None => (NATIVE, Vec::new()),
+                (self.handshake_received, self.connection_id) = (true, handshake.connection_id);
+                let own_capabilities =
+                    OFFERED_CAPABILITIES & !(RESPONSE_CAPABILITIES | CONNECT_WITH_DB | CONNECT_ATTRS);
+                // If the server's default plugin is not supported, it will request a switch.
+                let named_plugin = if handshake.auth_plugin.is_empty() {
+                    MYSQL_NATIVE_PASSWORD
+                } else {
+                    handshake.auth_plugin.as_str()
+                };
+                let (plugin, auth_response) = match create_response(named_plugin, &handshake.nonce) {
+                    Some(auth_response) => (named_plugin, auth_response),
+                    None => (MYSQL_NATIVE_PASSWORD, Vec::new()),
                 };
-                let login = Login {
-                    capabilities: (self.shape.capabilities | own_flags) & greeting.capabilities,
-                    most: 1 << 30,
-                    collation: self.shape.collation,
-                    user: own.user.clone(),
-                    proof,
+                let login = HandshakeResponse {
+                    capabilities: (self.profile.capabilities | own_capabilities) & handshake.capabilities,
+                    max_packet_bytes: 1 << 30,
+                    collation: self.profile.collation,
+                    user: credentials.user.clone(),
+                    auth_response,
                     database: None,
-                    method: method.into(),
+                    auth_plugin: plugin.into(),
                 };
-                Ok(Step::Say(login.packet()))
+                Ok(ServerLoginStep::Send(login.encode()))
             }
-            Some(0x00) => Ok(Step::Done),
-            Some(&Switch::MARK) => {
-                let switch = Switch::read(packet)?;
-                match proof(&switch.method, &switch.nonce) {
-                    Some(proof) => Ok(Step::Say(proof.into())),
-                    None => Err(Unfit::Method(switch.method)),
+            Some(0x00) => Ok(ServerLoginStep::Done),
+            Some(&AuthSwitchRequest::STATUS_TAG) => {
+                let switch = AuthSwitchRequest::parse(packet)?;
+                match create_response(&switch.auth_plugin, &switch.nonce) {
+                    Some(auth_response) => Ok(ServerLoginStep::Send(auth_response.into())),
+                    None => Err(ServerLoginError::UnsupportedPlugin(switch.auth_plugin)),
                 }
             }
-            Some(&MORE) => match packet.get(1) {
-                Some(&FAST) => Ok(Step::Wait),
-                Some(&FULL) => Err(Unfit::Method(format!("{SHA2}, in full"))),
-                other => Err(Unfit::Unexpected(other.copied().unwrap_or_default())),
+            Some(&AUTH_MORE_DATA) => match packet.get(1) {
+                Some(&FAST_AUTH_SUCCESS) => Ok(ServerLoginStep::Receive),
+                Some(&FULL_AUTHENTICATION) => Err(ServerLoginError::UnsupportedPlugin(format!(
+                    "{CACHING_SHA2_PASSWORD} with full authentication"
+                ))),
+                other => Err(ServerLoginError::UnexpectedPacket(other.copied().unwrap_or_default())),
             },
-            first => Err(Unfit::Unexpected(first.copied().unwrap_or_default())),
+            first => Err(ServerLoginError::UnexpectedPacket(first.copied().unwrap_or_default())),
         }
     }
 }
@@ -227,90 +253,144 @@
         .into()
     }
 
-    fn login(user: &str, password: &str, nonce: &[u8; NONCE]) -> Login {
-        Login {
-            capabilities: OFFERED & !CONNECT_ATTRS,
-            most: 1 << 24,
+    fn handshake_response(user: &str, password: &str, nonce: &[u8; NONCE_BYTES]) -> HandshakeResponse {
+        HandshakeResponse {
+            capabilities: OFFERED_CAPABILITIES & !CONNECT_ATTRS,
+            max_packet_bytes: 1 << 24,
             collation: 45,
             user: user.into(),
-            proof: auth::proof(NATIVE, password, nonce).unwrap(),
+            auth_response: auth::create_auth_response(MYSQL_NATIVE_PASSWORD, password, nonce).unwrap(),
             database: Some("plans".into()),
-            method: NATIVE.into(),
+            auth_plugin: MYSQL_NATIVE_PASSWORD.into(),
         }
     }
 
     #[test]
-    fn who_proves_the_password_is_let_in_and_nobody_else() {
-        let nonce = [5; NONCE];
-        let enter = |login: Login| Door::new(nonce, 1, "8.0").0.packet(&login.packet(), &users());
-        let shape = Shape { capabilities: SHAPING, collation: 45 };
-        let guest = Guest { user: "planner".into(), database: Some("plans".into()), shape };
-        assert_eq!(enter(login("planner", "oak", &nonce)), Next::In(guest.clone(), None));
-        let old = Login { capabilities: OFFERED & !PROTOCOL_41, ..login("planner", "oak", &nonce) };
-        for wrong in [
-            login("planner", "elm", &nonce),
-            login("other", "oak", &nonce),
-            login("planner", "", &nonce),
-            old,
+    fn only_valid_password_response_logs_client_in() {
+        let nonce = [5; NONCE_BYTES];
+        let log_in = |response: HandshakeResponse| {
+            ClientLogin::new(nonce, 1, "8.0").0.handle_packet(&response.encode(), &users())
+        };
+        let profile = ConnectionProfile { capabilities: RESPONSE_CAPABILITIES, collation: 45 };
+        let client = AuthenticatedClient { user: "planner".into(), database: Some("plans".into()), profile };
+        assert_eq!(
+            log_in(handshake_response("planner", "oak", &nonce)),
+            ClientLoginStep::Accepted(client.clone(), None)
+        );
+        let without_protocol_41 = HandshakeResponse {
+            capabilities: OFFERED_CAPABILITIES & !PROTOCOL_41,
+            ..handshake_response("planner", "oak", &nonce)
+        };
+        for invalid in [
+            handshake_response("planner", "elm", &nonce),
+            handshake_response("other", "oak", &nonce),
+            handshake_response("planner", "", &nonce),
+            without_protocol_41,
         ] {
-            assert!(matches!(enter(wrong.clone()), Next::Out(_)), "{wrong:?}");
+            assert!(matches!(log_in(invalid.clone()), ClientLoginStep::Rejected(_)), "{invalid:?}");
         }
-        // One with another method is asked for the proof that is known here.
-        let (mut door, _) = Door::new(nonce, 1, "8.0");
-        let other = Login {
-            method: "caching_sha2_password".into(),
-            proof: vec![1; 32],
-            ..login("planner", "", &nonce)
+        // A client that names another plugin is asked to switch.
+        let (mut login, _) = ClientLogin::new(nonce, 1, "8.0");
+        let other = HandshakeResponse {
+            auth_plugin: "caching_sha2_password".into(),
+            auth_response: vec![1; 32],
+            ..handshake_response("planner", "", &nonce)
+        };
+        let ClientLoginStep::Send(switch) = login.handle_packet(&other.encode(), &users()) else {
+            panic!("no plugin switch")
         };
-        let Next::Ask(asked) = door.packet(&other.packet(), &users()) else { panic!("it is let in") };
-        let proof = auth::proof(NATIVE, "oak", &Switch::read(&asked).unwrap().nonce).unwrap();
-        assert_eq!(door.packet(&proof, &users()), Next::In(guest.clone(), None));
-        // One of whom the newer hash is kept, by that.
-        let (mut door, _) = Door::new(nonce, 1, "8.0");
-        let Next::Ask(asked) = door.packet(&login("maker", "ash", &nonce).packet(), &users()) else {
-            panic!("it is let in")
+        let auth_response = auth::create_auth_response(
+            MYSQL_NATIVE_PASSWORD,
+            "oak",
+            &AuthSwitchRequest::parse(&switch).unwrap().nonce,
+        )
+        .unwrap();
+        assert_eq!(
+            login.handle_packet(&auth_response, &users()),
+            ClientLoginStep::Accepted(client.clone(), None)
+        );
+        // A user with a stored SHA-256 hash is asked to switch to caching_sha2_password.
+        let (mut login, _) = ClientLogin::new(nonce, 1, "8.0");
+        let ClientLoginStep::Send(switch) =
+            login.handle_packet(&handshake_response("maker", "ash", &nonce).encode(), &users())
+        else {
+            panic!("no plugin switch")
         };
-        let asked = Switch::read(&asked).unwrap();
-        let proof = auth::proof(&asked.method, "ash", &asked.nonce).unwrap();
-        let first = Some(Bytes::from_static(&[MORE, FAST]));
-        assert_eq!(door.packet(&proof, &users()), Next::In(Guest { user: "maker".into(), ..guest }, first));
+        let switch = AuthSwitchRequest::parse(&switch).unwrap();
+        let auth_response = auth::create_auth_response(&switch.auth_plugin, "ash", &switch.nonce).unwrap();
+        let first_packet = Some(Bytes::from_static(&[AUTH_MORE_DATA, FAST_AUTH_SUCCESS]));
+        assert_eq!(
+            login.handle_packet(&auth_response, &users()),
+            ClientLoginStep::Accepted(AuthenticatedClient { user: "maker".into(), ..client }, first_packet)
+        );
     }
 
     #[test]
-    fn a_server_is_logged_in_to_by_its_own_nonce_or_another_that_it_gives() {
-        let own = Credentials { user: "dewpier".into(), password: "elm".into() };
-        let shape = Shape { capabilities: DEPRECATE_EOF, collation: 45 };
-        let greeting = |capabilities, method: &str| Greeting {
+    fn server_login_uses_nonce_of_handshake_or_plugin_switch() {
+        let credentials = Credentials { user: "dewpier".into(), password: "elm".into() };
+        let profile = ConnectionProfile { capabilities: DEPRECATE_EOF, collation: 45 };
+        let handshake = |capabilities, plugin: &str| HandshakeV10 {
             version: "8".into(),
-            connection: 7,
-            nonce: [3; NONCE],
+            connection_id: 7,
+            nonce: [3; NONCE_BYTES],
             capabilities,
             collation: 45,
-            status: 2,
-            method: method.into(),
+            status_flags: 2,
+            auth_plugin: plugin.into(),
         };
-        let mut entry = Entry::new(shape);
-        let said = entry.packet(&greeting(OFFERED, "dialog").packet(), &own);
-        let Ok(Step::Say(said)) = said else { panic!("{said:?}") };
-        let said = Login::read(&said).unwrap();
-        assert_eq!((said.proof.len(), said.capabilities & SHAPING, entry.connection), (0, DEPRECATE_EOF, 7));
-        let switch = Switch { method: NATIVE.into(), nonce: [4; NONCE] };
-        let proof = auth::proof(NATIVE, "elm", &[4; NONCE]).unwrap();
-        assert_eq!(entry.packet(&switch.packet(), &own), Ok(Step::Say(proof.into())));
-        assert_eq!(entry.packet(&[0, 0, 0, 2, 0, 0, 0], &own), Ok(Step::Done));
-        let mut newer = Entry::new(shape);
-        let Ok(Step::Say(said)) = newer.packet(&greeting(OFFERED, SHA2).packet(), &own) else {
-            panic!("nothing")
+        let mut login = ServerLogin::new(profile);
+        let response = login.handle_packet(&handshake(OFFERED_CAPABILITIES, "dialog").encode(), &credentials);
+        let Ok(ServerLoginStep::Send(response)) = response else { panic!("{response:?}") };
+        let response = HandshakeResponse::parse(&response).unwrap();
+        assert_eq!(
+            (
+                response.auth_response.len(),
+                response.capabilities & RESPONSE_CAPABILITIES,
+                login.connection_id
+            ),
+            (0, DEPRECATE_EOF, 7)
+        );
+        let switch = AuthSwitchRequest { auth_plugin: MYSQL_NATIVE_PASSWORD.into(), nonce: [4; NONCE_BYTES] };
+        let auth_response =
+            auth::create_auth_response(MYSQL_NATIVE_PASSWORD, "elm", &[4; NONCE_BYTES]).unwrap();
+        assert_eq!(
+            login.handle_packet(&switch.encode(), &credentials),
+            Ok(ServerLoginStep::Send(auth_response.into()))
+        );
+        assert_eq!(login.handle_packet(&[0, 0, 0, 2, 0, 0, 0], &credentials), Ok(ServerLoginStep::Done));
+        let mut sha2_login = ServerLogin::new(profile);
+        let Ok(ServerLoginStep::Send(response)) = sha2_login
+            .handle_packet(&handshake(OFFERED_CAPABILITIES, CACHING_SHA2_PASSWORD).encode(), &credentials)
+        else {
+            panic!("no response to the handshake")
         };
-        assert_eq!(Login::read(&said).unwrap().proof, auth::proof(SHA2, "elm", &[3; NONCE]).unwrap());
-        assert_eq!(newer.packet(&[MORE, FAST], &own), Ok(Step::Wait));
-        assert_eq!(newer.packet(&[0, 0, 0, 2, 0, 0, 0], &own), Ok(Step::Done));
-        assert!(matches!(newer.packet(&[MORE, FULL], &own), Err(Unfit::Method(_))));
-        let lacking = Entry::new(shape).packet(&greeting(OFFERED & !DEPRECATE_EOF, NATIVE).packet(), &own);
-        assert_eq!(lacking, Err(Unfit::Lacks(DEPRECATE_EOF)));
-        let switch = Switch { method: "dialog".into(), nonce: [4; NONCE] };
-        assert_eq!(entry.packet(&switch.packet(), &own), Err(Unfit::Method("dialog".into())));
-        let full = Error::new(crate::error::CON_COUNT, b"08004", "Too many connections");
-        assert_eq!(Entry::new(shape).packet(&full.packet(), &own), Err(Unfit::Refused(full)));
+        assert_eq!(
+            HandshakeResponse::parse(&response).unwrap().auth_response,
+            auth::create_auth_response(CACHING_SHA2_PASSWORD, "elm", &[3; NONCE_BYTES]).unwrap()
+        );
+        assert_eq!(
+            sha2_login.handle_packet(&[AUTH_MORE_DATA, FAST_AUTH_SUCCESS], &credentials),
+            Ok(ServerLoginStep::Receive)
+        );
+        assert_eq!(sha2_login.handle_packet(&[0, 0, 0, 2, 0, 0, 0], &credentials), Ok(ServerLoginStep::Done));
+        assert!(matches!(
+            sha2_login.handle_packet(&[AUTH_MORE_DATA, FULL_AUTHENTICATION], &credentials),
+            Err(ServerLoginError::UnsupportedPlugin(_))
+        ));
+        let result = ServerLogin::new(profile).handle_packet(
+            &handshake(OFFERED_CAPABILITIES & !DEPRECATE_EOF, MYSQL_NATIVE_PASSWORD).encode(),
+            &credentials,
+        );
+        assert_eq!(result, Err(ServerLoginError::MissingCapabilities(DEPRECATE_EOF)));
+        let switch = AuthSwitchRequest { auth_plugin: "dialog".into(), nonce: [4; NONCE_BYTES] };
+        assert_eq!(
+            login.handle_packet(&switch.encode(), &credentials),
+            Err(ServerLoginError::UnsupportedPlugin("dialog".into()))
+        );
+        let too_many = ErrPacket::new(crate::error::ER_CON_COUNT_ERROR, b"08004", "Too many connections");
+        assert_eq!(
+            ServerLogin::new(profile).handle_packet(&too_many.encode(), &credentials),
+            Err(ServerLoginError::Rejected(too_many))
+        );
     }
 }
--- a/crates/mysql/src/packet.rs
+++ b/crates/mysql/src/packet.rs
@@ -1,130 +1,131 @@
-//! Packets as the protocol frames them: a length of three bytes, low byte first, a sequence number, and the
-//! payload. One of 16 MiB less a byte is continued by the next (MySQL's internals manual, "MySQL Packets").
+//! Encodes and reads packets in the frames of the protocol: a length of three bytes, low byte first, a sequence number,
+//! and the payload. A frame of the maximum length is continued by the next one ("MySQL Packets" in MySQL's internals
+//! manual).
 
 use bytes::{Buf, BytesMut};
 use thiserror::Error;
 
-/// Bytes of the header.
-pub const HEADER: usize = 4;
-/// The longest payload of one frame: one of this length is continued.
-pub const FULL: usize = 0xff_ffff;
+/// Length of a frame header.
+pub const HEADER_BYTES: usize = 4;
+/// Longest payload of a frame. A payload of this length is continued by the next frame.
+pub const MAX_FRAME_PAYLOAD_BYTES: usize = 0xff_ffff;
 
-/// Why what came is no packet.
+/// Why received frames are not a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// The frames of an exchange are numbered without gaps.
+    /// A frame has the wrong sequence number.
     #[error("sequence number: expected {expected}, found {found}")]
     OutOfOrder {
-        /// The number that was due,
+        /// Sequence number expected.
         expected: u8,
-        /// and the one that came.
+        /// Sequence number found.
         found: u8,
     },
-    /// It is longer than its reader takes.
-    #[error("packet: expected at most {most} bytes, found {found} or more")]
+    /// A packet is longer than the reader accepts.
+    #[error("packet: expected at most {max_bytes} bytes, found {found} or more")]
     TooLong {
-        /// The bound.
-        most: usize,
-        /// What it says, so far.
+        /// Maximum length in bytes.
+        max_bytes: usize,
+        /// Length in bytes of the frames so far.
         found: usize,
     },
 }
 
 /// The header of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Header {
-    /// Bytes of the payload.
+pub struct FrameHeader {
+    /// Length of the payload in bytes.
     pub length: usize,
-    /// Its number in the exchange.
+    /// Sequence number within the exchange.
     pub sequence: u8,
 }
 
-impl Header {
-    /// Of these bytes.
-    pub fn read(bytes: [u8; HEADER]) -> Self {
+impl FrameHeader {
+    /// Parses a header.
+    pub fn parse(bytes: [u8; HEADER_BYTES]) -> Self {
         let [a, b, c, sequence] = bytes;
         Self { length: usize::from(a) | usize::from(b) << 8 | usize::from(c) << 16, sequence }
     }
 
-    /// As bytes. A length over [`FULL`] is cut to it.
-    pub fn write(self) -> [u8; HEADER] {
-        let length = self.length.min(FULL);
+    /// Encodes the header. A length over [`MAX_FRAME_PAYLOAD_BYTES`] is reduced to it.
+    pub fn encode(self) -> [u8; HEADER_BYTES] {
+        let length = self.length.min(MAX_FRAME_PAYLOAD_BYTES);
         [length as u8, (length >> 8) as u8, (length >> 16) as u8, self.sequence]
     }
 }
 
-/// Puts frames together to packets, each whole, up to a bound.
+/// Assembles packets of limited length from frames.
 #[derive(Debug)]
-pub struct Packets {
+pub struct PacketReader {
     sequence: u8,
-    most: usize,
-    /// What came of a packet that is continued.
-    begun: BytesMut,
+    max_bytes: usize,
+    /// Payload so far of a packet that is continued.
+    partial: BytesMut,
 }
 
-impl Packets {
-    /// A reader that takes packets of so many bytes at most. The first frame has number 0.
-    pub fn new(most: usize) -> Self {
-        Self { sequence: 0, most, begun: BytesMut::new() }
+impl PacketReader {
+    /// A reader of packets of at most `max_bytes`, whose first frame has sequence number 0.
+    pub fn new(max_bytes: usize) -> Self {
+        Self { sequence: 0, max_bytes, partial: BytesMut::new() }
     }
 
-    /// The number that the next frame has, from either side.
+    /// Sequence number of the next frame in either direction.
     pub fn sequence(&self) -> u8 {
         self.sequence
     }
 
-    /// Another exchange begins, or the other side has sent frames: that number is next.
-    pub fn expect(&mut self, sequence: u8) {
+    /// Sets the sequence number of the next frame, after frames were sent or before a new exchange.
+    pub fn set_sequence(&mut self, sequence: u8) {
         self.sequence = sequence;
     }
 
-    /// From now on packets of so many bytes at most.
-    pub fn bound(&mut self, most: usize) {
-        self.most = most;
+    /// Changes the longest packet that is accepted.
+    pub fn set_max_bytes(&mut self, max_bytes: usize) {
+        self.max_bytes = max_bytes;
     }
 
-    /// The next whole packet of what was read, if it is there. What belongs to it is taken out of `read`.
-    /// After an error the stream can't be followed any more.
-    pub fn next(&mut self, read: &mut BytesMut) -> Result<Option<BytesMut>, FrameError> {
-        while let Some(header) = read.first_chunk::<HEADER>().map(|bytes| Header::read(*bytes)) {
+    /// Removes the next complete packet from `buffer`, if there is one. After an error the stream is unusable.
+    pub fn next_packet(&mut self, buffer: &mut BytesMut) -> Result<Option<BytesMut>, FrameError> {
+        while let Some(header) = buffer.first_chunk::<HEADER_BYTES>().map(|bytes| FrameHeader::parse(*bytes))
+        {
             if header.sequence != self.sequence {
                 return Err(FrameError::OutOfOrder { expected: self.sequence, found: header.sequence });
             }
-            let found = self.begun.len() + header.length;
-            // Before it is waited for: a length is a claim, and costs who makes it nothing.
-            if found > self.most {
-                return Err(FrameError::TooLong { most: self.most, found });
+            let found = self.partial.len() + header.length;
+            // Checked before the payload arrives, so that a false length can't make the buffer grow.
+            if found > self.max_bytes {
+                return Err(FrameError::TooLong { max_bytes: self.max_bytes, found });
             }
-            if read.len() < HEADER + header.length {
+            if buffer.len() < HEADER_BYTES + header.length {
                 return Ok(None);
             }
-            read.advance(HEADER);
-            let payload = read.split_to(header.length);
+            buffer.advance(HEADER_BYTES);
+            let payload = buffer.split_to(header.length);
             self.sequence = self.sequence.wrapping_add(1);
-            if header.length == FULL {
-                self.begun.unsplit(payload);
+            if header.length == MAX_FRAME_PAYLOAD_BYTES {
+                self.partial.unsplit(payload);
                 continue;
             }
-            if self.begun.is_empty() {
+            if self.partial.is_empty() {
                 return Ok(Some(payload));
             }
-            self.begun.unsplit(payload);
-            return Ok(Some(self.begun.split()));
+            self.partial.unsplit(payload);
+            return Ok(Some(self.partial.split()));
         }
         Ok(None)
     }
 }
 
-/// Appends a packet in frames from that number on. Returns the number after its last frame.
-pub fn write(out: &mut BytesMut, payload: &[u8], mut sequence: u8) -> u8 {
+/// Appends a packet in frames that are numbered from `sequence` on. Returns the sequence number after the last frame.
+pub fn write_packet(out: &mut BytesMut, payload: &[u8], mut sequence: u8) -> u8 {
     let mut rest = payload;
     loop {
-        let (frame, after) = rest.split_at(rest.len().min(FULL));
-        out.extend_from_slice(&Header { length: frame.len(), sequence }.write());
-        out.extend_from_slice(frame);
+        let (frame_payload, after) = rest.split_at(rest.len().min(MAX_FRAME_PAYLOAD_BYTES));
+        out.extend_from_slice(&FrameHeader { length: frame_payload.len(), sequence }.encode());
+        out.extend_from_slice(frame_payload);
         sequence = sequence.wrapping_add(1);
-        // One whose length is a multiple ends with an empty frame.
-        if frame.len() < FULL {
+        // A payload whose length is a multiple of the maximum ends with an empty frame.
+        if frame_payload.len() < MAX_FRAME_PAYLOAD_BYTES {
             return sequence;
         }
         rest = after;
@@ -136,35 +137,51 @@
     use super::*;
 
     #[test]
-    fn packets_of_all_lengths_come_back_however_they_arrive() {
-        for length in [0, 1, 5, 300, FULL - 1, FULL, FULL + 1, 2 * FULL, 2 * FULL + 7] {
+    fn packets_of_all_lengths_are_reassembled_from_any_fragments() {
+        for length in [
+            0,
+            1,
+            5,
+            300,
+            MAX_FRAME_PAYLOAD_BYTES - 1,
+            MAX_FRAME_PAYLOAD_BYTES,
+            MAX_FRAME_PAYLOAD_BYTES + 1,
+            2 * MAX_FRAME_PAYLOAD_BYTES,
+            2 * MAX_FRAME_PAYLOAD_BYTES + 7,
+        ] {
             let payload: Vec<u8> = (0..length).map(|i| (i % 251) as u8).collect();
             let mut written = BytesMut::new();
-            let after = write(&mut written, &payload, 250);
-            assert_eq!(usize::from(after.wrapping_sub(250)), 1 + length / FULL);
-            let (mut packets, mut read) = (Packets::new(usize::MAX), BytesMut::new());
-            packets.expect(250);
-            for piece in written.chunks(if length < 1000 { 1 } else { 1 << 20 }) {
-                assert_eq!(packets.next(&mut read).unwrap(), None);
-                read.extend_from_slice(piece);
+            let next_sequence = write_packet(&mut written, &payload, 250);
+            assert_eq!(usize::from(next_sequence.wrapping_sub(250)), 1 + length / MAX_FRAME_PAYLOAD_BYTES);
+            let (mut reader, mut buffer) = (PacketReader::new(usize::MAX), BytesMut::new());
+            reader.set_sequence(250);
+            for fragment in written.chunks(if length < 1000 { 1 } else { 1 << 20 }) {
+                assert_eq!(reader.next_packet(&mut buffer).unwrap(), None);
+                buffer.extend_from_slice(fragment);
             }
-            assert!(packets.next(&mut read).unwrap().unwrap() == payload, "{length}");
-            assert_eq!((packets.sequence(), read.len()), (after, 0));
+            assert!(reader.next_packet(&mut buffer).unwrap().unwrap() == payload, "{length}");
+            assert_eq!((reader.sequence(), buffer.len()), (next_sequence, 0));
         }
     }
 
     #[test]
-    fn what_is_out_of_order_or_too_long_is_refused_before_it_is_waited_for() {
-        let mut packets = Packets::new(10);
-        let next = |packets: &mut Packets, bytes: &[u8]| packets.next(&mut BytesMut::from(bytes));
+    fn frames_out_of_order_or_too_long_are_rejected_before_their_payload() {
+        let mut reader = PacketReader::new(10);
+        let next = |reader: &mut PacketReader, bytes: &[u8]| reader.next_packet(&mut BytesMut::from(bytes));
         assert_eq!(
-            next(&mut packets, &[1, 0, 0, 1, 7]),
+            next(&mut reader, &[1, 0, 0, 1, 7]),
             Err(FrameError::OutOfOrder { expected: 0, found: 1 })
         );
-        assert_eq!(next(&mut packets, &[11, 0, 0, 0]), Err(FrameError::TooLong { most: 10, found: 11 }));
-        let mut two = BytesMut::new();
-        write(&mut two, &vec![0; FULL + 5], 0);
-        packets.bound(FULL);
-        assert_eq!(packets.next(&mut two), Err(FrameError::TooLong { most: FULL, found: FULL + 5 }));
+        assert_eq!(next(&mut reader, &[11, 0, 0, 0]), Err(FrameError::TooLong { max_bytes: 10, found: 11 }));
+        let mut two_frames = BytesMut::new();
+        write_packet(&mut two_frames, &vec![0; MAX_FRAME_PAYLOAD_BYTES + 5], 0);
+        reader.set_max_bytes(MAX_FRAME_PAYLOAD_BYTES);
+        assert_eq!(
+            reader.next_packet(&mut two_frames),
+            Err(FrameError::TooLong {
+                max_bytes: MAX_FRAME_PAYLOAD_BYTES,
+                found: MAX_FRAME_PAYLOAD_BYTES + 5
+            })
+        );
     }
 }
--- a/crates/mysql/src/prepared.rs
+++ b/crates/mysql/src/prepared.rs
@@ -1,178 +1,189 @@
-//! A session's prepared statements: known to the client by numbers of the session's own, and prepared again on
-//! whichever connection one is executed. No I/O.
+//! The prepared statements of a session. Clients know them by ids of the session; they are prepared again on each
+//! connection on which they are executed. No I/O.
 //!
-//! Cursors are not opened: a server may answer an EXECUTE that asks for one with its rows at once, and so does the
-//! proxy, by asking for none.
+//! Cursors are not opened: a server may respond with the rows even if a cursor was requested, so the proxy removes the
+//! request.
 
-use crate::fields::{Fields, Short};
-use crate::statement::{Kind, kind};
+use crate::fields::{FieldReader, MalformedPacket};
+use crate::statement::{StatementKind, classify};
 use bytes::{BufMut, Bytes, BytesMut};
 use std::collections::HashMap;
 
 /// COM_STMT_PREPARE.
-pub const PREPARE: u8 = 0x16;
+pub const COM_STMT_PREPARE: u8 = 0x16;
 /// COM_STMT_EXECUTE.
-pub const EXECUTE: u8 = 0x17;
+pub const COM_STMT_EXECUTE: u8 = 0x17;
 /// COM_STMT_SEND_LONG_DATA.
-pub const LONG_DATA: u8 = 0x18;
+pub const COM_STMT_SEND_LONG_DATA: u8 = 0x18;
 /// COM_STMT_CLOSE.
-pub const CLOSE: u8 = 0x19;
+pub const COM_STMT_CLOSE: u8 = 0x19;
 /// COM_STMT_RESET.
-pub const RESET: u8 = 0x1a;
-/// Statements of one session, as many as the servers' `max_prepared_stmt_count` lets one that is modest have.
-pub const MOST: usize = 1024;
+pub const COM_STMT_RESET: u8 = 0x1a;
+/// Prepared statements that one session may have.
+pub const MAX_PREPARED_STATEMENTS: usize = 1024;
 
-/// A statement that is to be on the connection before a command goes out.
+/// A prepared statement that a connection must have before a command is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Needed {
-    /// The session's number for it: the command has it where the server's is to stand.
-    pub number: u32,
-    /// Its text.
-    pub text: Bytes,
-    /// Parameters that were sent ahead: commands that are not answered.
-    pub ahead: Vec<Bytes>,
+pub struct RequiredStatement {
+    /// The session's id of the statement, which stands in the command in place of the server's.
+    pub statement_id: u32,
+    /// The text of the statement.
+    pub sql: Bytes,
+    /// COM_STMT_SEND_LONG_DATA commands to send first; they have no response.
+    pub long_data: Vec<Bytes>,
 }
 
 #[derive(Debug)]
-struct Prepared {
-    text: Bytes,
-    kind: Kind,
-    looks_back: bool,
-    parameters: u16,
-    /// The types of its parameters, as they were sent last: servers remember them, each its own.
-    types: Option<Bytes>,
-    ahead: Vec<Bytes>,
+struct PreparedStatement {
+    sql: Bytes,
+    kind: StatementKind,
+    depends_on_previous: bool,
+    parameter_count: u16,
+    /// The parameter types sent last. A client may omit them after the first execution, as each server remembers them.
+    parameter_types: Option<Bytes>,
+    long_data: Vec<Bytes>,
 }
 
-/// Those of a session.
+/// The prepared statements of a session.
 #[derive(Debug, Default)]
-pub struct Statements {
-    known: HashMap<u32, Prepared>,
-    last: u32,
-    /// Bytes that were sent ahead and wait.
-    ahead: usize,
+pub struct PreparedStatements {
+    by_id: HashMap<u32, PreparedStatement>,
+    last_id: u32,
+    /// Total length of the stored long data commands.
+    long_data_bytes: usize,
 }
 
-/// What an EXECUTE comes to.
+/// A COM_STMT_EXECUTE for a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Executed {
-    /// The command, with the types of all parameters, and no wish for a cursor.
+pub struct ExecuteCommand {
+    /// The command, with all parameter types and without a cursor.
     pub command: Bytes,
-    /// The statement.
-    pub needed: Needed,
-    /// What it is.
-    pub kind: Kind,
-    /// It looks back on the one before.
-    pub looks_back: bool,
+    /// The statement that the connection must have.
+    pub required_statement: RequiredStatement,
+    /// The effect of the statement on its session.
+    pub kind: StatementKind,
+    /// The statement asks for data that the previous one has left on the connection.
+    pub depends_on_previous: bool,
 }
 
-/// Why one is not executed.
+/// Why a statement can't be executed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unfit {
-    /// There is none of that number.
-    Unknown(u32),
-    /// It is too short for what it says.
-    Short(Short),
-    /// Its parameters' types were never sent.
-    NoTypes,
+pub enum ExecuteError {
+    /// The session has no statement with this id.
+    UnknownStatement(u32),
+    /// The command is malformed.
+    MalformedPacket(MalformedPacket),
+    /// The parameter types were never sent.
+    MissingTypes,
 }
 
-impl From<Short> for Unfit {
-    fn from(short: Short) -> Self {
-        Self::Short(short)
+impl From<MalformedPacket> for ExecuteError {
+    fn from(malformed: MalformedPacket) -> Self {
+        Self::MalformedPacket(malformed)
     }
 }
 
-/// The number in a command on a statement.
-fn number(command: &[u8]) -> Result<u32, Short> {
-    let mut fields = Fields::of("a command on a statement", command);
-    fields.one("a command")?;
-    Ok(fields.fixed(4, "a statement's number")? as u32)
+/// Parses the statement id of a command.
+fn parse_statement_id(command: &[u8]) -> Result<u32, MalformedPacket> {
+    let mut fields = FieldReader::new("a command on a statement", command);
+    fields.read_u8("a command")?;
+    Ok(fields.read_fixed_int(4, "a statement's number")? as u32)
 }
 
-impl Statements {
-    /// A number for a further one; none where there are too many.
-    pub fn number(&mut self) -> Option<u32> {
-        if self.known.len() >= MOST {
+impl PreparedStatements {
+    /// Allocates an id for a new statement. None if the session has too many statements.
+    pub fn allocate_id(&mut self) -> Option<u32> {
+        if self.by_id.len() >= MAX_PREPARED_STATEMENTS {
             return None;
         }
-        self.last = self.last.wrapping_add(1).max(1);
-        while self.known.contains_key(&self.last) {
-            self.last = self.last.wrapping_add(1).max(1);
+        self.last_id = self.last_id.wrapping_add(1).max(1);
+        while self.by_id.contains_key(&self.last_id) {
+            self.last_id = self.last_id.wrapping_add(1).max(1);
         }
-        Some(self.last)
+        Some(self.last_id)
     }
 
-    /// A server has prepared it.
-    pub fn prepared(&mut self, number: u32, text: Bytes, parameters: u16) {
-        let (kind, looks_back) = std::str::from_utf8(&text).map_or((Kind::State, false), kind);
-        let prepared = Prepared { text, kind, looks_back, parameters, types: None, ahead: Vec::new() };
-        self.known.insert(number, prepared);
+    /// Adds a statement that a server has prepared.
+    pub fn insert(&mut self, statement_id: u32, sql: Bytes, parameter_count: u16) {
+        let (kind, depends_on_previous) =
+            std::str::from_utf8(&sql).map_or((StatementKind::SessionState, false), classify);
+        let prepared = PreparedStatement {
+            sql,
+            kind,
+            depends_on_previous,
+            parameter_count,
+            parameter_types: None,
+            long_data: Vec::new(),
+        };
+        self.by_id.insert(statement_id, prepared);
     }
 
-    /// Parameters that are sent ahead, up to so many bytes in all. False where they are too long: they are dropped,
-    /// and the statement with them.
-    pub fn long_data(&mut self, command: Bytes, most: usize) -> bool {
-        let Ok(number) = number(&command) else { return true }; // never answered, whatever it is
-        let Some(prepared) = self.known.get_mut(&number) else { return true };
-        if self.ahead + command.len() > most {
-            self.close(number);
+    /// Stores a COM_STMT_SEND_LONG_DATA, up to `max_bytes` for the session. Returns false and removes the statement if that
+    /// is exceeded.
+    pub fn add_long_data(&mut self, command: Bytes, max_bytes: usize) -> bool {
+        let Ok(statement_id) = parse_statement_id(&command) else { return true }; // the command has no response, not even an error
+        let Some(prepared) = self.by_id.get_mut(&statement_id) else { return true };
+        if self.long_data_bytes + command.len() > max_bytes {
+            self.remove(statement_id);
             return false;
         }
-        self.ahead += command.len();
-        prepared.ahead.push(command);
+        self.long_data_bytes += command.len();
+        prepared.long_data.push(command);
         true
     }
 
-    /// It is executed.
-    pub fn execute(&mut self, command: &[u8]) -> Result<Executed, Unfit> {
-        let number = number(command)?;
-        let prepared = self.known.get_mut(&number).ok_or(Unfit::Unknown(number))?;
-        let mut fields = Fields::of("an EXECUTE", command);
-        fields.bytes(5, "a statement's number")?;
-        fields.one("flags")?;
-        let times = fields.bytes(4, "a count")?;
-        let mut out = BytesMut::with_capacity(command.len() + 2 * usize::from(prepared.parameters));
-        out.put_u8(EXECUTE);
-        out.put_u32_le(number);
+    /// Builds the command for a COM_STMT_EXECUTE of the client, with the long data stored for it.
+    pub fn build_execute(&mut self, command: &[u8]) -> Result<ExecuteCommand, ExecuteError> {
+        let statement_id = parse_statement_id(command)?;
+        let prepared =
+            self.by_id.get_mut(&statement_id).ok_or(ExecuteError::UnknownStatement(statement_id))?;
+        let mut fields = FieldReader::new("an EXECUTE", command);
+        fields.read_bytes(5, "a statement's number")?;
+        fields.read_u8("flags")?;
+        let iteration_count = fields.read_bytes(4, "a count")?;
+        let mut out = BytesMut::with_capacity(command.len() + 2 * usize::from(prepared.parameter_count));
+        out.put_u8(COM_STMT_EXECUTE);
+        out.put_u32_le(statement_id);
         out.put_u8(0);
-        out.put_slice(times);
-        let parameters = usize::from(prepared.parameters);
-        if parameters > 0 {
-            out.put_slice(fields.bytes(parameters.div_ceil(8), "nulls")?);
-            if fields.one("whether types follow")? == 1 {
-                prepared.types = Some(Bytes::copy_from_slice(fields.bytes(2 * parameters, "types")?));
+        out.put_slice(iteration_count);
+        let parameter_count = usize::from(prepared.parameter_count);
+        if parameter_count > 0 {
+            out.put_slice(fields.read_bytes(parameter_count.div_ceil(8), "nulls")?);
+            if fields.read_u8("whether types follow")? == 1 {
+                prepared.parameter_types =
+                    Some(Bytes::copy_from_slice(fields.read_bytes(2 * parameter_count, "types")?));
             }
             out.put_u8(1);
-            out.put_slice(prepared.types.as_ref().ok_or(Unfit::NoTypes)?);
+            out.put_slice(prepared.parameter_types.as_ref().ok_or(ExecuteError::MissingTypes)?);
         }
-        out.put_slice(fields.rest());
-        let ahead = std::mem::take(&mut prepared.ahead);
-        self.ahead -= ahead.iter().map(Bytes::len).sum::<usize>();
-        Ok(Executed {
+        out.put_slice(fields.remaining());
+        let long_data = std::mem::take(&mut prepared.long_data);
+        self.long_data_bytes -= long_data.iter().map(Bytes::len).sum::<usize>();
+        Ok(ExecuteCommand {
             command: out.freeze(),
-            needed: Needed { number, text: prepared.text.clone(), ahead },
+            required_statement: RequiredStatement { statement_id, sql: prepared.sql.clone(), long_data },
             kind: prepared.kind.clone(),
-            looks_back: prepared.looks_back,
+            depends_on_previous: prepared.depends_on_previous,
         })
     }
 
-    /// What was sent ahead is dropped. False where there is no such statement.
-    pub fn reset(&mut self, command: &[u8]) -> Result<(), Unfit> {
-        let number = number(command)?;
-        let prepared = self.known.get_mut(&number).ok_or(Unfit::Unknown(number))?;
-        self.ahead -= prepared.ahead.drain(..).map(|command| command.len()).sum::<usize>();
+    /// Handles a COM_STMT_RESET: removes the stored long data.
+    pub fn handle_reset(&mut self, command: &[u8]) -> Result<(), ExecuteError> {
+        let statement_id = parse_statement_id(command)?;
+        let prepared =
+            self.by_id.get_mut(&statement_id).ok_or(ExecuteError::UnknownStatement(statement_id))?;
+        self.long_data_bytes -= prepared.long_data.drain(..).map(|command| command.len()).sum::<usize>();
         Ok(())
     }
 
-    /// It is closed. Never answered, whatever it is.
-    pub fn closed(&mut self, command: &[u8]) {
-        number(command).into_iter().for_each(|number| self.close(number));
+    /// Handles a COM_STMT_CLOSE, which has no response, not even an error.
+    pub fn handle_close(&mut self, command: &[u8]) {
+        parse_statement_id(command).into_iter().for_each(|statement_id| self.remove(statement_id));
     }
 
-    fn close(&mut self, number: u32) {
-        if let Some(prepared) = self.known.remove(&number) {
-            self.ahead -= prepared.ahead.iter().map(Bytes::len).sum::<usize>();
+    fn remove(&mut self, statement_id: u32) {
+        if let Some(prepared) = self.by_id.remove(&statement_id) {
+            self.long_data_bytes -= prepared.long_data.iter().map(Bytes::len).sum::<usize>();
         }
     }
 }
@@ -182,80 +193,101 @@
     use super::*;
     use dewpier_standins::rng::Rng;
 
-    fn execute(number: u32, flags: u8, nulls: &[u8], types: Option<&[u8]>, values: &[u8]) -> Vec<u8> {
-        let bound = [u8::from(types.is_some())];
+    fn encode_execute(
+        statement_id: u32,
+        flags: u8,
+        nulls: &[u8],
+        types: Option<&[u8]>,
+        values: &[u8],
+    ) -> Vec<u8> {
+        let types_flag = [u8::from(types.is_some())];
         [
-            &[EXECUTE][..],
-            &number.to_le_bytes(),
+            &[COM_STMT_EXECUTE][..],
+            &statement_id.to_le_bytes(),
             &[flags, 1, 0, 0, 0],
             nulls,
-            &bound,
+            &types_flag,
             types.unwrap_or(&[]),
             values,
         ]
         .concat()
     }
 
-    fn one(text: &'static str, parameters: u16) -> (Statements, u32) {
-        let mut statements = Statements::default();
-        let number = statements.number().unwrap();
-        statements.prepared(number, text.into(), parameters);
-        (statements, number)
+    fn insert_one(sql: &'static str, parameter_count: u16) -> (PreparedStatements, u32) {
+        let mut statements = PreparedStatements::default();
+        let statement_id = statements.allocate_id().unwrap();
+        statements.insert(statement_id, sql.into(), parameter_count);
+        (statements, statement_id)
     }
 
     #[test]
-    fn types_that_a_client_leaves_out_are_put_in_and_a_cursor_is_not_asked_for() {
-        let (mut statements, number) = one("SELECT a FROM t WHERE b = ? AND c = ?", 2);
-        assert_eq!(statements.execute(&execute(number, 0, &[0], None, &[7])), Err(Unfit::NoTypes));
+    fn omitted_types_are_added_and_cursor_is_removed() {
+        let (mut statements, statement_id) = insert_one("SELECT a FROM t WHERE b = ? AND c = ?", 2);
+        assert_eq!(
+            statements.build_execute(&encode_execute(statement_id, 0, &[0], None, &[7])),
+            Err(ExecuteError::MissingTypes)
+        );
         let types = [3, 0, 0xfd, 0];
-        let full = execute(number, 0, &[2], Some(&types), &[9, 0, 0, 0]);
-        let first = statements.execute(&execute(number, 1, &[2], Some(&types), &[9, 0, 0, 0])).unwrap();
-        assert_eq!((first.kind, &first.command[..]), (Kind::Read, &full[..]));
-        let again = statements.execute(&execute(number, 0, &[2], None, &[9, 0, 0, 0])).unwrap();
-        assert_eq!(&again.command[..], &full[..]);
+        let complete = encode_execute(statement_id, 0, &[2], Some(&types), &[9, 0, 0, 0]);
+        let first = statements
+            .build_execute(&encode_execute(statement_id, 1, &[2], Some(&types), &[9, 0, 0, 0]))
+            .unwrap();
+        assert_eq!((first.kind, &first.command[..]), (StatementKind::Read, &complete[..]));
+        let second =
+            statements.build_execute(&encode_execute(statement_id, 0, &[2], None, &[9, 0, 0, 0])).unwrap();
+        assert_eq!(&second.command[..], &complete[..]);
     }
 
     #[test]
-    fn what_is_sent_ahead_goes_with_the_next_execute_once_and_is_bounded() {
-        let (mut statements, number) = one("INSERT INTO t VALUES (?)", 1);
-        let part = |size| {
-            Bytes::from([&[LONG_DATA][..], &number.to_le_bytes(), &[0, 0], &vec![b'x'; size]].concat())
+    fn long_data_is_bounded_and_sent_with_next_execute_only() {
+        let (mut statements, statement_id) = insert_one("INSERT INTO t VALUES (?)", 1);
+        let long_data_command = |size| {
+            Bytes::from(
+                [&[COM_STMT_SEND_LONG_DATA][..], &statement_id.to_le_bytes(), &[0, 0], &vec![b'x'; size]]
+                    .concat(),
+            )
         };
-        assert!(statements.long_data(part(40), 100) && statements.long_data(part(40), 100));
-        let command = execute(number, 0, &[0], Some(&[0xfc, 0]), &[]);
-        assert_eq!(statements.execute(&command).unwrap().needed.ahead.len(), 2);
-        assert_eq!(statements.execute(&command).unwrap().needed.ahead.len(), 0);
-        assert!(statements.long_data(part(40), 100));
-        statements.reset(&part(0)).unwrap();
-        assert!(statements.long_data(part(90), 100) && !statements.long_data(part(90), 100));
-        assert_eq!(statements.execute(&command), Err(Unfit::Unknown(number)));
-        assert_eq!(statements.ahead, 0);
+        assert!(
+            statements.add_long_data(long_data_command(40), 100)
+                && statements.add_long_data(long_data_command(40), 100)
+        );
+        let command = encode_execute(statement_id, 0, &[0], Some(&[0xfc, 0]), &[]);
+        assert_eq!(statements.build_execute(&command).unwrap().required_statement.long_data.len(), 2);
+        assert_eq!(statements.build_execute(&command).unwrap().required_statement.long_data.len(), 0);
+        assert!(statements.add_long_data(long_data_command(40), 100));
+        statements.handle_reset(&long_data_command(0)).unwrap();
+        assert!(
+            statements.add_long_data(long_data_command(90), 100)
+                && !statements.add_long_data(long_data_command(90), 100)
+        );
+        assert_eq!(statements.build_execute(&command), Err(ExecuteError::UnknownStatement(statement_id)));
+        assert_eq!(statements.long_data_bytes, 0);
     }
 
     #[test]
-    fn numbers_end_at_the_bound_and_come_back_when_closed() {
-        let mut statements = Statements::default();
-        for _ in 0..MOST {
-            let number = statements.number().unwrap();
-            statements.prepared(number, "SELECT 1".into(), 0);
+    fn ids_are_exhausted_at_limit_and_available_after_close() {
+        let mut statements = PreparedStatements::default();
+        for _ in 0..MAX_PREPARED_STATEMENTS {
+            let statement_id = statements.allocate_id().unwrap();
+            statements.insert(statement_id, "SELECT 1".into(), 0);
         }
-        assert_eq!(statements.number(), None);
-        statements.closed(&[&[CLOSE][..], &7u32.to_le_bytes()].concat());
-        assert!(statements.number().is_some());
+        assert_eq!(statements.allocate_id(), None);
+        statements.handle_close(&[&[COM_STMT_CLOSE][..], &7u32.to_le_bytes()].concat());
+        assert!(statements.allocate_id().is_some());
     }
 
     #[test]
-    fn whatever_comes_nothing_panics() {
+    fn random_commands_do_not_panic() {
         let mut rng = Rng::from_env("PREPARED_SEED", 37);
-        let (mut statements, number) = one("SELECT ?, ?, ?", 3);
+        let (mut statements, statement_id) = insert_one("SELECT ?, ?, ?", 3);
         for _ in 0..5000 {
-            let whole = execute(number, 0, &[0], Some(&[3, 0, 3, 0, 3, 0]), &[1; 12]);
-            let mut bytes = whole[..rng.below(whole.len() + 1)].to_vec();
+            let complete = encode_execute(statement_id, 0, &[0], Some(&[3, 0, 3, 0, 3, 0]), &[1; 12]);
+            let mut bytes = complete[..rng.below(complete.len() + 1)].to_vec();
             for _ in 0..rng.below(3) {
-                let at = rng.below(bytes.len().max(1));
-                bytes.get_mut(at).into_iter().for_each(|byte| *byte = rng.number() as u8);
+                let index = rng.below(bytes.len().max(1));
+                bytes.get_mut(index).into_iter().for_each(|byte| *byte = rng.number() as u8);
             }
-            let _ = (statements.execute(&bytes), statements.reset(&bytes));
+            let _ = (statements.build_execute(&bytes), statements.handle_reset(&bytes));
         }
     }
 }
