--- a/crates/mysql/src/repeat.rs
+++ b/crates/mysql/src/repeat.rs
@@ -1,9 +1,9 @@
-//! Which statements may be repeated: those that are proved to read only, and nothing else.
+//! Decides which statements may be repeated: only those that are proved to read and nothing else.
 //!
-//! A statement is taken for safe where its text parses as one SELECT, SHOW or EXPLAIN all of whose parts are
-//! known to have no effect and not to depend on the session that they run in. All else is unsafe, what does
-//! not parse included: to be wrong that way costs a repeat, the other way a write that runs twice. What the
-//! text can't show is not seen: a view, or a trigger behind a table, that calls a function with an effect.
+//! A statement is repeatable if it parses as a single SELECT, SHOW or EXPLAIN, and all its parts are known to have no
+//! effect and not to depend on the session. All other statements are not, including those that do not parse: that error
+//! costs a retry, the opposite one runs a write twice. Effects that the text does not show are not detected: a view, or a
+//! trigger on a table, that calls a function with an effect.
 
 use sqlparser::ast::{
     BinaryOperator, Expr, Function, Ident, ObjectName, Query, Select, SetExpr, Statement, TableFactor, Visit,
@@ -13,50 +13,50 @@
 use sqlparser::parser::Parser;
 use std::ops::ControlFlow;
 
-/// A text longer than this, in bytes, is not looked into.
-pub const MOST_TEXT: usize = 64 << 10;
-/// Nesting that is followed; what is nested deeper does not parse.
-pub(crate) const DEPTH: usize = 50;
+/// Longest statement that is parsed.
+pub const MAX_STATEMENT_BYTES: usize = 64 << 10;
+/// Deepest nesting that is parsed; a statement that is nested deeper does not parse.
+pub(crate) const MAX_PARSE_DEPTH: usize = 50;
 
-/// Why a statement may not be repeated.
+/// Why a statement must not be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
-pub enum Unsafe {
-    /// It is too long to be looked into.
-    #[error("it is longer than is looked into")]
-    Long,
-    /// A comment that servers run as code, or one that asks for no repeats.
-    #[error("a comment of it may be code, or asks for no repeats")]
-    Comment,
-    /// A backslash: whether it escapes what follows depends on the session (NO_BACKSLASH_ESCAPES), and with it
-    /// where a string ends.
-    #[error("a backslash of it may end a string or not")]
+pub enum NotRepeatable {
+    /// The statement is too long to be parsed.
+    #[error("the statement is too long to be parsed")]
+    TooLong,
+    /// A comment may be executed by servers, or forbids repeats.
+    #[error("a comment may be executable, or forbids repeats")]
+    ExecutableComment,
+    /// A backslash: whether it is an escape, and thus where a string ends, depends on the session
+    /// (NO_BACKSLASH_ESCAPES).
+    #[error("the end of a string depends on whether a backslash is an escape")]
     Backslash,
-    /// It is no single statement that is understood.
-    #[error("it is not understood")]
-    Unknown,
-    /// It is no SELECT, SHOW or EXPLAIN of a kind that is known to read only.
-    #[error("it is of a kind that may write")]
-    Kind,
-    /// It locks what it reads.
-    #[error("it locks what it reads")]
-    Locks,
-    /// It writes its result somewhere.
-    #[error("its result goes elsewhere")]
-    Into,
-    /// It leaves something for the next statement.
-    #[error("it leaves something for the next statement")]
-    Leaves,
-    /// It reads or writes variables of the session.
-    #[error("it uses variables of the session")]
-    Variable,
-    /// It calls something that is not known to have no effect.
-    #[error("it calls what is not known to be without effect")]
-    Call,
+    /// The text does not parse as a single statement.
+    #[error("the text does not parse as a single statement")]
+    NotParsed,
+    /// The statement is not a SELECT, SHOW or EXPLAIN that is known to read only.
+    #[error("the statement may write")]
+    MayWrite,
+    /// The statement locks the rows that it reads.
+    #[error("the statement locks the rows that it reads")]
+    TakesLocks,
+    /// The statement stores its result.
+    #[error("the statement stores its result")]
+    StoresResult,
+    /// The statement leaves data for the next statement.
+    #[error("the statement leaves data for the next statement")]
+    LeavesState,
+    /// The statement uses variables of the session.
+    #[error("the statement uses variables of the session")]
+    UsesVariable,
+    /// The statement calls a function that is not known to have no effect.
+    #[error("the statement calls a function that is not known to have no effect")]
+    UnknownFunction,
 }
 
-/// Functions without effect, and without regard to the session. Those that only tell the time or draw
-/// lots are among them: another answer is as good.
-const PURE: &[&str] = &[
+/// Functions that have no effect and do not depend on the session, sorted. They include those whose result is the time or
+/// random, as any result of them is valid.
+const PURE_FUNCTIONS: &[&str] = &[
     "abs",
     "acos",
     "adddate",
@@ -249,58 +249,61 @@
     "yearweek",
 ];
 
-/// Whether a text may be sent again after it may have run, outside of any transaction: `Ok` where it may. The
-/// text must be one that servers read as UTF-8 too; in charsets whose characters may end in a byte of
-/// ASCII (GBK, Shift JIS) a string may end elsewhere.
-pub fn may_repeat(text: &str) -> Result<(), Unsafe> {
-    if text.len() > MOST_TEXT {
-        return Err(Unsafe::Long);
+/// Checks that a statement may be sent again after it may have run, outside of a transaction. The statement must be UTF-8
+/// for the server as well: in character sets whose characters may end in an ASCII byte (GBK, Shift JIS) a string may end
+/// elsewhere.
+pub fn check_repeatable(text: &str) -> Result<(), NotRepeatable> {
+    if text.len() > MAX_STATEMENT_BYTES {
+        return Err(NotRepeatable::TooLong);
     }
-    // What servers run of a comment depends on their version; what asks for no repeats is heeded wherever it
-    // stands, in a string too: it can only make a statement stricter.
+    // Which comments are executed depends on the server's version. A comment that forbids repeats counts even within a
+    // string, which is only stricter.
     let lower = text.to_ascii_lowercase();
     if lower.contains("/*!") || lower.contains("/*m!") || lower.contains("dewpier: unsafe") {
-        return Err(Unsafe::Comment);
+        return Err(NotRepeatable::ExecutableComment);
     }
     if text.contains('\\') {
-        return Err(Unsafe::Backslash);
+        return Err(NotRepeatable::Backslash);
     }
     let dialect = MySqlDialect {};
-    let parser = Parser::new(&dialect).with_recursion_limit(DEPTH).try_with_sql(text);
-    let parsed = parser.and_then(|mut parser| parser.parse_statements()).map_err(|_| Unsafe::Unknown)?;
-    let [statement] = &parsed[..] else { return Err(Unsafe::Unknown) };
-    match statement.visit(&mut Look) {
+    let parser = Parser::new(&dialect).with_recursion_limit(MAX_PARSE_DEPTH).try_with_sql(text);
+    let parsed =
+        parser.and_then(|mut parser| parser.parse_statements()).map_err(|_| NotRepeatable::NotParsed)?;
+    let [statement] = &parsed[..] else { return Err(NotRepeatable::NotParsed) };
+    match statement.visit(&mut RepeatabilityVisitor) {
         ControlFlow::Continue(()) => Ok(()),
-        ControlFlow::Break(why) => Err(why),
+        ControlFlow::Break(reason) => Err(reason),
     }
 }
 
-/// A function, by its name in small letters, without effect and without regard to the session.
-pub(crate) fn is_pure(name: &str) -> bool {
-    PURE.binary_search(&name).is_ok()
+/// Whether a function, given by its lower-case name, has no effect and does not depend on the session.
+pub(crate) fn is_pure_function(name: &str) -> bool {
+    PURE_FUNCTIONS.binary_search(&name).is_ok()
 }
 
-struct Look;
+/// Rejects a statement at the first part that is not known to be repeatable.
+struct RepeatabilityVisitor;
 
-fn no(why: Unsafe) -> ControlFlow<Unsafe> {
-    ControlFlow::Break(why)
+fn reject(reason: NotRepeatable) -> ControlFlow<NotRepeatable> {
+    ControlFlow::Break(reason)
 }
 
-/// A query all of whose parts are reads.
-fn reads(body: &SetExpr) -> bool {
+/// Whether all parts of a query only read.
+fn is_read_only(body: &SetExpr) -> bool {
     match body {
         SetExpr::Select(_) | SetExpr::Query(_) | SetExpr::Values(_) => true,
-        SetExpr::SetOperation { left, right, .. } => reads(left) && reads(right),
+        SetExpr::SetOperation { left, right, .. } => is_read_only(left) && is_read_only(right),
         _ => false,
     }
 }
 
-impl Visitor for Look {
-    type Break = Unsafe;
+impl Visitor for RepeatabilityVisitor {
+    type Break = NotRepeatable;
 
-    fn pre_visit_statement(&mut self, statement: &Statement) -> ControlFlow<Unsafe> {
+    fn pre_visit_statement(&mut self, statement: &Statement) -> ControlFlow<NotRepeatable> {
         match statement {
-            // Explained with ANALYZE it runs; and without, parts of it may: what it explains is looked at too.
+            // EXPLAIN ANALYZE runs the statement, and plain EXPLAIN may run parts of it, so the explained statement is checked
+            // as well.
             Statement::Query(_) | Statement::Explain { .. } | Statement::ExplainTable { .. } => {}
             Statement::ShowStatus { .. }
             | Statement::ShowCreate { .. }
@@ -308,62 +311,67 @@
             | Statement::ShowDatabases { .. }
             | Statement::ShowTables { .. }
             | Statement::ShowCollation { .. } => {}
-            _ => return no(Unsafe::Kind),
+            _ => return reject(NotRepeatable::MayWrite),
         }
         ControlFlow::Continue(())
     }
 
-    fn pre_visit_query(&mut self, query: &Query) -> ControlFlow<Unsafe> {
-        let odd = query.for_clause.is_some() || query.settings.is_some() || query.format_clause.is_some();
+    fn pre_visit_query(&mut self, query: &Query) -> ControlFlow<NotRepeatable> {
+        let has_other_clause =
+            query.for_clause.is_some() || query.settings.is_some() || query.format_clause.is_some();
         if !query.locks.is_empty() {
-            return no(Unsafe::Locks);
+            return reject(NotRepeatable::TakesLocks);
         }
-        if odd || !query.pipe_operators.is_empty() || !reads(&query.body) {
-            return no(Unsafe::Kind);
+        if has_other_clause || !query.pipe_operators.is_empty() || !is_read_only(&query.body) {
+            return reject(NotRepeatable::MayWrite);
         }
         ControlFlow::Continue(())
     }
 
-    fn pre_visit_select(&mut self, select: &Select) -> ControlFlow<Unsafe> {
-        // For FOUND_ROWS(), which the next statement may ask.
+    fn pre_visit_select(&mut self, select: &Select) -> ControlFlow<NotRepeatable> {
+        // The next statement may ask for FOUND_ROWS().
         if select.select_modifiers.as_ref().is_some_and(|modifiers| modifiers.sql_calc_found_rows) {
-            return no(Unsafe::Leaves);
+            return reject(NotRepeatable::LeavesState);
         }
-        if select.into.is_some() { no(Unsafe::Into) } else { ControlFlow::Continue(()) }
+        if select.into.is_some() { reject(NotRepeatable::StoresResult) } else { ControlFlow::Continue(()) }
     }
 
-    fn pre_visit_table_factor(&mut self, table: &TableFactor) -> ControlFlow<Unsafe> {
+    fn pre_visit_table_factor(&mut self, table: &TableFactor) -> ControlFlow<NotRepeatable> {
         match table {
             TableFactor::Table { args: None, .. }
             | TableFactor::Derived { .. }
             | TableFactor::NestedJoin { .. } => ControlFlow::Continue(()),
-            _ => no(Unsafe::Call),
+            _ => reject(NotRepeatable::UnknownFunction),
         }
     }
 
-    fn pre_visit_relation(&mut self, relation: &ObjectName) -> ControlFlow<Unsafe> {
-        let session = |ident: &Ident| ident.quote_style.is_none() && ident.value.starts_with('@');
+    fn pre_visit_relation(&mut self, relation: &ObjectName) -> ControlFlow<NotRepeatable> {
+        let is_variable = |ident: &Ident| ident.quote_style.is_none() && ident.value.starts_with('@');
         let names = relation.0.iter().filter_map(|part| part.as_ident());
-        if names.into_iter().any(session) { no(Unsafe::Variable) } else { ControlFlow::Continue(()) }
+        if names.into_iter().any(is_variable) {
+            reject(NotRepeatable::UsesVariable)
+        } else {
+            ControlFlow::Continue(())
+        }
     }
 
-    fn pre_visit_ident(&mut self, ident: &Ident) -> ControlFlow<Unsafe> {
-        // `@a`, and `@@a` as well: what a session has set is not what the next one has.
-        let session = ident.quote_style.is_none() && ident.value.starts_with('@');
-        if session { no(Unsafe::Variable) } else { ControlFlow::Continue(()) }
+    fn pre_visit_ident(&mut self, ident: &Ident) -> ControlFlow<NotRepeatable> {
+        // User variables and system variables may differ between sessions.
+        let is_variable = ident.quote_style.is_none() && ident.value.starts_with('@');
+        if is_variable { reject(NotRepeatable::UsesVariable) } else { ControlFlow::Continue(()) }
     }
 
-    fn pre_visit_expr(&mut self, expr: &Expr) -> ControlFlow<Unsafe> {
+    fn pre_visit_expr(&mut self, expr: &Expr) -> ControlFlow<NotRepeatable> {
         match expr {
-            Expr::BinaryOp { op: BinaryOperator::Assignment, .. } => no(Unsafe::Variable),
+            Expr::BinaryOp { op: BinaryOperator::Assignment, .. } => reject(NotRepeatable::UsesVariable),
             Expr::Function(Function { name, .. }) => {
-                // One of a schema is a stored one, whatever its name.
-                let [part] = &name.0[..] else { return no(Unsafe::Call) };
-                let known = part.as_ident().filter(|ident| ident.quote_style.is_none());
-                let known = known.map(|ident| ident.value.to_ascii_lowercase());
-                match known {
-                    Some(name) if is_pure(&name) => ControlFlow::Continue(()),
-                    _ => no(Unsafe::Call),
+                // A function with a schema is a stored function.
+                let [part] = &name.0[..] else { return reject(NotRepeatable::UnknownFunction) };
+                let name = part.as_ident().filter(|ident| ident.quote_style.is_none());
+                let name = name.map(|ident| ident.value.to_ascii_lowercase());
+                match name {
+                    Some(name) if is_pure_function(&name) => ControlFlow::Continue(()),
+                    _ => reject(NotRepeatable::UnknownFunction),
                 }
             }
             _ => ControlFlow::Continue(()),
@@ -376,12 +384,12 @@
     use super::*;
 
     #[test]
-    fn the_functions_are_sorted_so_that_each_is_found() {
-        assert!(PURE.windows(2).all(|pair| pair[0] < pair[1]), "{PURE:?}");
+    fn pure_functions_are_sorted_for_binary_search() {
+        assert!(PURE_FUNCTIONS.windows(2).all(|pair| pair[0] < pair[1]), "{PURE_FUNCTIONS:?}");
     }
 
     #[test]
-    fn what_only_reads_may_be_repeated() {
+    fn read_only_statements_are_repeatable() {
         for text in [
             "SELECT 1",
             "select id, name from orders where id = 7;",
@@ -400,60 +408,60 @@
             "DESCRIBE t",
             "SELECT ? + id FROM t WHERE a = ?",
         ] {
-            assert_eq!(may_repeat(text), Ok(()), "{text}");
+            assert_eq!(check_repeatable(text), Ok(()), "{text}");
         }
     }
 
     #[test]
-    fn all_else_may_not_and_says_why() {
-        for (text, why) in [
-            ("INSERT INTO t VALUES (1)", Unsafe::Kind),
-            ("UPDATE t SET a = 1", Unsafe::Kind),
-            ("DELETE FROM t", Unsafe::Kind),
-            ("REPLACE INTO t VALUES (1)", Unsafe::Kind),
-            ("TRUNCATE TABLE t", Unsafe::Kind),
-            ("CALL place_order(7)", Unsafe::Kind),
-            ("BEGIN", Unsafe::Kind),
-            ("COMMIT", Unsafe::Kind),
-            ("SET autocommit = 0", Unsafe::Kind),
-            ("USE other", Unsafe::Kind),
-            ("SHOW WARNINGS", Unsafe::Kind),
-            ("SHOW VARIABLES", Unsafe::Kind),
-            ("EXPLAIN ANALYZE DELETE FROM t", Unsafe::Kind),
-            ("EXPLAIN UPDATE t SET a = 1", Unsafe::Kind),
-            ("SELECT * FROM t FOR UPDATE", Unsafe::Locks),
-            ("SELECT * FROM t FOR SHARE SKIP LOCKED", Unsafe::Locks),
-            ("SELECT * FROM (SELECT * FROM t FOR UPDATE) s", Unsafe::Locks),
-            ("SELECT a FROM t WHERE b = (SELECT 1 FROM u FOR UPDATE)", Unsafe::Locks),
-            ("SELECT SQL_CALC_FOUND_ROWS a FROM t LIMIT 1", Unsafe::Leaves),
-            ("SELECT @a := 1", Unsafe::Variable),
-            ("SELECT @a", Unsafe::Variable),
-            ("SELECT a FROM t WHERE b = @@session.sql_mode", Unsafe::Variable),
-            ("SELECT SLEEP(1)", Unsafe::Call),
-            ("SELECT GET_LOCK('a', 1)", Unsafe::Call),
-            ("SELECT RELEASE_LOCK('a')", Unsafe::Call),
-            ("SELECT NEXTVAL(s)", Unsafe::Call),
-            ("SELECT LAST_INSERT_ID(7)", Unsafe::Call),
-            ("SELECT LAST_INSERT_ID()", Unsafe::Call),
-            ("SELECT FOUND_ROWS()", Unsafe::Call),
-            ("SELECT charge(7)", Unsafe::Call),
-            ("SELECT shop.upper('a')", Unsafe::Call),
-            ("SELECT `upper`('a')", Unsafe::Call),
-            ("SELECT 1 FROM t ORDER BY charge(a)", Unsafe::Call),
-            ("SELECT 1 FROM t LIMIT 1 OFFSET 2 UNION SELECT SLEEP(2)", Unsafe::Unknown),
-            ("WITH t AS (SELECT charge(1)) SELECT * FROM t", Unsafe::Call),
-            ("SELECT 1; DELETE FROM t", Unsafe::Unknown),
-            ("SELECT 1; SELECT 2", Unsafe::Unknown),
-            ("", Unsafe::Unknown),
-            ("SELEC 1", Unsafe::Unknown),
-            ("SELECT 1 /*! FOR UPDATE */", Unsafe::Comment),
-            ("SELECT 1 /*M! FOR UPDATE */", Unsafe::Comment),
-            ("SELECT /* dewpier: unsafe */ 1", Unsafe::Comment),
-            (r"SELECT 'a\', charge(1), ' '", Unsafe::Backslash),
+    fn other_statements_are_rejected_with_reason() {
+        for (text, reason) in [
+            ("INSERT INTO t VALUES (1)", NotRepeatable::MayWrite),
+            ("UPDATE t SET a = 1", NotRepeatable::MayWrite),
+            ("DELETE FROM t", NotRepeatable::MayWrite),
+            ("REPLACE INTO t VALUES (1)", NotRepeatable::MayWrite),
+            ("TRUNCATE TABLE t", NotRepeatable::MayWrite),
+            ("CALL place_order(7)", NotRepeatable::MayWrite),
+            ("BEGIN", NotRepeatable::MayWrite),
+            ("COMMIT", NotRepeatable::MayWrite),
+            ("SET autocommit = 0", NotRepeatable::MayWrite),
+            ("USE other", NotRepeatable::MayWrite),
+            ("SHOW WARNINGS", NotRepeatable::MayWrite),
+            ("SHOW VARIABLES", NotRepeatable::MayWrite),
+            ("EXPLAIN ANALYZE DELETE FROM t", NotRepeatable::MayWrite),
+            ("EXPLAIN UPDATE t SET a = 1", NotRepeatable::MayWrite),
+            ("SELECT * FROM t FOR UPDATE", NotRepeatable::TakesLocks),
+            ("SELECT * FROM t FOR SHARE SKIP LOCKED", NotRepeatable::TakesLocks),
+            ("SELECT * FROM (SELECT * FROM t FOR UPDATE) s", NotRepeatable::TakesLocks),
+            ("SELECT a FROM t WHERE b = (SELECT 1 FROM u FOR UPDATE)", NotRepeatable::TakesLocks),
+            ("SELECT SQL_CALC_FOUND_ROWS a FROM t LIMIT 1", NotRepeatable::LeavesState),
+            ("SELECT @a := 1", NotRepeatable::UsesVariable),
+            ("SELECT @a", NotRepeatable::UsesVariable),
+            ("SELECT a FROM t WHERE b = @@session.sql_mode", NotRepeatable::UsesVariable),
+            ("SELECT SLEEP(1)", NotRepeatable::UnknownFunction),
+            ("SELECT GET_LOCK('a', 1)", NotRepeatable::UnknownFunction),
+            ("SELECT RELEASE_LOCK('a')", NotRepeatable::UnknownFunction),
+            ("SELECT NEXTVAL(s)", NotRepeatable::UnknownFunction),
+            ("SELECT LAST_INSERT_ID(7)", NotRepeatable::UnknownFunction),
+            ("SELECT LAST_INSERT_ID()", NotRepeatable::UnknownFunction),
+            ("SELECT FOUND_ROWS()", NotRepeatable::UnknownFunction),
+            ("SELECT charge(7)", NotRepeatable::UnknownFunction),
+            ("SELECT shop.upper('a')", NotRepeatable::UnknownFunction),
+            ("SELECT `upper`('a')", NotRepeatable::UnknownFunction),
+            ("SELECT 1 FROM t ORDER BY charge(a)", NotRepeatable::UnknownFunction),
+            ("SELECT 1 FROM t LIMIT 1 OFFSET 2 UNION SELECT SLEEP(2)", NotRepeatable::NotParsed),
+            ("WITH t AS (SELECT charge(1)) SELECT * FROM t", NotRepeatable::UnknownFunction),
+            ("SELECT 1; DELETE FROM t", NotRepeatable::NotParsed),
+            ("SELECT 1; SELECT 2", NotRepeatable::NotParsed),
+            ("", NotRepeatable::NotParsed),
+            ("SELEC 1", NotRepeatable::NotParsed),
+            ("SELECT 1 /*! FOR UPDATE */", NotRepeatable::ExecutableComment),
+            ("SELECT 1 /*M! FOR UPDATE */", NotRepeatable::ExecutableComment),
+            ("SELECT /* dewpier: unsafe */ 1", NotRepeatable::ExecutableComment),
+            (r"SELECT 'a\', charge(1), ' '", NotRepeatable::Backslash),
         ] {
-            assert_eq!(may_repeat(text), Err(why), "{text}");
+            assert_eq!(check_repeatable(text), Err(reason), "{text}");
         }
-        // Whatever way a server of some version reads these, none is safe.
+        // These are rejected for any reason, as servers of different versions parse them differently.
         for text in [
             "SELECT * FROM t LOCK IN SHARE MODE",
             "SELECT a INTO @b FROM t",
@@ -466,16 +474,19 @@
             "LOAD DATA INFILE 'a' INTO TABLE t",
             "WITH t AS (SELECT 1) DELETE FROM u",
             "SELECT 1\u{0}",
-            // No comment without a space behind it: two signs, and a call.
+            // Without a space behind it, `--` is two minus signs and not a comment.
             "SELECT 1--charge(1)",
             "SELECT \"upper\"(1)",
             "SELECT UPPER (charge (1))",
             "SELECT {fn charge(1)}",
         ] {
-            assert!(may_repeat(text).is_err(), "{text}");
+            assert!(check_repeatable(text).is_err(), "{text}");
         }
-        assert_eq!(may_repeat(&format!("SELECT '{}'", "x".repeat(MOST_TEXT))), Err(Unsafe::Long));
-        let deep = format!("SELECT {}1{}", "(".repeat(5000), ")".repeat(5000));
-        assert_eq!(may_repeat(&deep), Err(Unsafe::Unknown));
+        assert_eq!(
+            check_repeatable(&format!("SELECT '{}'", "x".repeat(MAX_STATEMENT_BYTES))),
+            Err(NotRepeatable::TooLong)
+        );
+        let deeply_nested = format!("SELECT {}1{}", "(".repeat(5000), ")".repeat(5000));
+        assert_eq!(check_repeatable(&deeply_nested), Err(NotRepeatable::NotParsed));
     }
 }
--- a/crates/mysql/src/reply.rs
+++ b/crates/mysql/src/reply.rs
@@ -1,327 +1,354 @@
-//! Where an answer ends: follows what a server says to one command, packet by packet, keeping none of it.
+//! Finds the end of a server's response to one command, packet by packet, without keeping any of it
 //! ("Text Resultset", "Binary Protocol Resultset", "COM_STMT_PREPARE Response", "OK_Packet" and "EOF_Packet"
-//! in MySQL's internals manual.)
+//! in MySQL's internals manual).
 
-use crate::fields::integer;
-use crate::packet::FULL;
+use crate::fields::decode_lenenc_int;
+use crate::packet::MAX_FRAME_PAYLOAD_BYTES;
 use thiserror::Error;
 
-/// So much of a packet's beginning is looked at, if it is that long.
-pub const HEAD: usize = 32;
-/// A statement's results are not over: more of them follow.
-pub const MORE_RESULTS: u16 = 0x0008;
-/// The rows are to be fetched from a cursor, and don't follow.
-pub const CURSOR_EXISTS: u16 = 0x0040;
+/// Bytes at the beginning of a packet that are examined, if the packet has as many.
+pub const MAX_HEAD_BYTES: usize = 32;
+/// Status flag: another result of the same statement follows.
+pub const SERVER_MORE_RESULTS_EXISTS: u16 = 0x0008;
+/// Status flag: no rows follow, as they are to be fetched from a cursor.
+pub const SERVER_STATUS_CURSOR_EXISTS: u16 = 0x0040;
 
-/// What a command is answered with, besides an error.
+/// The form of the response to a command, if it is not an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answers {
-    /// Any number of result sets, or none: COM_QUERY, COM_STMT_EXECUTE.
-    Results,
+pub enum ResponseKind {
+    /// Any number of result sets or OK packets: COM_QUERY, COM_STMT_EXECUTE.
+    ResultSets,
     /// One OK, or the older EOF: COM_PING, COM_INIT_DB, COM_SET_OPTION, COM_STMT_RESET ...
     Ok,
     /// One packet of text: COM_STATISTICS.
     Text,
     /// Column definitions: COM_FIELD_LIST.
-    Fields,
+    ColumnDefinitions,
     /// Rows: COM_STMT_FETCH.
     Rows,
-    /// A statement's number, its parameters and its columns: COM_STMT_PREPARE.
-    Prepared,
+    /// A statement id with the definitions of parameters and columns: COM_STMT_PREPARE.
+    PrepareOk,
 }
 
 /// A statement that a server has prepared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Prepared {
-    /// Its number on that connection.
-    pub id: u32,
-    /// How many columns its results have.
-    pub columns: u16,
-    /// How many parameters it takes.
-    pub parameters: u16,
+pub struct PrepareResult {
+    /// The id of the statement on the connection.
+    pub statement_id: u32,
+    /// Number of columns of the statement's result.
+    pub column_count: u16,
+    /// Number of parameters of the statement.
+    pub parameter_count: u16,
 }
 
-/// How an answer ended.
+/// How a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    /// Whole.
-    Whole {
-        /// The server's last status flags; 0 where the answer carries none.
-        status: u16,
-        /// What was prepared, if anything.
-        prepared: Option<Prepared>,
+pub enum ResponseEnd {
+    /// The response is complete.
+    Complete {
+        /// The last status flags; 0 if the response carries none.
+        status_flags: u16,
+        /// The prepared statement, after a COM_STMT_PREPARE.
+        prepared: Option<PrepareResult>,
     },
-    /// By an error of that number, at whatever place.
+    /// The response ended with an error of this code, possibly after other packets.
     Error(u16),
 }
 
-/// What came is no answer to that command. The connection can't be followed any more.
+/// Why a packet can't belong to the response. The connection can't be used any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Broken {
-    /// A packet too short for what it is.
-    #[error("{what}: expected at least {least} bytes, found {found}")]
-    Short {
-        /// What it is,
-        what: &'static str,
-        /// the bytes that it has at least,
-        least: usize,
-        /// and those that came.
+pub enum ResponseError {
+    /// A packet is shorter than its kind requires.
+    #[error("{packet}: expected at least {min_bytes} bytes, found {found}")]
+    Truncated {
+        /// The kind of packet.
+        packet: &'static str,
+        /// Fewest bytes of such a packet.
+        min_bytes: usize,
+        /// Bytes found.
         found: usize,
     },
-    /// The server asks for a file of the client, which is not carried.
-    #[error("the server asks for a file of the client")]
+    /// The server requests a file of the client, which is not supported.
+    #[error("the server requests a local file of the client")]
     LocalInfile,
-    /// A packet that can't be at this place.
-    #[error("{what}: expected {expected}, found a packet that begins with {found:#04x}")]
+    /// A packet that is not allowed at its position.
+    #[error("{position}: expected {expected}, found a packet that begins with {found:#04x}")]
     Unexpected {
-        /// Where,
-        what: &'static str,
-        /// what may come there,
+        /// The position in the response.
+        position: &'static str,
+        /// The packets allowed there.
         expected: &'static str,
-        /// and how what came begins.
+        /// First byte of the packet found.
         found: u8,
     },
-    /// More after the end.
-    #[error("expected nothing after the end of an answer")]
-    Over,
+    /// A packet after the end of the response.
+    #[error("expected nothing after the end of a response")]
+    AfterEnd,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The first packet of the answer, or of a further result.
-    First,
-    /// So many column definitions of a result set are still to come.
+    /// Before the first packet of the response, or of another result.
+    FirstPacket,
+    /// Before this many column definitions of a result set.
     Columns(u64),
-    /// They are followed by an EOF.
+    /// Before the EOF packet behind the column definitions.
     ColumnsEnd,
+    /// Before a row or the end of the rows.
     Rows,
-    Fields,
-    /// Of a prepared statement: definitions to come now, and those that come behind them.
-    Definitions {
-        left: u16,
-        then: u16,
-    },
-    /// Those that came are followed by an EOF.
-    DefinitionsEnd {
-        then: u16,
-    },
-    Over,
+    /// Before a column definition of a COM_FIELD_LIST or the end of them.
+    FieldList,
+    /// Before the definitions of a prepared statement: those remaining of the current group (parameters, then columns),
+    /// and those of the next group.
+    Definitions { remaining: u16, following: u16 },
+    /// Before the EOF packet behind a group of definitions.
+    DefinitionsEnd { following: u16 },
+    /// After the last packet.
+    Finished,
 }
 
-/// Follows one answer.
+/// Finds the end of one response.
 #[derive(Debug)]
-pub struct Reply {
-    answers: Answers,
-    /// Both sides have agreed on CLIENT_DEPRECATE_EOF: OK packets stand where EOF packets did.
+pub struct ResponseTracker {
+    kind: ResponseKind,
+    /// Both sides have agreed on CLIENT_DEPRECATE_EOF: OK packets replace EOF packets.
     deprecate_eof: bool,
     state: State,
-    prepared: Option<Prepared>,
-    rows: u64,
-    /// Something is left on the connection to be asked for.
-    leaves: bool,
+    prepared: Option<PrepareResult>,
+    row_count: u64,
+    /// The connection has a generated id or warnings, which the client may ask for.
+    has_insert_id_or_warnings: bool,
 }
 
-fn short(what: &'static str, least: usize, found: usize) -> Broken {
-    Broken::Short { what, least, found }
+fn truncated(packet: &'static str, min_bytes: usize, found: usize) -> ResponseError {
+    ResponseError::Truncated { packet, min_bytes, found }
 }
 
-fn two(bytes: &[u8], at: usize) -> Option<u16> {
-    Some(u16::from_le_bytes(bytes.get(at..at + 2)?.try_into().ok()?))
+fn read_u16(bytes: &[u8], offset: usize) -> Option<u16> {
+    Some(u16::from_le_bytes(bytes.get(offset..offset + 2)?.try_into().ok()?))
 }
 
-/// The status flags of an OK packet, behind two integers of variable length; and whether it leaves something to
-/// be asked for.
-fn ok_status(head: &[u8]) -> Result<(u16, bool), Broken> {
-    let status = || {
-        let (rows, _) = integer(head.get(1..)?)?;
-        let (bytes, id) = integer(head.get(1 + rows..)?)?;
-        let at = 1 + rows + bytes;
-        Some((two(head, at)?, id > 0 || two(head, at + 2).unwrap_or(0) > 0))
+/// Reads the status flags of an OK packet, which follow two length-encoded integers, and whether it reports a generated id
+/// or warnings.
+fn parse_ok_status(head: &[u8]) -> Result<(u16, bool), ResponseError> {
+    let parse = || {
+        let (rows_width, _) = decode_lenenc_int(head.get(1..)?)?;
+        let (id_width, insert_id) = decode_lenenc_int(head.get(1 + rows_width..)?)?;
+        let offset = 1 + rows_width + id_width;
+        Some((read_u16(head, offset)?, insert_id > 0 || read_u16(head, offset + 2).unwrap_or(0) > 0))
     };
-    status().ok_or(short("an OK", 7, head.len()))
+    parse().ok_or(truncated("an OK", 7, head.len()))
 }
 
-impl Reply {
-    /// The answer to a command that is answered so.
-    pub fn new(answers: Answers, deprecate_eof: bool) -> Self {
-        let state = match answers {
-            Answers::Rows => State::Rows,
-            Answers::Fields => State::Fields,
-            _ => State::First,
+impl ResponseTracker {
+    /// A tracker at the beginning of a response.
+    pub fn new(kind: ResponseKind, deprecate_eof: bool) -> Self {
+        let state = match kind {
+            ResponseKind::Rows => State::Rows,
+            ResponseKind::ColumnDefinitions => State::FieldList,
+            _ => State::FirstPacket,
         };
-        Self { answers, deprecate_eof, state, prepared: None, rows: 0, leaves: false }
+        Self { kind, deprecate_eof, state, prepared: None, row_count: 0, has_insert_id_or_warnings: false }
     }
 
-    /// Rows that came so far.
-    pub fn rows(&self) -> u64 {
-        self.rows
+    /// Number of rows received so far.
+    pub fn row_count(&self) -> u64 {
+        self.row_count
     }
 
-    /// Something is left on the connection to be asked for: a generated id, or warnings.
-    pub fn leaves(&self) -> bool {
-        self.leaves
+    /// Whether the connection has a generated id or warnings, which the client may ask for.
+    pub fn has_insert_id_or_warnings(&self) -> bool {
+        self.has_insert_id_or_warnings
     }
 
-    /// It is over: nothing more may come.
-    pub fn is_over(&self) -> bool {
-        self.state == State::Over
+    /// Whether the response has ended.
+    pub fn is_finished(&self) -> bool {
+        self.state == State::Finished
     }
 
-    /// The next packet, of so many bytes, which begins with these: [`HEAD`] of them, or all. Returns how the
-    /// answer ended where this was the last.
-    pub fn packet(&mut self, head: &[u8], length: usize) -> Result<Option<Ended>, Broken> {
-        let ended = self.next(head, length);
-        if !matches!(ended, Ok(None)) {
-            self.state = State::Over;
+    /// Handles the next packet, given its length in bytes and its first [`MAX_HEAD_BYTES`] (all, if it is shorter). Returns
+    /// how the response ended if this was its last packet.
+    pub fn track_packet(&mut self, head: &[u8], length: usize) -> Result<Option<ResponseEnd>, ResponseError> {
+        let end = self.advance(head, length);
+        if !matches!(end, Ok(None)) {
+            self.state = State::Finished;
         }
-        ended
+        end
     }
 
-    fn next(&mut self, head: &[u8], length: usize) -> Result<Option<Ended>, Broken> {
-        if self.is_over() {
-            return Err(Broken::Over);
+    fn advance(&mut self, head: &[u8], length: usize) -> Result<Option<ResponseEnd>, ResponseError> {
+        if self.is_finished() {
+            return Err(ResponseError::AfterEnd);
         }
         let first = match head.first() {
             Some(first) => *first,
-            // A row of no columns is none, and a text may be empty.
-            None if self.answers == Answers::Text => return Ok(self.whole(0)),
-            None => return Err(short("a packet", 1, 0)),
+            // Only a text may be empty: a row has at least one column.
+            None if self.kind == ResponseKind::Text => return Ok(self.complete(0)),
+            None => return Err(truncated("a packet", 1, 0)),
         };
         if first == 0xff {
-            return two(head, 1).map(|code| Some(Ended::Error(code))).ok_or(short("an error", 3, head.len()));
+            return read_u16(head, 1).map(|code| Some(ResponseEnd::Error(code))).ok_or(truncated(
+                "an error",
+                3,
+                head.len(),
+            ));
         }
         match self.state {
-            State::First => self.first(first, head, length),
-            // All catalogs are called "def": what is none shows that the count was garbled.
-            State::Columns(_) if !head.starts_with(b"\x03def") => {
-                Err(Broken::Unexpected { what: "a column", expected: "its definition", found: first })
-            }
-            State::Columns(left) => {
-                self.state = match left.saturating_sub(1) {
+            State::FirstPacket => self.handle_first_packet(first, head, length),
+            // The catalog of every column is "def"; anything else means that the column count was wrong.
+            State::Columns(_) if !head.starts_with(b"\x03def") => Err(ResponseError::Unexpected {
+                position: "a column",
+                expected: "its definition",
+                found: first,
+            }),
+            State::Columns(remaining) => {
+                self.state = match remaining.saturating_sub(1) {
                     0 if self.deprecate_eof => State::Rows,
                     0 => State::ColumnsEnd,
-                    left => State::Columns(left),
+                    remaining => State::Columns(remaining),
                 };
                 Ok(None)
             }
             State::ColumnsEnd => {
-                let status = self.eof("the end of columns", first, head, length)?;
-                if status & CURSOR_EXISTS != 0 {
-                    return Ok(self.further(status));
+                let status_flags = self.parse_eof("the end of columns", first, head, length)?;
+                if status_flags & SERVER_STATUS_CURSOR_EXISTS != 0 {
+                    return Ok(self.finish_result(status_flags));
                 }
                 self.state = State::Rows;
                 Ok(None)
             }
-            State::Rows | State::Fields => match self.ends(first, length) {
+            State::Rows | State::FieldList => match self.is_end_of_rows(first, length) {
                 false => {
-                    self.rows += u64::from(self.state == State::Rows);
+                    self.row_count += u64::from(self.state == State::Rows);
                     Ok(None)
                 }
                 true => {
-                    let status = self.end_status(head)?;
-                    Ok(self.further(status))
+                    let status_flags = self.parse_end_status(head)?;
+                    Ok(self.finish_result(status_flags))
                 }
             },
-            State::Definitions { left, then } => Ok(self.defined(left - 1, then)),
-            State::DefinitionsEnd { then } => {
-                self.eof("the end of definitions", first, head, length)?;
-                Ok(self.defined(0, then))
+            State::Definitions { remaining, following } => {
+                Ok(self.finish_definition(remaining - 1, following))
             }
-            State::Over => Err(Broken::Over),
+            State::DefinitionsEnd { following } => {
+                self.parse_eof("the end of definitions", first, head, length)?;
+                Ok(self.finish_definition(0, following))
+            }
+            State::Finished => Err(ResponseError::AfterEnd),
         }
     }
 
-    fn first(&mut self, first: u8, head: &[u8], length: usize) -> Result<Option<Ended>, Broken> {
-        match (self.answers, first) {
-            (Answers::Text, _) => Ok(self.whole(0)),
-            (Answers::Prepared, 0x00) => {
-                let bytes = head.get(..12).ok_or(short("a prepared statement", 12, head.len()))?;
-                let id = u32::from_le_bytes([bytes[1], bytes[2], bytes[3], bytes[4]]);
-                let [columns, parameters] = [5, 7].map(|at| u16::from_le_bytes([bytes[at], bytes[at + 1]]));
-                self.prepared = Some(Prepared { id, columns, parameters });
-                Ok(match (parameters, columns) {
-                    (0, 0) => self.whole(0),
-                    (0, columns) => self.definitions(columns, 0),
-                    (parameters, columns) => self.definitions(parameters, columns),
+    fn handle_first_packet(
+        &mut self,
+        first: u8,
+        head: &[u8],
+        length: usize,
+    ) -> Result<Option<ResponseEnd>, ResponseError> {
+        match (self.kind, first) {
+            (ResponseKind::Text, _) => Ok(self.complete(0)),
+            (ResponseKind::PrepareOk, 0x00) => {
+                let bytes = head.get(..12).ok_or(truncated("a prepared statement", 12, head.len()))?;
+                let statement_id = u32::from_le_bytes([bytes[1], bytes[2], bytes[3], bytes[4]]);
+                let [column_count, parameter_count] =
+                    [5, 7].map(|offset| u16::from_le_bytes([bytes[offset], bytes[offset + 1]]));
+                self.prepared = Some(PrepareResult { statement_id, column_count, parameter_count });
+                Ok(match (parameter_count, column_count) {
+                    (0, 0) => self.complete(0),
+                    (0, columns) => self.expect_definitions(columns, 0),
+                    (parameters, columns) => self.expect_definitions(parameters, columns),
                 })
             }
-            (Answers::Results | Answers::Ok, 0x00) => {
-                let status = self.ok(head)?;
-                Ok(self.further(status))
+            (ResponseKind::ResultSets | ResponseKind::Ok, 0x00) => {
+                let status_flags = self.parse_ok(head)?;
+                Ok(self.finish_result(status_flags))
             }
-            (Answers::Ok, 0xfe) if self.ends(first, length) => {
-                let status = self.end_status(head)?;
-                Ok(self.whole(status))
+            (ResponseKind::Ok, 0xfe) if self.is_end_of_rows(first, length) => {
+                let status_flags = self.parse_end_status(head)?;
+                Ok(self.complete(status_flags))
             }
-            (Answers::Results, 0xfb) => Err(Broken::LocalInfile),
-            (Answers::Results, _) => match integer(head) {
-                Some((bytes, columns)) if columns > 0 && bytes == length => {
+            (ResponseKind::ResultSets, 0xfb) => Err(ResponseError::LocalInfile),
+            (ResponseKind::ResultSets, _) => match decode_lenenc_int(head) {
+                Some((width, columns)) if columns > 0 && width == length => {
                     self.state = State::Columns(columns);
                     Ok(None)
                 }
-                _ => {
-                    Err(Broken::Unexpected { what: "a result", expected: "a count of columns", found: first })
-                }
+                _ => Err(ResponseError::Unexpected {
+                    position: "a result",
+                    expected: "a count of columns",
+                    found: first,
+                }),
             },
-            _ => Err(Broken::Unexpected { what: "an answer", expected: "OK or an error", found: first }),
+            _ => Err(ResponseError::Unexpected {
+                position: "an answer",
+                expected: "OK or an error",
+                found: first,
+            }),
         }
     }
 
-    /// A packet that begins so, and is so long, ends rows: one of a row may begin so too, and is longer.
-    fn ends(&self, first: u8, length: usize) -> bool {
-        first == 0xfe && length < if self.deprecate_eof { FULL } else { 9 }
+    /// Whether a packet with this first byte and length ends the rows. A row may begin with the same byte, but is longer.
+    fn is_end_of_rows(&self, first: u8, length: usize) -> bool {
+        first == 0xfe && length < if self.deprecate_eof { MAX_FRAME_PAYLOAD_BYTES } else { 9 }
     }
 
-    /// The status of what ends rows. Servers send the short EOF in places where OK was agreed on, too.
-    fn end_status(&mut self, head: &[u8]) -> Result<u16, Broken> {
+    /// Reads the status flags of the packet that ends the rows. Some servers send an EOF even if OK was agreed on.
+    fn parse_end_status(&mut self, head: &[u8]) -> Result<u16, ResponseError> {
         if self.deprecate_eof && head.len() >= 7 {
-            return self.ok(head);
+            return self.parse_ok(head);
         }
-        self.leaves |= two(head, 1).unwrap_or(0) > 0;
-        two(head, 3).ok_or(short("an EOF", 5, head.len()))
+        self.has_insert_id_or_warnings |= read_u16(head, 1).unwrap_or(0) > 0;
+        read_u16(head, 3).ok_or(truncated("an EOF", 5, head.len()))
     }
 
-    fn ok(&mut self, head: &[u8]) -> Result<u16, Broken> {
-        let (status, leaves) = ok_status(head)?;
-        self.leaves |= leaves;
-        Ok(status)
+    fn parse_ok(&mut self, head: &[u8]) -> Result<u16, ResponseError> {
+        let (status_flags, has_insert_id_or_warnings) = parse_ok_status(head)?;
+        self.has_insert_id_or_warnings |= has_insert_id_or_warnings;
+        Ok(status_flags)
     }
 
-    fn eof(&self, what: &'static str, first: u8, head: &[u8], length: usize) -> Result<u16, Broken> {
+    fn parse_eof(
+        &self,
+        position: &'static str,
+        first: u8,
+        head: &[u8],
+        length: usize,
+    ) -> Result<u16, ResponseError> {
         if first != 0xfe || length >= 9 {
-            return Err(Broken::Unexpected { what, expected: "an EOF", found: first });
+            return Err(ResponseError::Unexpected { position, expected: "an EOF", found: first });
         }
-        two(head, 3).ok_or(short("an EOF", 5, head.len()))
+        read_u16(head, 3).ok_or(truncated("an EOF", 5, head.len()))
     }
 
-    /// A result is over; the answer is where no further one follows.
-    fn further(&mut self, status: u16) -> Option<Ended> {
-        if status & MORE_RESULTS != 0 && self.answers == Answers::Results {
-            self.state = State::First;
+    /// Ends a result, and with it the response unless another result follows.
+    fn finish_result(&mut self, status_flags: u16) -> Option<ResponseEnd> {
+        if status_flags & SERVER_MORE_RESULTS_EXISTS != 0 && self.kind == ResponseKind::ResultSets {
+            self.state = State::FirstPacket;
             return None;
         }
-        self.whole(status)
+        self.complete(status_flags)
     }
 
-    fn definitions(&mut self, left: u16, then: u16) -> Option<Ended> {
-        self.state = State::Definitions { left, then };
+    fn expect_definitions(&mut self, remaining: u16, following: u16) -> Option<ResponseEnd> {
+        self.state = State::Definitions { remaining, following };
         None
     }
 
-    /// So many are left of those that came last.
-    fn defined(&mut self, left: u16, then: u16) -> Option<Ended> {
-        let ended = matches!(self.state, State::DefinitionsEnd { .. });
-        match (left, then) {
-            (0, then) if !self.deprecate_eof && !ended => self.state = State::DefinitionsEnd { then },
-            (0, 0) => return self.whole(0),
-            (0, then) => return self.definitions(then, 0),
-            (left, then) => return self.definitions(left, then),
+    /// Moves on after a definition, or the EOF behind a group of them.
+    fn finish_definition(&mut self, remaining: u16, following: u16) -> Option<ResponseEnd> {
+        let is_after_eof = matches!(self.state, State::DefinitionsEnd { .. });
+        match (remaining, following) {
+            (0, following) if !self.deprecate_eof && !is_after_eof => {
+                self.state = State::DefinitionsEnd { following }
+            }
+            (0, 0) => return self.complete(0),
+            (0, following) => return self.expect_definitions(following, 0),
+            (remaining, following) => return self.expect_definitions(remaining, following),
         }
         None
     }
 
-    fn whole(&self, status: u16) -> Option<Ended> {
-        Some(Ended::Whole { status, prepared: self.prepared })
+    fn complete(&self, status_flags: u16) -> Option<ResponseEnd> {
+        Some(ResponseEnd::Complete { status_flags, prepared: self.prepared })
     }
 }
 
@@ -330,59 +357,66 @@
     use super::*;
     use dewpier_standins::rng::Rng;
 
-    fn follow(reply: &mut Reply, packets: &[Vec<u8>]) -> Ended {
-        let (last, before) = packets.split_last().unwrap();
-        let head = |p: &Vec<u8>| p[..p.len().min(HEAD)].to_vec();
-        for (i, packet) in before.iter().enumerate() {
-            assert_eq!(reply.packet(&head(packet), packet.len()), Ok(None), "packet {i} of {packets:x?}");
+    fn track_all(tracker: &mut ResponseTracker, packets: &[Vec<u8>]) -> ResponseEnd {
+        let (last, preceding) = packets.split_last().unwrap();
+        let head = |packet: &Vec<u8>| packet[..packet.len().min(MAX_HEAD_BYTES)].to_vec();
+        for (i, packet) in preceding.iter().enumerate() {
+            assert_eq!(
+                tracker.track_packet(&head(packet), packet.len()),
+                Ok(None),
+                "packet {i} of {packets:x?}"
+            );
         }
-        let ended = reply.packet(&head(last), last.len()).unwrap().expect("the last one ends it");
-        assert!(reply.is_over());
-        assert_eq!(reply.packet(&[0, 0, 0, 2, 0, 0, 0], 7), Err(Broken::Over));
-        ended
+        let end = tracker
+            .track_packet(&head(last), last.len())
+            .unwrap()
+            .expect("the last packet ends the response");
+        assert!(tracker.is_finished());
+        assert_eq!(tracker.track_packet(&[0, 0, 0, 2, 0, 0, 0], 7), Err(ResponseError::AfterEnd));
+        end
     }
 
-    fn eof(status: u16) -> Vec<u8> {
-        [&[0xfe, 0, 0][..], &status.to_le_bytes()].concat()
+    fn eof(status_flags: u16) -> Vec<u8> {
+        [&[0xfe, 0, 0][..], &status_flags.to_le_bytes()].concat()
     }
 
-    fn ok(first: u8, status: u16, more: usize) -> Vec<u8> {
-        // 300 rows, and an id of eight bytes.
+    fn ok(first: u8, status_flags: u16, info_bytes: usize) -> Vec<u8> {
+        // 300 affected rows and a generated id of eight bytes.
         let head = [first, 0xfc, 0x2c, 0x01, 0xfe, 9, 0, 0, 0, 0, 0, 0, 1];
-        [&head[..], &status.to_le_bytes(), &[0, 0], &vec![b'i'; more]].concat()
+        [&head[..], &status_flags.to_le_bytes(), &[0, 0], &vec![b'i'; info_bytes]].concat()
     }
 
-    /// A random answer, and how it ends.
-    fn answer(rng: &mut Rng, deprecate_eof: bool) -> (Vec<Vec<u8>>, Ended, u64) {
-        let (mut packets, mut all) = (Vec::new(), 0);
-        let results = 1 + rng.below(3);
-        for result in 0..results {
-            let status = if result + 1 < results { 0x0002 | MORE_RESULTS } else { 0x0003 };
+    /// A random response, its end, and its number of rows.
+    fn random_response(rng: &mut Rng, deprecate_eof: bool) -> (Vec<Vec<u8>>, ResponseEnd, u64) {
+        let (mut packets, mut row_count) = (Vec::new(), 0);
+        let result_count = 1 + rng.below(3);
+        for result in 0..result_count {
+            let status = if result + 1 < result_count { 0x0002 | SERVER_MORE_RESULTS_EXISTS } else { 0x0003 };
             if rng.below(12) == 0 {
                 packets.push([&[0xff, 0x7a, 0x04][..], b"#42S02no such table"].concat());
-                return (packets, Ended::Error(1146), all);
+                return (packets, ResponseEnd::Error(1146), row_count);
             }
             if rng.below(3) == 0 {
                 packets.push(ok(0, status, rng.below(60)));
                 continue;
             }
-            let columns = 1 + rng.below(300);
-            let count = columns as u16;
-            packets.push(if columns < 251 {
-                vec![columns as u8]
+            let column_count = 1 + rng.below(300);
+            let count = column_count as u16;
+            packets.push(if column_count < 251 {
+                vec![column_count as u8]
             } else {
                 [&[0xfc][..], &count.to_le_bytes()].concat()
             });
-            packets.extend((0..columns).map(|_| b"\x03def column".to_vec()));
+            packets.extend((0..column_count).map(|_| b"\x03def column".to_vec()));
             let cursor = rng.below(6) == 0;
-            let status = status | if cursor { CURSOR_EXISTS } else { 0 };
+            let status = status | if cursor { SERVER_STATUS_CURSOR_EXISTS } else { 0 };
             if !deprecate_eof {
                 packets.push(eof(status));
             }
             let rows = if cursor { 0 } else { rng.below(20) };
-            all += rows as u64;
+            row_count += rows as u64;
             for _ in 0..rows {
-                // An empty string, a null, a binary row, and a text as long as only a row can be.
+                // An empty string, a NULL, a binary row, and a text so long that it can only be a row.
                 let row = [vec![0], vec![0xfb], vec![0, 0, 7], [&[0xfe; 9][..], &[b'x'; 40]].concat()];
                 let row = row[rng.below(if deprecate_eof { 3 } else { 4 })].clone();
                 packets.push(row);
@@ -392,35 +426,39 @@
                 (false, false) => packets.push(eof(status)),
                 (false, true) => {}
             }
-            if result + 1 == results {
-                return (packets, Ended::Whole { status, prepared: None }, all);
+            if result + 1 == result_count {
+                return (packets, ResponseEnd::Complete { status_flags: status, prepared: None }, row_count);
             }
         }
-        (packets, Ended::Whole { status: 0x0003, prepared: None }, all)
+        (packets, ResponseEnd::Complete { status_flags: 0x0003, prepared: None }, row_count)
     }
 
     #[test]
-    fn answers_of_all_forms_end_with_their_last_packet_and_not_before() {
+    fn result_sets_end_exactly_at_their_last_packet() {
         let mut rng = Rng::from_env("REPLY_SEED", 23);
         for _ in 0..3000 {
             let seed = rng.number();
             let mut rng = Rng::new(seed);
             let deprecate_eof = rng.below(2) == 0;
-            let (packets, ended, rows) = answer(&mut rng, deprecate_eof);
-            let mut reply = Reply::new(Answers::Results, deprecate_eof);
-            assert_eq!((follow(&mut reply, &packets), reply.rows()), (ended, rows), "seed {seed}");
+            let (packets, end, row_count) = random_response(&mut rng, deprecate_eof);
+            let mut tracker = ResponseTracker::new(ResponseKind::ResultSets, deprecate_eof);
+            assert_eq!(
+                (track_all(&mut tracker, &packets), tracker.row_count()),
+                (end, row_count),
+                "seed {seed}"
+            );
         }
     }
 
     #[test]
-    fn a_row_as_long_as_a_frame_is_no_end() {
-        let mut reply = Reply::new(Answers::Rows, true);
-        assert_eq!(reply.packet(&[0xfe; HEAD], FULL), Ok(None));
-        assert_eq!(reply.rows(), 1);
+    fn row_of_maximum_frame_length_does_not_end_rows() {
+        let mut tracker = ResponseTracker::new(ResponseKind::Rows, true);
+        assert_eq!(tracker.track_packet(&[0xfe; MAX_HEAD_BYTES], MAX_FRAME_PAYLOAD_BYTES), Ok(None));
+        assert_eq!(tracker.row_count(), 1);
     }
 
     #[test]
-    fn prepared_statements_end_behind_their_last_definition() {
+    fn prepare_response_ends_after_last_definition() {
         for (parameters, columns) in [(0u16, 0u16), (2, 0), (0, 3), (2, 3)] {
             for deprecate_eof in [false, true] {
                 let head =
@@ -430,58 +468,74 @@
                     packets.extend((0..count).map(|_| b"\x03def".to_vec()));
                     packets.extend((count > 0 && !deprecate_eof).then(|| eof(2)));
                 }
-                let prepared = Some(Prepared { id: 7, columns, parameters });
-                let mut reply = Reply::new(Answers::Prepared, deprecate_eof);
-                assert_eq!(follow(&mut reply, &packets), Ended::Whole { status: 0, prepared });
+                let prepared = Some(PrepareResult {
+                    statement_id: 7,
+                    column_count: columns,
+                    parameter_count: parameters,
+                });
+                let mut tracker = ResponseTracker::new(ResponseKind::PrepareOk, deprecate_eof);
+                assert_eq!(
+                    track_all(&mut tracker, &packets),
+                    ResponseEnd::Complete { status_flags: 0, prepared }
+                );
             }
         }
     }
 
     #[test]
-    fn the_other_answers_end_too() {
-        let whole = |status| Ended::Whole { status, prepared: None };
+    fn other_response_kinds_end_at_their_last_packet() {
+        let complete = |status_flags| ResponseEnd::Complete { status_flags, prepared: None };
         for deprecate_eof in [false, true] {
-            let of = |answers, packets: &[Vec<u8>]| follow(&mut Reply::new(answers, deprecate_eof), packets);
-            assert_eq!(of(Answers::Ok, &[ok(0, 2, 9)]), whole(2));
-            assert_eq!(of(Answers::Ok, &[eof(2)]), whole(2));
-            assert_eq!(of(Answers::Text, &[b"Uptime: 7".to_vec()]), whole(0));
-            assert_eq!(of(Answers::Text, &[Vec::new()]), whole(0));
+            let track = |kind, packets: &[Vec<u8>]| {
+                track_all(&mut ResponseTracker::new(kind, deprecate_eof), packets)
+            };
+            assert_eq!(track(ResponseKind::Ok, &[ok(0, 2, 9)]), complete(2));
+            assert_eq!(track(ResponseKind::Ok, &[eof(2)]), complete(2));
+            assert_eq!(track(ResponseKind::Text, &[b"Uptime: 7".to_vec()]), complete(0));
+            assert_eq!(track(ResponseKind::Text, &[Vec::new()]), complete(0));
             let end = if deprecate_eof { ok(0xfe, 2, 0) } else { eof(2) };
-            assert_eq!(of(Answers::Fields, &[b"\x03def".to_vec(), end.clone()]), whole(2));
-            assert_eq!(of(Answers::Rows, &[vec![0, 0, 1], end]), whole(2));
-            assert_eq!(of(Answers::Rows, &[vec![0, 0, 1], vec![0xff, 0x15, 0x04, b'#']]), Ended::Error(1045));
+            assert_eq!(
+                track(ResponseKind::ColumnDefinitions, &[b"\x03def".to_vec(), end.clone()]),
+                complete(2)
+            );
+            assert_eq!(track(ResponseKind::Rows, &[vec![0, 0, 1], end]), complete(2));
+            assert_eq!(
+                track(ResponseKind::Rows, &[vec![0, 0, 1], vec![0xff, 0x15, 0x04, b'#']]),
+                ResponseEnd::Error(1045)
+            );
         }
     }
 
     #[test]
-    fn what_makes_no_sense_is_told_and_whatever_comes_nothing_panics() {
-        let first = |answers, bytes: &[u8]| Reply::new(answers, false).packet(bytes, bytes.len());
-        assert_eq!(first(Answers::Results, &[0xfb, b'a']), Err(Broken::LocalInfile));
-        assert_eq!(first(Answers::Results, &[]), Err(short("a packet", 1, 0)));
-        assert_eq!(first(Answers::Results, &[0, 0, 0, 2]), Err(short("an OK", 7, 4)));
-        assert_eq!(first(Answers::Ok, &[0xff, 1]), Err(short("an error", 3, 2)));
+    fn invalid_packets_are_rejected_and_random_bytes_do_not_panic() {
+        let track_first =
+            |kind, bytes: &[u8]| ResponseTracker::new(kind, false).track_packet(bytes, bytes.len());
+        assert_eq!(track_first(ResponseKind::ResultSets, &[0xfb, b'a']), Err(ResponseError::LocalInfile));
+        assert_eq!(track_first(ResponseKind::ResultSets, &[]), Err(truncated("a packet", 1, 0)));
+        assert_eq!(track_first(ResponseKind::ResultSets, &[0, 0, 0, 2]), Err(truncated("an OK", 7, 4)));
+        assert_eq!(track_first(ResponseKind::Ok, &[0xff, 1]), Err(truncated("an error", 3, 2)));
         assert!(
-            matches!(first(Answers::Results, &[3, 3]), Err(Broken::Unexpected { .. })),
-            "a count and more"
+            matches!(track_first(ResponseKind::ResultSets, &[3, 3]), Err(ResponseError::Unexpected { .. })),
+            "a column count with bytes behind it"
         );
-        assert!(matches!(first(Answers::Ok, &[7]), Err(Broken::Unexpected { .. })));
+        assert!(matches!(track_first(ResponseKind::Ok, &[7]), Err(ResponseError::Unexpected { .. })));
         let mut rng = Rng::from_env("REPLY_BYTES", 29);
         for _ in 0..20_000 {
-            let answers = [
-                Answers::Results,
-                Answers::Ok,
-                Answers::Text,
-                Answers::Fields,
-                Answers::Rows,
-                Answers::Prepared,
+            let kinds = [
+                ResponseKind::ResultSets,
+                ResponseKind::Ok,
+                ResponseKind::Text,
+                ResponseKind::ColumnDefinitions,
+                ResponseKind::Rows,
+                ResponseKind::PrepareOk,
             ];
-            let mut reply = Reply::new(answers[rng.below(6)], rng.below(2) == 0);
+            let mut tracker = ResponseTracker::new(kinds[rng.below(6)], rng.below(2) == 0);
             for _ in 0..12 {
                 let length = rng.below(14);
                 let bytes: Vec<u8> =
                     (0..length).map(|_| [0, 1, 2, 0xfb, 0xfe, 0xff, 0x40][rng.below(7)]).collect();
-                if reply.packet(&bytes, length).is_err() {
-                    assert!(reply.is_over());
+                if tracker.track_packet(&bytes, length).is_err() {
+                    assert!(tracker.is_finished());
                     break;
                 }
             }
--- a/crates/mysql/src/session.rs
+++ b/crates/mysql/src/session.rs
@@ -1,501 +1,620 @@
-//! One client's session: what its commands ask for, whether it must stay on one connection, and what is true
-//! of it when that is lost. No I/O.
+//! The state of one client session: what each command requires, which connection it may use, and what the client is
+//! told when that connection is lost. No I/O.
 //!
-//! A session is free between statements unless something holds it: a transaction (the server's status flag
-//! says so), state that only its connection has (variables, temporary tables, locks, what is not understood),
-//! or, for a few statements, what the last one left to be asked for (LAST_INSERT_ID, warnings).
+//! A session can use any connection between two statements unless it is pinned to one: by an open transaction (the
+//! server's status flag reports it), by state that only that connection has (variables, temporary tables, locks, and
+//! anything not understood), or, for a few statements, by a generated id or warnings that the client may still ask for.
 
 use crate::capability::DEPRECATE_EOF;
 use crate::error::{
-    self, Error, GENERAL, MAY_HAVE_RUN, NOT_SUPPORTED, TOO_MANY_CONCURRENT, TRY_AGAIN, UNKNOWN,
+    self, ER_NOT_SUPPORTED_YET, ER_TOO_MANY_CONCURRENT_TRXS, ER_UNKNOWN_ERROR, ErrPacket,
+    SQLSTATE_GENERAL_ERROR, SQLSTATE_RESOLUTION_UNKNOWN, SQLSTATE_SERIALIZATION_FAILURE,
 };
-use crate::login::{Guest, Shape};
-use crate::prepared::{self, Executed, Needed, Statements, Unfit};
-use crate::reply::{Answers, Ended};
-use crate::statement::{Kind, kind};
+use crate::login::{AuthenticatedClient, ConnectionProfile};
+use crate::prepared::{self, ExecuteCommand, ExecuteError, PreparedStatements, RequiredStatement};
+use crate::reply::{ResponseEnd, ResponseKind};
+use crate::statement::{StatementKind, classify};
 use bytes::Bytes;
 
 /// COM_QUIT.
-pub const QUIT: u8 = 0x01;
+pub const COM_QUIT: u8 = 0x01;
 /// COM_INIT_DB.
-pub const INIT_DB: u8 = 0x02;
+pub const COM_INIT_DB: u8 = 0x02;
 /// COM_QUERY.
-pub const QUERY: u8 = 0x03;
-const FIELD_LIST: u8 = 0x04;
-const STATISTICS: u8 = 0x09;
+pub const COM_QUERY: u8 = 0x03;
+const COM_FIELD_LIST: u8 = 0x04;
+const COM_STATISTICS: u8 = 0x09;
 /// COM_PING.
-pub const PING: u8 = 0x0e;
-const CHANGE_USER: u8 = 0x11;
-const FETCH: u8 = 0x1c;
-const SET_OPTION: u8 = 0x1b;
+pub const COM_PING: u8 = 0x0e;
+const COM_CHANGE_USER: u8 = 0x11;
+const COM_STMT_FETCH: u8 = 0x1c;
+const COM_SET_OPTION: u8 = 0x1b;
 /// COM_RESET_CONNECTION.
-pub const RESET_CONNECTION: u8 = 0x1f;
+pub const COM_RESET_CONNECTION: u8 = 0x1f;
 
-/// A status flag: a transaction is open.
-const IN_TRANSACTION: u16 = 0x0001;
-/// For so many statements a session stays where its last one left something to be asked for (as ProxySQL's
-/// `auto_increment_delay_multiplex` has it).
-pub const LINGERS: u8 = 5;
-/// The longest name of a database that is kept, in bytes: 64 characters of four.
-const MOST_NAME: usize = 256;
+/// Status flag of a server: a transaction is open.
+const SERVER_STATUS_IN_TRANS: u16 = 0x0001;
+/// Statements for which a session stays on a connection that has a generated id or warnings for it; ProxySQL calls
+/// this `auto_increment_delay_multiplex`.
+pub const LINGER_STATEMENTS: u8 = 5;
+/// Longest accepted name of a database: 64 characters of four bytes.
+const MAX_DATABASE_NAME_BYTES: usize = 256;
 
-/// What holds a session to its connection.
+/// The reasons for which a session must stay on its connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Hold {
-    /// State that only the connection has: until the session is reset or over.
-    pub state: bool,
-    /// A transaction.
+pub struct Pinning {
+    /// The connection has session state; this holds until the session is reset or ends.
+    pub session_state: bool,
+    /// A transaction is open.
     pub transaction: bool,
-    /// What the last statement left, for so many further ones.
-    pub lingers: u8,
+    /// Further statements for which the session stays because of a generated id or warnings.
+    pub linger_statements: u8,
 }
 
-impl Hold {
-    /// Anything does.
-    pub fn any(&self) -> bool {
-        self.state || self.transaction || self.lingers > 0
+impl Pinning {
+    /// Whether the session must stay on its connection.
+    pub fn is_pinned(&self) -> bool {
+        self.session_state || self.transaction || self.linger_statements > 0
     }
 
-    /// After such an answer that ended so. Errors, and answers without status flags, do not tell of the
-    /// transaction: what was, stays.
-    pub fn after(self, answers: Answers, ended: &Ended, leaves: bool) -> Self {
-        let transaction = match ended {
-            Ended::Whole { status, .. } if !matches!(answers, Answers::Prepared | Answers::Text) => {
-                status & IN_TRANSACTION != 0
+    /// The pinning after a response. Errors, and responses without status flags, say nothing about the transaction:
+    /// they leave it unchanged.
+    pub fn after_response(
+        self,
+        response_kind: ResponseKind,
+        end: &ResponseEnd,
+        has_insert_id_or_warnings: bool,
+    ) -> Self {
+        let transaction = match end {
+            ResponseEnd::Complete { status_flags, .. }
+                if !matches!(response_kind, ResponseKind::PrepareOk | ResponseKind::Text) =>
+            {
+                status_flags & SERVER_STATUS_IN_TRANS != 0
             }
             _ => self.transaction,
         };
-        let leaves = leaves || matches!(ended, Ended::Error(_));
-        let lingers = if leaves { LINGERS } else { self.lingers.saturating_sub(1) };
-        Self { transaction, lingers, ..self }
+        let lingers = has_insert_id_or_warnings || matches!(end, ResponseEnd::Error(_));
+        let linger_statements =
+            if lingers { LINGER_STATEMENTS } else { self.linger_statements.saturating_sub(1) };
+        Self { transaction, linger_statements, ..self }
     }
 }
 
-/// A command for a server.
+/// A command that is forwarded to a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sent {
-    /// It may be repeated.
-    pub read: bool,
-    /// It goes to the connection that the session is held to, and nowhere else.
-    pub held: bool,
-    /// What is to hold the session while it runs and after.
-    pub hold: Hold,
-    /// How it is answered.
-    pub answers: Answers,
-    /// The database that it chooses.
-    pub chooses: Option<String>,
-    /// The command, where it is another than what came.
+pub struct ForwardedCommand {
+    /// The command only reads and may be sent again.
+    pub is_repeatable: bool,
+    /// The command may only use the connection that the session is pinned to.
+    pub is_pinned: bool,
+    /// The pinning while the command runs, from which that after its response is derived.
+    pub pinning: Pinning,
+    /// The form of the response.
+    pub response_kind: ResponseKind,
+    /// The database that the command selects.
+    pub selects_database: Option<String>,
+    /// The command to send, if it differs from the one received.
     pub command: Option<Bytes>,
-    /// The prepared statement that it is about.
-    pub needs: Option<Needed>,
-    /// It prepares the statement of that number and text.
+    /// The prepared statement that the command executes.
+    pub required_statement: Option<RequiredStatement>,
+    /// The session's id and the text of the statement that the command prepares.
     pub prepares: Option<(u32, Bytes)>,
-    /// It looks back on the statement before.
-    looks_back: bool,
-    /// Where its connection is lost, what it did is undone with the transaction that it is part of.
-    undone: bool,
+    /// The command refers to the result of the previous statement.
+    depends_on_previous: bool,
+    /// If the connection is lost, the server rolls back the command with its transaction.
+    rolled_back_on_loss: bool,
 }
 
-/// What to do with a command.
+/// What to do with a command of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Plan {
-    /// Send it.
-    Send(Sent),
-    /// Answer with this packet.
-    Answer(Bytes),
-    /// Nothing: it is not answered.
-    Silent,
-    /// The session is new from here on: its connection is let go.
-    Reset(Bytes),
-    /// The client leaves.
+pub enum CommandAction {
+    /// Forward the command to a server.
+    Forward(ForwardedCommand),
+    /// Respond with this packet.
+    Respond(Bytes),
+    /// Send no response.
+    NoResponse,
+    /// Give up the session's connection and respond with this packet.
+    ResetSession(Bytes),
+    /// End the session: the client quits.
     Quit,
 }
 
-/// How a command that was sent came to no answer of a server.
+/// Why a forwarded command got no response from a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Lost {
-    /// Nothing of it was sent. When to try again, in seconds, where that is known.
-    Refused(Option<f64>),
-    /// It may have run.
+pub enum CommandFailure {
+    /// Nothing of the command was sent. The value is the time in seconds after which to try again, if known.
+    Rejected(Option<f64>),
+    /// The command may have run.
     Failed,
 }
 
-/// What a lost command means for its session.
+/// What to do after a forwarded command has failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Then {
-    /// It was held by nothing that matters, and nothing was sent: it may go anywhere.
-    Anywhere(Sent),
-    /// The client is told this, and goes on.
-    Tell(Error),
-    /// The client is told this, and its connection ends: what only the lost one had is gone.
-    End(Error),
+pub enum FailureAction {
+    /// Forward the command over any connection: nothing was sent, and nothing that it needs is lost.
+    RetryElsewhere(ForwardedCommand),
+    /// Report this error to the client; the session goes on.
+    ReportError(ErrPacket),
+    /// Report this error to the client and close its connection, as the session's state is lost.
+    ReportAndClose(ErrPacket),
 }
 
-/// A session.
+/// A client's session.
 #[derive(Debug)]
 pub struct Session {
-    /// What its answers look like.
-    pub shape: Shape,
-    /// The database it is in.
+    /// The capabilities and the collation that its connections must have.
+    pub profile: ConnectionProfile,
+    /// The selected database.
     pub database: Option<String>,
-    hold: Hold,
-    statements: Statements,
-    /// The longest command, and all that is sent ahead of one, in bytes.
-    most_command: usize,
-    /// Something was left to be asked for, and may be asked for no more once the session moves.
-    left: bool,
+    pinning: Pinning,
+    prepared_statements: PreparedStatements,
+    /// Longest command, and most long data for one session, in bytes.
+    max_command_bytes: usize,
+    /// A connection had a generated id or warnings for the session, which are lost once the session leaves it.
+    had_lingering_data: bool,
 }
 
-/// An OK.
-pub fn ok() -> Bytes {
+/// An OK packet without generated id and warnings.
+pub fn ok_packet() -> Bytes {
     Bytes::from_static(&[0, 0, 0, 2, 0, 0, 0])
 }
 
-fn not_carried(what: &str) -> Plan {
-    Plan::Answer(Error::new(NOT_SUPPORTED, b"42000", format!("dewpier: {what} is not carried")).packet())
+fn unsupported(what: &str) -> CommandAction {
+    CommandAction::Respond(
+        ErrPacket::new(ER_NOT_SUPPORTED_YET, b"42000", format!("dewpier: {what} is not carried")).encode(),
+    )
 }
 
 impl Session {
-    /// One that begins, whose commands have so many bytes at most.
-    pub fn new(guest: &Guest, most_command: usize) -> Self {
+    /// A new session of a client, whose commands are at most `max_command_bytes` long.
+    pub fn new(client: &AuthenticatedClient, max_command_bytes: usize) -> Self {
         Self {
-            shape: guest.shape,
-            database: guest.database.clone(),
-            hold: Hold::default(),
-            statements: Statements::default(),
-            most_command,
-            left: false,
+            profile: client.profile,
+            database: client.database.clone(),
+            pinning: Pinning::default(),
+            prepared_statements: PreparedStatements::default(),
+            max_command_bytes,
+            had_lingering_data: false,
         }
     }
 
-    /// Rows end with an OK.
+    /// Whether rows end with an OK packet instead of an EOF packet.
     pub fn deprecate_eof(&self) -> bool {
-        self.shape.capabilities & DEPRECATE_EOF != 0
+        self.profile.capabilities & DEPRECATE_EOF != 0
     }
 
-    /// What holds it.
-    pub fn hold(&self) -> Hold {
-        self.hold
+    /// The reasons for which the session must stay on its connection.
+    pub fn pinning(&self) -> Pinning {
+        self.pinning
     }
 
-    /// A command of the client.
-    pub fn command(&mut self, command: &[u8]) -> Plan {
+    /// Decides what to do with a command of the client.
+    pub fn handle_command(&mut self, command: &[u8]) -> CommandAction {
         let Some((code, rest)) = command.split_first() else {
-            return Plan::Answer(Error::new(error::UNKNOWN_COMMAND, b"08S01", "an empty command").packet());
+            return CommandAction::Respond(
+                ErrPacket::new(error::ER_UNKNOWN_COM_ERROR, b"08S01", "an empty command").encode(),
+            );
         };
         match *code {
-            QUIT => Plan::Quit,
-            PING => Plan::Answer(ok()),
-            QUERY => self.query(rest),
-            INIT_DB => match std::str::from_utf8(rest) {
-                Ok(name) if (1..=MOST_NAME).contains(&name.len()) => {
-                    self.send(Kind::Database(name.into()), Answers::Ok, false)
+            COM_QUIT => CommandAction::Quit,
+            COM_PING => CommandAction::Respond(ok_packet()),
+            COM_QUERY => self.plan_query(rest),
+            COM_INIT_DB => match std::str::from_utf8(rest) {
+                Ok(name) if (1..=MAX_DATABASE_NAME_BYTES).contains(&name.len()) => {
+                    self.forward(StatementKind::UseDatabase(name.into()), ResponseKind::Ok, false)
                 }
-                _ => Plan::Answer(Error::new(1049, b"42000", "Unknown database").packet()),
+                _ => CommandAction::Respond(ErrPacket::new(1049, b"42000", "Unknown database").encode()),
             },
-            STATISTICS => self.send(Kind::Read, Answers::Text, false),
-            FIELD_LIST => self.send(Kind::Read, Answers::Fields, false),
-            RESET_CONNECTION => {
-                (self.hold, self.left, self.statements) = (Hold::default(), false, Statements::default());
-                Plan::Reset(ok())
+            COM_STATISTICS => self.forward(StatementKind::Read, ResponseKind::Text, false),
+            COM_FIELD_LIST => self.forward(StatementKind::Read, ResponseKind::ColumnDefinitions, false),
+            COM_RESET_CONNECTION => {
+                (self.pinning, self.had_lingering_data, self.prepared_statements) =
+                    (Pinning::default(), false, PreparedStatements::default());
+                CommandAction::ResetSession(ok_packet())
             }
-            CHANGE_USER => not_carried("COM_CHANGE_USER"),
-            prepared::PREPARE => self.prepare(rest),
-            prepared::EXECUTE => self.execute(command),
-            prepared::LONG_DATA => {
-                self.statements.long_data(Bytes::copy_from_slice(command), self.most_command);
-                Plan::Silent
+            COM_CHANGE_USER => unsupported("COM_CHANGE_USER"),
+            prepared::COM_STMT_PREPARE => self.plan_prepare(rest),
+            prepared::COM_STMT_EXECUTE => self.plan_execute(command),
+            prepared::COM_STMT_SEND_LONG_DATA => {
+                self.prepared_statements
+                    .add_long_data(Bytes::copy_from_slice(command), self.max_command_bytes);
+                CommandAction::NoResponse
             }
-            prepared::CLOSE => {
-                self.statements.closed(command);
-                Plan::Silent
+            prepared::COM_STMT_CLOSE => {
+                self.prepared_statements.handle_close(command);
+                CommandAction::NoResponse
             }
-            prepared::RESET => match self.statements.reset(command) {
-                Ok(()) => Plan::Answer(ok()),
-                Err(unfit) => Plan::Answer(unfit_statement(&unfit).packet()),
+            prepared::COM_STMT_RESET => match self.prepared_statements.handle_reset(command) {
+                Ok(()) => CommandAction::Respond(ok_packet()),
+                Err(error) => CommandAction::Respond(execute_error_packet(&error).encode()),
             },
-            FETCH => not_carried("a cursor"),
-            SET_OPTION => not_carried("several statements at once"),
+            COM_STMT_FETCH => unsupported("a cursor"),
+            COM_SET_OPTION => unsupported("several statements at once"),
             code => {
                 let text = format!("dewpier: command {code:#04x} is not carried");
-                Plan::Answer(Error::new(error::UNKNOWN_COMMAND, b"08S01", text).packet())
+                CommandAction::Respond(ErrPacket::new(error::ER_UNKNOWN_COM_ERROR, b"08S01", text).encode())
             }
         }
     }
 
-    fn query(&mut self, text: &[u8]) -> Plan {
-        let (kind, looks_back) = std::str::from_utf8(text).map_or((Kind::State, false), kind);
-        self.run(kind, looks_back)
+    fn plan_query(&mut self, text: &[u8]) -> CommandAction {
+        let (kind, depends_on_previous) =
+            std::str::from_utf8(text).map_or((StatementKind::SessionState, false), classify);
+        self.plan_statement(kind, depends_on_previous)
     }
 
-    fn run(&self, kind: Kind, looks_back: bool) -> Plan {
-        if looks_back && self.left && !self.hold.any() {
+    fn plan_statement(&self, kind: StatementKind, depends_on_previous: bool) -> CommandAction {
+        if depends_on_previous && self.had_lingering_data && !self.pinning.is_pinned() {
             let text = "dewpier: what that asks for was left on a connection that the session no longer has";
-            return Plan::Answer(Error::new(NOT_SUPPORTED, b"42000", text).packet());
+            return CommandAction::Respond(ErrPacket::new(ER_NOT_SUPPORTED_YET, b"42000", text).encode());
         }
-        self.send(kind, Answers::Results, looks_back)
+        self.forward(kind, ResponseKind::ResultSets, depends_on_previous)
     }
 
-    /// To prepare a statement has no effect, whatever it does when it is executed.
-    fn prepare(&mut self, text: &[u8]) -> Plan {
-        let Some(number) = self.statements.number() else {
+    /// Plans a COM_STMT_PREPARE, which may be repeated: preparing a statement does not run it.
+    fn plan_prepare(&mut self, text: &[u8]) -> CommandAction {
+        let Some(statement_id) = self.prepared_statements.allocate_id() else {
             let text = "Can't create more than max_prepared_stmt_count statements";
-            return Plan::Answer(Error::new(error::TOO_MANY_STATEMENTS, b"42000", text).packet());
+            return CommandAction::Respond(
+                ErrPacket::new(error::ER_MAX_PREPARED_STMT_COUNT_REACHED, b"42000", text).encode(),
+            );
         };
         let text = Bytes::copy_from_slice(text);
-        match self.send(Kind::Read, Answers::Prepared, false) {
-            Plan::Send(sent) => Plan::Send(Sent { prepares: Some((number, text)), ..sent }),
+        match self.forward(StatementKind::Read, ResponseKind::PrepareOk, false) {
+            CommandAction::Forward(forwarded) => {
+                CommandAction::Forward(ForwardedCommand { prepares: Some((statement_id, text)), ..forwarded })
+            }
             other => other,
         }
     }
 
-    fn execute(&mut self, command: &[u8]) -> Plan {
-        let Executed { command, needed, kind, looks_back } = match self.statements.execute(command) {
-            Ok(executed) => executed,
-            Err(unfit) => return Plan::Answer(unfit_statement(&unfit).packet()),
-        };
-        match self.run(kind, looks_back) {
-            Plan::Send(sent) => Plan::Send(Sent { command: Some(command), needs: Some(needed), ..sent }),
+    fn plan_execute(&mut self, command: &[u8]) -> CommandAction {
+        let ExecuteCommand { command, required_statement, kind, depends_on_previous } =
+            match self.prepared_statements.build_execute(command) {
+                Ok(execute) => execute,
+                Err(error) => return CommandAction::Respond(execute_error_packet(&error).encode()),
+            };
+        match self.plan_statement(kind, depends_on_previous) {
+            CommandAction::Forward(forwarded) => CommandAction::Forward(ForwardedCommand {
+                command: Some(command),
+                required_statement: Some(required_statement),
+                ..forwarded
+            }),
             other => other,
         }
     }
 
-    fn send(&self, kind: Kind, answers: Answers, looks_back: bool) -> Plan {
-        let held = self.hold.any();
-        Plan::Send(Sent {
-            // A repeat goes elsewhere, where neither the transaction nor the state is.
-            read: kind == Kind::Read && !held,
-            held,
-            hold: Hold { state: self.hold.state || kind == Kind::State, ..self.hold },
-            answers,
-            undone: self.hold.transaction && matches!(kind, Kind::Read | Kind::Write),
-            chooses: match kind {
-                Kind::Database(name) => Some(name),
+    fn forward(
+        &self,
+        kind: StatementKind,
+        response_kind: ResponseKind,
+        depends_on_previous: bool,
+    ) -> CommandAction {
+        let is_pinned = self.pinning.is_pinned();
+        CommandAction::Forward(ForwardedCommand {
+            // A repeat may use another connection, which has neither the transaction nor the session state.
+            is_repeatable: kind == StatementKind::Read && !is_pinned,
+            is_pinned,
+            pinning: Pinning {
+                session_state: self.pinning.session_state || kind == StatementKind::SessionState,
+                ..self.pinning
+            },
+            response_kind,
+            rolled_back_on_loss: self.pinning.transaction
+                && matches!(kind, StatementKind::Read | StatementKind::Write),
+            selects_database: match kind {
+                StatementKind::UseDatabase(name) => Some(name),
                 _ => None,
             },
-            looks_back,
+            depends_on_previous,
             command: None,
-            needs: None,
+            required_statement: None,
             prepares: None,
         })
     }
 
-    /// A command was answered, and that is what holds the session now.
-    pub fn answered(&mut self, sent: &Sent, ended: &Ended, hold: Hold) {
-        self.left = self.left || hold.lingers > 0;
-        self.hold = hold;
-        if let (Some(name), Ended::Whole { .. }) = (&sent.chooses, ended) {
+    /// Records a response, and the pinning of the session after it.
+    pub fn record_response(&mut self, command: &ForwardedCommand, end: &ResponseEnd, pinning: Pinning) {
+        self.had_lingering_data = self.had_lingering_data || pinning.linger_statements > 0;
+        self.pinning = pinning;
+        if let (Some(name), ResponseEnd::Complete { .. }) = (&command.selects_database, end) {
             self.database = Some(name.clone());
         }
-        if let (Some((number, text)), Ended::Whole { prepared: Some(prepared), .. }) = (&sent.prepares, ended)
+        if let (Some((statement_id, text)), ResponseEnd::Complete { prepared: Some(prepared), .. }) =
+            (&command.prepares, end)
         {
-            self.statements.prepared(*number, text.clone(), prepared.parameters);
+            self.prepared_statements.insert(*statement_id, text.clone(), prepared.parameter_count);
         }
     }
 
-    /// A command came to no answer. Its connection, if the session had one, is gone.
-    pub fn lost(&mut self, sent: Sent, lost: Lost) -> Then {
-        let held = std::mem::take(&mut self.hold);
-        if !sent.held {
-            return Then::Tell(match lost {
-                Lost::Refused(wait) => refused(wait),
-                Lost::Failed => unknown("it may have run"),
+    /// Ends the pinning after a command that got no response, and decides what the client is told. The connection of the
+    /// session, if it was pinned to one, is closed.
+    pub fn record_failure(&mut self, command: ForwardedCommand, failure: CommandFailure) -> FailureAction {
+        let pinning = std::mem::take(&mut self.pinning);
+        if !command.is_pinned {
+            return FailureAction::ReportError(match failure {
+                CommandFailure::Rejected(retry_after) => rejected_error(retry_after),
+                CommandFailure::Failed => outcome_unknown_error("it may have run"),
             });
         }
-        let certain = match lost {
-            Lost::Refused(_) => true,
-            Lost::Failed => sent.undone,
+        let has_no_effect = match failure {
+            CommandFailure::Rejected(_) => true,
+            CommandFailure::Failed => command.rolled_back_on_loss,
         };
-        if held.state {
+        if pinning.session_state {
             let text =
                 "the connection to the server is lost, and with it the session's state and transaction";
-            return Then::End(match certain {
-                true => Error::new(
-                    UNKNOWN,
+            return FailureAction::ReportAndClose(match has_no_effect {
+                true => ErrPacket::new(
+                    ER_UNKNOWN_ERROR,
                     b"08006",
                     format!("dewpier: {text}; nothing of this statement stands"),
                 ),
-                false => unknown(text),
+                false => outcome_unknown_error(text),
             });
         }
-        match (held.transaction, certain) {
-            (true, true) => Then::Tell(Error::new(
-                TOO_MANY_CONCURRENT,
-                TRY_AGAIN,
+        match (pinning.transaction, has_no_effect) {
+            (true, true) => FailureAction::ReportError(ErrPacket::new(
+                ER_TOO_MANY_CONCURRENT_TRXS,
+                SQLSTATE_SERIALIZATION_FAILURE,
                 "dewpier: the connection to the server is lost; the transaction is rolled back",
             )),
-            (true, false) => Then::Tell(unknown("the connection to the server is lost in a transaction")),
-            // It only lingered: another connection does as well, unless it looks back.
-            (false, true) if !sent.looks_back => {
-                Then::Anywhere(Sent { held: false, hold: Hold { lingers: 0, ..sent.hold }, ..sent })
+            (true, false) => FailureAction::ReportError(outcome_unknown_error(
+                "the connection to the server is lost in a transaction",
+            )),
+            // Only the generated id or the warnings are lost: any other statement can use another connection.
+            (false, true) if !command.depends_on_previous => {
+                FailureAction::RetryElsewhere(ForwardedCommand {
+                    is_pinned: false,
+                    pinning: Pinning { linger_statements: 0, ..command.pinning },
+                    ..command
+                })
             }
-            (false, true) => Then::Tell(refused(None)),
-            (false, false) => Then::Tell(unknown("it may have run")),
+            (false, true) => FailureAction::ReportError(rejected_error(None)),
+            (false, false) => FailureAction::ReportError(outcome_unknown_error("it may have run")),
         }
     }
 }
 
-fn unfit_statement(unfit: &Unfit) -> Error {
-    match unfit {
-        Unfit::Unknown(number) => {
-            let text = format!("Unknown prepared statement handler ({number})");
-            Error::new(error::UNKNOWN_STATEMENT, GENERAL, text)
+fn execute_error_packet(error: &ExecuteError) -> ErrPacket {
+    match error {
+        ExecuteError::UnknownStatement(statement_id) => {
+            let text = format!("Unknown prepared statement handler ({statement_id})");
+            ErrPacket::new(error::ER_UNKNOWN_STMT_HANDLER, SQLSTATE_GENERAL_ERROR, text)
         }
-        Unfit::Short(short) => Error::new(error::MALFORMED_PACKET, GENERAL, short.to_string()),
-        Unfit::NoTypes => {
-            Error::new(error::WRONG_ARGUMENTS, GENERAL, "an EXECUTE: expected types, found none")
+        ExecuteError::MalformedPacket(malformed) => {
+            ErrPacket::new(error::ER_MALFORMED_PACKET, SQLSTATE_GENERAL_ERROR, malformed.to_string())
         }
+        ExecuteError::MissingTypes => ErrPacket::new(
+            error::ER_WRONG_ARGUMENTS,
+            SQLSTATE_GENERAL_ERROR,
+            "an EXECUTE: expected types, found none",
+        ),
     }
 }
 
-/// Not done, and trying again is harmless.
-fn refused(wait: Option<f64>) -> Error {
-    let when = wait.map(|wait| format!(" in {:.0} ms", wait * 1000.0)).unwrap_or_default();
-    Error::new(
-        TOO_MANY_CONCURRENT,
-        TRY_AGAIN,
+/// The error for a command of which nothing has run.
+fn rejected_error(retry_after_seconds: Option<f64>) -> ErrPacket {
+    let when =
+        retry_after_seconds.map(|seconds| format!(" in {:.0} ms", seconds * 1000.0)).unwrap_or_default();
+    ErrPacket::new(
+        ER_TOO_MANY_CONCURRENT_TRXS,
+        SQLSTATE_SERIALIZATION_FAILURE,
         format!("dewpier: not done, and trying again{when} is harmless"),
     )
 }
 
-/// It is not known whether it has run.
-fn unknown(why: &str) -> Error {
-    Error::new(UNKNOWN, MAY_HAVE_RUN, format!("dewpier: {why}; whether this statement stands is not known"))
+/// The error for a command that may have run.
+fn outcome_unknown_error(reason: &str) -> ErrPacket {
+    ErrPacket::new(
+        ER_UNKNOWN_ERROR,
+        SQLSTATE_RESOLUTION_UNKNOWN,
+        format!("dewpier: {reason}; whether this statement stands is not known"),
+    )
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn session() -> Session {
-        let shape = Shape { capabilities: DEPRECATE_EOF, collation: 45 };
-        Session::new(&Guest { user: "planner".into(), database: None, shape }, 1 << 20)
+    fn new_session() -> Session {
+        let profile = ConnectionProfile { capabilities: DEPRECATE_EOF, collation: 45 };
+        Session::new(&AuthenticatedClient { user: "planner".into(), database: None, profile }, 1 << 20)
     }
 
-    fn sent(session: &mut Session, text: &str) -> Sent {
-        let command = [&[QUERY], text.as_bytes()].concat();
-        match session.command(&command) {
-            Plan::Send(sent) => sent,
+    fn forward(session: &mut Session, text: &str) -> ForwardedCommand {
+        let command = [&[COM_QUERY], text.as_bytes()].concat();
+        match session.handle_command(&command) {
+            CommandAction::Forward(forwarded) => forwarded,
             other => panic!("{text}: {other:?}"),
         }
     }
 
-    /// A statement that is answered with such a status.
-    fn run(session: &mut Session, text: &str, status: u16, leaves: bool) -> Sent {
-        let sent = sent(session, text);
-        let ended = Ended::Whole { status, prepared: None };
-        let hold = sent.hold.after(sent.answers, &ended, leaves);
-        session.answered(&sent, &ended, hold);
-        sent
+    /// Runs a statement to which the server responds with the given status flags.
+    fn run(
+        session: &mut Session,
+        text: &str,
+        status_flags: u16,
+        has_insert_id_or_warnings: bool,
+    ) -> ForwardedCommand {
+        let command = forward(session, text);
+        let end = ResponseEnd::Complete { status_flags, prepared: None };
+        let pinning = command.pinning.after_response(command.response_kind, &end, has_insert_id_or_warnings);
+        session.record_response(&command, &end, pinning);
+        command
     }
 
     #[test]
-    fn a_transaction_holds_from_its_begin_to_its_end_and_nothing_in_it_is_repeated() {
-        let mut session = session();
+    fn open_transaction_pins_session_and_prevents_repeats() {
+        let mut session = new_session();
         let read = run(&mut session, "SELECT 1", 2, false);
-        assert!(read.read && !read.held && !session.hold().any());
+        assert!(read.is_repeatable && !read.is_pinned && !session.pinning().is_pinned());
         run(&mut session, "BEGIN", 3, false);
         let read = run(&mut session, "SELECT a FROM t", 3, false);
-        assert!(!read.read && read.held);
-        // To prepare tells nothing of the transaction.
-        let Plan::Send(sent) = session.command(b"\x16SELECT 1") else { panic!("it is not sent") };
-        let ended = Ended::Whole { status: 0, prepared: None };
-        session.answered(&sent, &ended, sent.hold.after(sent.answers, &ended, false));
-        assert!(session.hold().transaction);
-        assert!(run(&mut session, "COMMIT", 2, false).held);
-        assert!(!session.hold().any());
+        assert!(!read.is_repeatable && read.is_pinned);
+        // The response to a PREPARE has no status flags: the transaction stays open.
+        let CommandAction::Forward(command) = session.handle_command(b"\x16SELECT 1") else {
+            panic!("not forwarded")
+        };
+        let end = ResponseEnd::Complete { status_flags: 0, prepared: None };
+        session.record_response(
+            &command,
+            &end,
+            command.pinning.after_response(command.response_kind, &end, false),
+        );
+        assert!(session.pinning().transaction);
+        assert!(run(&mut session, "COMMIT", 2, false).is_pinned);
+        assert!(!session.pinning().is_pinned());
     }
 
     #[test]
-    fn state_holds_for_good_and_a_reset_lets_go() {
-        let mut session = session();
+    fn session_state_pins_until_connection_reset() {
+        let mut session = new_session();
         run(&mut session, "SET @a = 1", 2, false);
         for _ in 0..20 {
-            assert!(run(&mut session, "SELECT 1", 2, false).held);
+            assert!(run(&mut session, "SELECT 1", 2, false).is_pinned);
         }
-        assert!(matches!(session.command(&[RESET_CONNECTION]), Plan::Reset(_)));
-        assert!(!session.hold().any());
+        assert!(matches!(session.handle_command(&[COM_RESET_CONNECTION]), CommandAction::ResetSession(_)));
+        assert!(!session.pinning().is_pinned());
     }
 
     #[test]
-    fn what_a_statement_left_is_asked_for_where_it_is_or_not_at_all() {
-        let mut session = session();
+    fn generated_id_is_read_on_its_connection_or_rejected_after_leaving_it() {
+        let mut session = new_session();
         run(&mut session, "INSERT INTO t (a) VALUES (1)", 2, true);
-        assert!(run(&mut session, "SELECT LAST_INSERT_ID()", 2, false).held);
-        for _ in 0..LINGERS {
+        assert!(run(&mut session, "SELECT LAST_INSERT_ID()", 2, false).is_pinned);
+        for _ in 0..LINGER_STATEMENTS {
             run(&mut session, "SELECT 1", 2, false);
         }
-        assert!(!session.hold().any());
-        let asked = session.command(b"\x03SELECT LAST_INSERT_ID()");
-        assert!(matches!(asked, Plan::Answer(_)), "{asked:?}");
+        assert!(!session.pinning().is_pinned());
+        let action = session.handle_command(b"\x03SELECT LAST_INSERT_ID()");
+        assert!(matches!(action, CommandAction::Respond(_)), "{action:?}");
     }
 
     #[test]
-    fn the_database_is_the_last_one_that_could_be_chosen() {
-        let mut session = session();
+    fn failed_database_selection_keeps_previous_database() {
+        let mut session = new_session();
         run(&mut session, "USE plans", 2, false);
         assert_eq!(session.database.as_deref(), Some("plans"));
-        let Plan::Send(sent) = session.command(b"\x02none") else { panic!("it is not sent") };
-        session.answered(&sent, &Ended::Error(1049), Hold::default());
+        let CommandAction::Forward(command) = session.handle_command(b"\x02none") else {
+            panic!("not forwarded")
+        };
+        session.record_response(&command, &ResponseEnd::Error(1049), Pinning::default());
         assert_eq!(session.database.as_deref(), Some("plans"));
     }
 
     #[test]
-    fn what_is_lost_is_told_as_it_is() {
-        let told = |before: &[(&str, u16)], text: &str, lost: Lost| {
-            let mut session = session();
-            before.iter().for_each(|(text, status)| drop(run(&mut session, text, *status, false)));
-            let sent = sent(&mut session, text);
-            let then = session.lost(sent, lost);
-            assert!(!session.hold().any());
-            match then {
-                Then::Tell(error) => (true, error.state),
-                Then::End(error) => (false, error.state),
-                Then::Anywhere(_) => panic!("it goes anywhere"),
+    fn lost_connection_reports_whether_statement_may_have_run() {
+        let failure_result = |before: &[(&str, u16)], text: &str, failure: CommandFailure| {
+            let mut session = new_session();
+            before
+                .iter()
+                .for_each(|(text, status_flags)| drop(run(&mut session, text, *status_flags, false)));
+            let command = forward(&mut session, text);
+            let action = session.record_failure(command, failure);
+            assert!(!session.pinning().is_pinned());
+            match action {
+                FailureAction::ReportError(error) => (true, error.sqlstate),
+                FailureAction::ReportAndClose(error) => (false, error.sqlstate),
+                FailureAction::RetryElsewhere(_) => panic!("retried elsewhere"),
             }
         };
-        let (begun, set) = (&[("BEGIN", 3)][..], &[("SET @a = 1", 2)][..]);
-        let refused = Lost::Refused(None);
-        assert_eq!(told(&[], "INSERT INTO t VALUES (1)", refused), (true, *TRY_AGAIN));
-        assert_eq!(told(&[], "INSERT INTO t VALUES (1)", Lost::Failed), (true, *MAY_HAVE_RUN));
-        assert_eq!(told(begun, "SELECT a FROM t", Lost::Failed), (true, *TRY_AGAIN), "rolled back");
-        assert_eq!(told(begun, "INSERT INTO t VALUES (1)", Lost::Failed), (true, *TRY_AGAIN), "rolled back");
-        assert_eq!(told(begun, "INSERT INTO t VALUES (1)", refused), (true, *TRY_AGAIN));
-        assert_eq!(told(begun, "BEGIN", Lost::Failed), (true, *MAY_HAVE_RUN), "it commits what came before");
-        assert_eq!(told(begun, "COMMIT", Lost::Failed), (true, *MAY_HAVE_RUN));
-        assert_eq!(told(begun, "COMMIT", refused), (true, *TRY_AGAIN), "it was never sent");
-        assert_eq!(told(begun, "ALTER TABLE t ADD b INT", Lost::Failed), (true, *MAY_HAVE_RUN), "it commits");
-        assert_eq!(told(set, "SELECT 1", Lost::Failed), (false, *MAY_HAVE_RUN));
-        assert_eq!(told(set, "SELECT 1", refused), (false, *b"08006"));
+        let (in_transaction, with_state) = (&[("BEGIN", 3)][..], &[("SET @a = 1", 2)][..]);
+        let rejected = CommandFailure::Rejected(None);
+        assert_eq!(
+            failure_result(&[], "INSERT INTO t VALUES (1)", rejected),
+            (true, *SQLSTATE_SERIALIZATION_FAILURE)
+        );
+        assert_eq!(
+            failure_result(&[], "INSERT INTO t VALUES (1)", CommandFailure::Failed),
+            (true, *SQLSTATE_RESOLUTION_UNKNOWN)
+        );
+        assert_eq!(
+            failure_result(in_transaction, "SELECT a FROM t", CommandFailure::Failed),
+            (true, *SQLSTATE_SERIALIZATION_FAILURE),
+            "rolled back"
+        );
+        assert_eq!(
+            failure_result(in_transaction, "INSERT INTO t VALUES (1)", CommandFailure::Failed),
+            (true, *SQLSTATE_SERIALIZATION_FAILURE),
+            "rolled back"
+        );
+        assert_eq!(
+            failure_result(in_transaction, "INSERT INTO t VALUES (1)", rejected),
+            (true, *SQLSTATE_SERIALIZATION_FAILURE)
+        );
+        assert_eq!(
+            failure_result(in_transaction, "BEGIN", CommandFailure::Failed),
+            (true, *SQLSTATE_RESOLUTION_UNKNOWN),
+            "BEGIN commits the open transaction"
+        );
+        assert_eq!(
+            failure_result(in_transaction, "COMMIT", CommandFailure::Failed),
+            (true, *SQLSTATE_RESOLUTION_UNKNOWN)
+        );
+        assert_eq!(
+            failure_result(in_transaction, "COMMIT", rejected),
+            (true, *SQLSTATE_SERIALIZATION_FAILURE),
+            "never sent"
+        );
+        assert_eq!(
+            failure_result(in_transaction, "ALTER TABLE t ADD b INT", CommandFailure::Failed),
+            (true, *SQLSTATE_RESOLUTION_UNKNOWN),
+            "ALTER TABLE commits the open transaction"
+        );
+        assert_eq!(
+            failure_result(with_state, "SELECT 1", CommandFailure::Failed),
+            (false, *SQLSTATE_RESOLUTION_UNKNOWN)
+        );
+        assert_eq!(failure_result(with_state, "SELECT 1", rejected), (false, *b"08006"));
     }
 
     #[test]
-    fn what_only_lingered_goes_elsewhere() {
-        let mut session = session();
+    fn lingering_session_retries_elsewhere_unless_statement_needs_previous_result() {
+        let mut session = new_session();
         run(&mut session, "INSERT INTO t (a) VALUES (1)", 2, true);
-        let read = sent(&mut session, "UPDATE t SET a = 2");
-        let then = session.lost(read, Lost::Refused(None));
-        assert!(matches!(then, Then::Anywhere(Sent { held: false, .. })), "{then:?}");
+        let update = forward(&mut session, "UPDATE t SET a = 2");
+        let action = session.record_failure(update, CommandFailure::Rejected(None));
+        assert!(
+            matches!(action, FailureAction::RetryElsewhere(ForwardedCommand { is_pinned: false, .. })),
+            "{action:?}"
+        );
         run(&mut session, "INSERT INTO t (a) VALUES (1)", 2, true);
-        let back = sent(&mut session, "SELECT LAST_INSERT_ID()");
-        assert!(matches!(session.lost(back, Lost::Refused(None)), Then::Tell(_)));
+        let read_id = forward(&mut session, "SELECT LAST_INSERT_ID()");
+        assert!(matches!(
+            session.record_failure(read_id, CommandFailure::Rejected(None)),
+            FailureAction::ReportError(_)
+        ));
     }
 
     #[test]
-    fn what_is_not_carried_is_told_and_the_session_goes_on() {
-        let mut session = session();
-        for command in
-            [&[][..], &[0x17, 1, 0, 0, 0], &[0x12], &[0x1b, 0, 0], &[0xff], &[INIT_DB], &[INIT_DB, 0xff]]
-        {
-            let Plan::Answer(packet) = session.command(command) else { panic!("{command:?}") };
-            assert!(Error::read(&packet).is_ok());
+    fn unsupported_command_gets_error_and_session_continues() {
+        let mut session = new_session();
+        for command in [
+            &[][..],
+            &[0x17, 1, 0, 0, 0],
+            &[0x12],
+            &[0x1b, 0, 0],
+            &[0xff],
+            &[COM_INIT_DB],
+            &[COM_INIT_DB, 0xff],
+        ] {
+            let CommandAction::Respond(packet) = session.handle_command(command) else {
+                panic!("{command:?}")
+            };
+            assert!(ErrPacket::parse(&packet).is_ok());
         }
-        assert_eq!(session.command(&[PING]), Plan::Answer(ok()));
-        assert_eq!(session.command(&[QUIT]), Plan::Quit);
-        // Bytes that are no UTF-8 may mean anything.
+        assert_eq!(session.handle_command(&[COM_PING]), CommandAction::Respond(ok_packet()));
+        assert_eq!(session.handle_command(&[COM_QUIT]), CommandAction::Quit);
+        // A statement that is not UTF-8 is not understood, and may leave state.
         assert!(matches!(
-            session.command(b"\x03SELECT '\xff'"),
-            Plan::Send(Sent { read: false, hold: Hold { state: true, .. }, .. })
+            session.handle_command(b"\x03SELECT '\xff'"),
+            CommandAction::Forward(ForwardedCommand {
+                is_repeatable: false,
+                pinning: Pinning { session_state: true, .. },
+                ..
+            })
         ));
     }
 }
--- a/crates/mysql/src/statement.rs
+++ b/crates/mysql/src/statement.rs
@@ -1,7 +1,8 @@
-//! What a statement asks of the session that it runs in: whether it may go to any server, and what it leaves.
+//! Classifies statements by their effect on the session: whether a statement may use any connection, and whether it
+//! leaves state on its connection.
 //!
-//! Wrong the one way a session stays with a server for longer than it needs to, wrong the other it reads what
-//! another one has left: what is not understood is taken to leave something.
+//! A statement that is not understood counts as one that leaves state. That pins a session longer than necessary; the
+//! opposite error would let a session use state of another one.
 
 use crate::repeat;
 use sqlparser::ast::{BinaryOperator, Expr, Ident, ObjectType, Select, Statement, Use, Visit, Visitor};
@@ -9,25 +10,24 @@
 use sqlparser::parser::Parser;
 use std::ops::ControlFlow;
 
-/// What a statement is to its session.
+/// The effect of a statement on its session.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// It only reads, and may be repeated.
+pub enum StatementKind {
+    /// Only reads, and may be repeated.
     Read,
-    /// It may write. It leaves nothing in its session but a transaction, if the server says so, and is undone with
-    /// that.
+    /// May write. Leaves nothing in its session but an open transaction, which the server reports, and is rolled back with
+    /// it.
     Write,
-    /// The same, and what came before it in a transaction may be there for good once it has run: COMMIT, BEGIN,
-    /// and all that defines tables.
-    Commits,
-    /// It chooses a database.
-    Database(String),
-    /// It may leave something in its session, or need what is there.
-    State,
+    /// As `Write`, and may commit the open transaction: COMMIT, BEGIN, and statements that define tables.
+    CommitsTransaction,
+    /// Selects a database.
+    UseDatabase(String),
+    /// May leave state in its session, or need existing state.
+    SessionState,
 }
 
-/// A statement that looks back on the one before, on the same connection.
-fn looks_back(lower: &str) -> bool {
+/// Whether a statement asks for data that the previous statement has left on the connection.
+fn depends_on_previous(lower: &str) -> bool {
     [
         "last_insert_id",
         "row_count",
@@ -41,28 +41,30 @@
     .any(|name| lower.contains(name))
 }
 
-/// What a text is. `looks_back` is told apart, as it needs the connection of what ran before.
-pub fn kind(text: &str) -> (Kind, bool) {
-    if repeat::may_repeat(text).is_ok() {
-        return (Kind::Read, false);
+/// Classifies a statement. The flag tells whether the statement asks for data that the previous one has left on the
+/// connection.
+pub fn classify(text: &str) -> (StatementKind, bool) {
+    if repeat::check_repeatable(text).is_ok() {
+        return (StatementKind::Read, false);
     }
-    if text.len() > repeat::MOST_TEXT {
-        // Long texts are rows to insert as a rule, and not looked into: the session stays where it is.
-        return (Kind::State, false);
+    if text.len() > repeat::MAX_STATEMENT_BYTES {
+        // Long statements, mostly inserts of many rows, are not parsed, and pin the session.
+        return (StatementKind::SessionState, false);
     }
     let lower = text.to_ascii_lowercase();
-    let parser = Parser::new(&MySqlDialect {}).with_recursion_limit(repeat::DEPTH).try_with_sql(text);
+    let parser =
+        Parser::new(&MySqlDialect {}).with_recursion_limit(repeat::MAX_PARSE_DEPTH).try_with_sql(text);
     let parsed = parser.and_then(|mut parser| parser.parse_statements());
-    // What servers run of a comment is not in what was parsed.
-    let hidden = lower.contains("/*!") || lower.contains("/*m!");
+    // The parser omits comments that servers execute.
+    let has_executable_comment = lower.contains("/*!") || lower.contains("/*m!");
     let kind = match parsed.as_deref() {
-        Ok([statement]) if !hidden => of(statement),
-        _ => Kind::State,
+        Ok([statement]) if !has_executable_comment => classify_parsed(statement),
+        _ => StatementKind::SessionState,
     };
-    (kind, looks_back(&lower))
+    (kind, depends_on_previous(&lower))
 }
 
-fn of(statement: &Statement) -> Kind {
+fn classify_parsed(statement: &Statement) -> StatementKind {
     let kind = match statement {
         Statement::Query(_)
         | Statement::Insert(_)
@@ -73,7 +75,7 @@
         | Statement::ShowProcessList { .. }
         | Statement::Rollback { .. }
         | Statement::Savepoint { .. }
-        | Statement::ReleaseSavepoint { .. } => Kind::Write,
+        | Statement::ReleaseSavepoint { .. } => StatementKind::Write,
         Statement::StartTransaction { .. }
         | Statement::Commit { .. }
         | Statement::Truncate(_)
@@ -81,42 +83,48 @@
         | Statement::CreateIndex(_)
         | Statement::CreateView(_)
         | Statement::CreateDatabase { .. }
-        | Statement::RenameTable(_) => Kind::Commits,
-        Statement::CreateTable(table) if !table.temporary => Kind::Commits,
+        | Statement::RenameTable(_) => StatementKind::CommitsTransaction,
+        Statement::CreateTable(table) if !table.temporary => StatementKind::CommitsTransaction,
         Statement::Drop {
             object_type: ObjectType::Table | ObjectType::View | ObjectType::Index,
             temporary,
             ..
-        } if !temporary => Kind::Commits,
+        } if !temporary => StatementKind::CommitsTransaction,
         Statement::Use(Use::Object(name)) => match &name.0[..] {
-            [part] => part.as_ident().map_or(Kind::State, |ident| Kind::Database(ident.value.clone())),
-            _ => Kind::State,
+            [part] => part
+                .as_ident()
+                .map_or(StatementKind::SessionState, |ident| StatementKind::UseDatabase(ident.value.clone())),
+            _ => StatementKind::SessionState,
         },
-        _ => Kind::State,
+        _ => StatementKind::SessionState,
     };
-    match statement.visit(&mut Leaves) {
-        ControlFlow::Break(()) => Kind::State,
+    match statement.visit(&mut SessionStateVisitor) {
+        ControlFlow::Break(()) => StatementKind::SessionState,
         ControlFlow::Continue(()) => kind,
     }
 }
 
-/// Looks for what leaves something in a session: variables that are written, and calls of what is not known to
-/// leave nothing, such as locks by name.
-struct Leaves;
+/// Finds parts that leave state in the session: assignments to variables, and calls of functions that are not known to
+/// leave none, such as those that take named locks.
+struct SessionStateVisitor;
 
-impl Visitor for Leaves {
+impl Visitor for SessionStateVisitor {
     type Break = ();
 
     fn pre_visit_select(&mut self, select: &Select) -> ControlFlow<()> {
-        let counts = select.select_modifiers.as_ref().is_some_and(|m| m.sql_calc_found_rows);
-        if counts || select.into.is_some() { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
+        let calculates_found_rows = select.select_modifiers.as_ref().is_some_and(|m| m.sql_calc_found_rows);
+        if calculates_found_rows || select.into.is_some() {
+            ControlFlow::Break(())
+        } else {
+            ControlFlow::Continue(())
+        }
     }
 
     fn pre_visit_ident(&mut self, ident: &Ident) -> ControlFlow<()> {
-        // One of the user's may be written; one of the system is read here, and written by SET alone.
-        let user =
+        // A user variable may be written by any statement, a system variable only by SET.
+        let is_user_variable =
             ident.quote_style.is_none() && ident.value.starts_with('@') && !ident.value.starts_with("@@");
-        if user { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
+        if is_user_variable { ControlFlow::Break(()) } else { ControlFlow::Continue(()) }
     }
 
     fn pre_visit_expr(&mut self, expr: &Expr) -> ControlFlow<()> {
@@ -125,11 +133,11 @@
             Expr::Function(function) => {
                 let [part] = &function.name.0[..] else { return ControlFlow::Break(()) };
                 let name = part.as_ident().map(|ident| ident.value.to_ascii_lowercase()).unwrap_or_default();
-                let known = repeat::is_pure(&name)
+                let is_known = repeat::is_pure_function(&name)
                     || matches!(name.as_str(), "sleep" | "last_insert_id" | "row_count" | "found_rows");
-                // Given a value, LAST_INSERT_ID keeps it.
-                let keeps = name == "last_insert_id" && function.args.to_string() != "()";
-                if known && !keeps { ControlFlow::Continue(()) } else { ControlFlow::Break(()) }
+                // LAST_INSERT_ID with an argument stores its value.
+                let stores_value = name == "last_insert_id" && function.args.to_string() != "()";
+                if is_known && !stores_value { ControlFlow::Continue(()) } else { ControlFlow::Break(()) }
             }
             _ => ControlFlow::Continue(()),
         }
@@ -141,51 +149,51 @@
     use super::*;
 
     #[test]
-    fn what_leaves_nothing_may_go_anywhere_and_all_else_stays() {
+    fn statements_are_classified_by_their_effect_on_the_session() {
         for (text, expected) in [
-            ("SELECT id FROM t", Kind::Read),
-            ("INSERT INTO t (a) VALUES (1)", Kind::Write),
-            ("UPDATE t SET a = UPPER(b) WHERE c = 2", Kind::Write),
-            ("DELETE FROM t WHERE a = 1", Kind::Write),
-            ("SELECT * FROM t FOR UPDATE", Kind::Write),
-            ("SELECT @@max_allowed_packet, @@wait_timeout", Kind::Write),
-            ("SELECT SLEEP(1)", Kind::Write),
-            ("CREATE TABLE t (a INT)", Kind::Commits),
-            ("DROP TABLE t", Kind::Commits),
-            ("BEGIN", Kind::Commits),
-            ("START TRANSACTION", Kind::Commits),
-            ("ROLLBACK", Kind::Write),
-            ("COMMIT", Kind::Commits),
-            ("USE plans", Kind::Database("plans".into())),
-            ("USE `my plans`", Kind::Database("my plans".into())),
-            ("SET autocommit = 0", Kind::State),
-            ("SET NAMES utf8mb4", Kind::State),
-            ("SELECT @a := 1", Kind::State),
-            ("SELECT @a", Kind::State),
-            ("INSERT INTO t VALUES (@a)", Kind::State),
-            ("SELECT GET_LOCK('a', 1)", Kind::State),
-            ("SELECT LAST_INSERT_ID(7)", Kind::State),
-            ("UPDATE t SET a = LAST_INSERT_ID(a + 1)", Kind::State),
-            ("SELECT SQL_CALC_FOUND_ROWS a FROM t LIMIT 1", Kind::State),
-            ("SELECT a INTO @b FROM t", Kind::State),
-            ("CREATE TEMPORARY TABLE t (a INT)", Kind::State),
-            ("LOCK TABLES t WRITE", Kind::State),
-            ("PREPARE s FROM 'SELECT 1'", Kind::State),
-            ("CALL fill()", Kind::State),
-            ("INSERT INTO t VALUES (1); SET @a = 1", Kind::State),
-            ("INSERT INTO t VALUES (1) /*! , (@a := 2) */", Kind::State),
-            ("what is this", Kind::State),
+            ("SELECT id FROM t", StatementKind::Read),
+            ("INSERT INTO t (a) VALUES (1)", StatementKind::Write),
+            ("UPDATE t SET a = UPPER(b) WHERE c = 2", StatementKind::Write),
+            ("DELETE FROM t WHERE a = 1", StatementKind::Write),
+            ("SELECT * FROM t FOR UPDATE", StatementKind::Write),
+            ("SELECT @@max_allowed_packet, @@wait_timeout", StatementKind::Write),
+            ("SELECT SLEEP(1)", StatementKind::Write),
+            ("CREATE TABLE t (a INT)", StatementKind::CommitsTransaction),
+            ("DROP TABLE t", StatementKind::CommitsTransaction),
+            ("BEGIN", StatementKind::CommitsTransaction),
+            ("START TRANSACTION", StatementKind::CommitsTransaction),
+            ("ROLLBACK", StatementKind::Write),
+            ("COMMIT", StatementKind::CommitsTransaction),
+            ("USE plans", StatementKind::UseDatabase("plans".into())),
+            ("USE `my plans`", StatementKind::UseDatabase("my plans".into())),
+            ("SET autocommit = 0", StatementKind::SessionState),
+            ("SET NAMES utf8mb4", StatementKind::SessionState),
+            ("SELECT @a := 1", StatementKind::SessionState),
+            ("SELECT @a", StatementKind::SessionState),
+            ("INSERT INTO t VALUES (@a)", StatementKind::SessionState),
+            ("SELECT GET_LOCK('a', 1)", StatementKind::SessionState),
+            ("SELECT LAST_INSERT_ID(7)", StatementKind::SessionState),
+            ("UPDATE t SET a = LAST_INSERT_ID(a + 1)", StatementKind::SessionState),
+            ("SELECT SQL_CALC_FOUND_ROWS a FROM t LIMIT 1", StatementKind::SessionState),
+            ("SELECT a INTO @b FROM t", StatementKind::SessionState),
+            ("CREATE TEMPORARY TABLE t (a INT)", StatementKind::SessionState),
+            ("LOCK TABLES t WRITE", StatementKind::SessionState),
+            ("PREPARE s FROM 'SELECT 1'", StatementKind::SessionState),
+            ("CALL fill()", StatementKind::SessionState),
+            ("INSERT INTO t VALUES (1); SET @a = 1", StatementKind::SessionState),
+            ("INSERT INTO t VALUES (1) /*! , (@a := 2) */", StatementKind::SessionState),
+            ("what is this", StatementKind::SessionState),
         ] {
-            assert_eq!(kind(text).0, expected, "{text}");
+            assert_eq!(classify(text).0, expected, "{text}");
         }
-        for (text, back) in [
+        for (text, expected) in [
             ("SELECT LAST_INSERT_ID()", true),
             ("SHOW WARNINGS", true),
             ("SELECT FOUND_ROWS()", true),
             ("INSERT INTO lines (o) VALUES (LAST_INSERT_ID())", true),
             ("SELECT id FROM t", false),
         ] {
-            assert_eq!(kind(text).1, back, "{text}");
+            assert_eq!(classify(text).1, expected, "{text}");
         }
     }
 }
--- a/crates/mysql/tests/served.rs
+++ b/crates/mysql/tests/served.rs
@@ -12,8 +12,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const TRY_AGAIN: &str = "40001";
-const MAY_HAVE_RUN: &str = "08007";
+const SQLSTATE_SERIALIZATION_FAILURE: &str = "40001";
+const SQLSTATE_RESOLUTION_UNKNOWN: &str = "08007";
 
 #[test]
 fn a_client_hears_the_same_straight_and_through_the_proxy() {
@@ -206,7 +206,7 @@
                     match rows(&mut client, TEXT) {
                         Ok(rows) => assert_eq!(rows.len(), 300),
                         failed => {
-                            assert_eq!(error(failed).1, TRY_AGAIN);
+                            assert_eq!(error(failed).1, SQLSTATE_SERIALIZATION_FAILURE);
                             whole = false;
                         }
                     }
@@ -273,7 +273,7 @@
         let proxy = Proxy::before(&[&servers[0], &servers[1]]);
         let mut client = proxy.client();
         let start = Instant::now();
-        assert_eq!(error(client.query_drop(TEXT)).1, MAY_HAVE_RUN);
+        assert_eq!(error(client.query_drop(TEXT)).1, SQLSTATE_RESOLUTION_UNKNOWN);
         assert!(start.elapsed() < Duration::from_secs(8), "{:?}", start.elapsed());
         assert_eq!(servers.iter().map(|s| s.count(TEXT)).sum::<usize>(), 1);
         // The session goes on.
@@ -336,7 +336,7 @@
     client.query_drop("INSERT INTO t VALUES (3)").unwrap();
     servers.iter().for_each(MySqlServer::drop_connections);
     // It can't have been committed: the server undoes it with the connection.
-    assert_eq!(error(client.query_drop("INSERT INTO t VALUES (4)")).1, TRY_AGAIN);
+    assert_eq!(error(client.query_drop("INSERT INTO t VALUES (4)")).1, SQLSTATE_SERIALIZATION_FAILURE);
     let count = |text: &str| servers.iter().map(|s| s.count(text)).sum::<usize>();
     assert_eq!((count("INSERT INTO t VALUES (3)"), count("INSERT INTO t VALUES (4)")), (1, 0));
     client.query_drop("INSERT INTO t VALUES (5)").unwrap();
@@ -352,7 +352,7 @@
     let mut client = proxy.client();
     client.query_drop("BEGIN").unwrap();
     client.query_drop("INSERT INTO t VALUES (1)").unwrap();
-    assert_eq!(error(client.query_drop("COMMIT")).1, MAY_HAVE_RUN);
+    assert_eq!(error(client.query_drop("COMMIT")).1, SQLSTATE_RESOLUTION_UNKNOWN);
     assert_eq!(servers.iter().map(|s| s.count("COMMIT")).sum::<usize>(), 1);
     client.query_drop("INSERT INTO t VALUES (2)").unwrap();
 }
@@ -406,7 +406,7 @@
     proxy.news(list(Status::Draining));
     std::thread::sleep(GRACE + Duration::from_millis(100));
     let before = servers[holder].statements().len();
-    assert_eq!(error(held.query_drop("INSERT INTO t VALUES (1)")).1, TRY_AGAIN);
+    assert_eq!(error(held.query_drop("INSERT INTO t VALUES (1)")).1, SQLSTATE_SERIALIZATION_FAILURE);
     for _ in 0..30 {
         held.query_drop("INSERT INTO t VALUES (2)").unwrap();
     }
@@ -437,7 +437,8 @@
                         }
                         // It is one of the two, and never the end of the connection.
                         Err(mysql::Error::MySqlError(e))
-                            if e.state == MAY_HAVE_RUN || e.state == TRY_AGAIN =>
+                            if e.state == SQLSTATE_RESOLUTION_UNKNOWN
+                                || e.state == SQLSTATE_SERIALIZATION_FAILURE =>
                         {
                             told.lock().unwrap().push((text, false));
                         }
