--- a/crates/cluster/src/cluster.rs
+++ b/crates/cluster/src/cluster.rs
@@ -63,7 +63,7 @@
     group: Option<(u64, Raft)>,
 }
 
-/// State that the planners do not agree on.
+/// The state that is local to this planner.
 struct LocalState {
     announcer: Announcer,
     grantor: LeaseGrantor,
--- a/crates/cluster/src/raft/network.rs
+++ b/crates/cluster/src/raft/network.rs
@@ -74,8 +74,8 @@
     }
 
     #[allow(clippy::result_large_err)] // openraft's own error type is large
-    fn remote_result<T, E: std::error::Error>(&self, answer: Result<T, E>) -> Result<T, Failure<E>> {
-        answer.map_err(|error| RPCError::RemoteError(RemoteError::new(self.member, error)))
+    fn remote_result<T, E: std::error::Error>(&self, response: Result<T, E>) -> Result<T, Failure<E>> {
+        response.map_err(|error| RPCError::RemoteError(RemoteError::new(self.member, error)))
     }
 }
 
@@ -91,7 +91,7 @@
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<u64>, Failure<RaftError<u64>>> {
         match self.request(RaftMessage::Append(rpc), option).await? {
-            RaftReply::Append(answer) => self.remote_result(answer),
+            RaftReply::Append(response) => self.remote_result(response),
             _ => Err(unexpected_reply()),
         }
     }
@@ -102,7 +102,7 @@
         option: RPCOption,
     ) -> Result<InstallSnapshotResponse<u64>, Failure<RaftError<u64, InstallSnapshotError>>> {
         match self.request(RaftMessage::Snapshot(rpc), option).await? {
-            RaftReply::Snapshot(answer) => self.remote_result(answer),
+            RaftReply::Snapshot(response) => self.remote_result(response),
             _ => Err(unexpected_reply()),
         }
     }
@@ -113,7 +113,7 @@
         option: RPCOption,
     ) -> Result<VoteResponse<u64>, Failure<RaftError<u64>>> {
         match self.request(RaftMessage::Vote(rpc), option).await? {
-            RaftReply::Vote(answer) => self.remote_result(answer),
+            RaftReply::Vote(response) => self.remote_result(response),
             _ => Err(unexpected_reply()),
         }
     }
--- a/crates/cluster/src/raft/store.rs
+++ b/crates/cluster/src/raft/store.rs
@@ -89,18 +89,18 @@
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct AppliedState {
     fleet: Arc<Fleet>,
-    applied: Option<LogId<u64>>,
+    last_applied: Option<LogId<u64>>,
     membership: StoredMembership<u64, openraft::EmptyNode>,
     snapshot: Option<(SnapshotMeta<u64, openraft::EmptyNode>, Vec<u8>)>,
-    snapshots: u64,
+    snapshot_count: u64,
 }
 
 /// The Raft state machine around a [`Fleet`]. Publishes each new state to the watchers.
 #[derive(Clone, Debug)]
 pub struct FleetStateMachine {
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<AppliedState>>,
     fleet_updates: watch::Sender<Arc<Fleet>>,
 }
 
@@ -110,7 +110,7 @@
         Self { state: Arc::default(), fleet_updates }
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, AppliedState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -122,11 +122,11 @@
         ciborium::into_writer(&*state.fleet, &mut bytes).map_err(|error| {
             StorageIOError::write_snapshot(None, &std::io::Error::other(error.to_string()))
         })?;
-        state.snapshots += 1;
+        state.snapshot_count += 1;
         let meta = SnapshotMeta {
-            last_log_id: state.applied,
+            last_log_id: state.last_applied,
             last_membership: state.membership.clone(),
-            snapshot_id: format!("{:?}-{}", state.applied.map(|id| id.index), state.snapshots),
+            snapshot_id: format!("{:?}-{}", state.last_applied.map(|id| id.index), state.snapshot_count),
         };
         state.snapshot = Some((meta.clone(), bytes.clone()));
         Ok(Snapshot { meta, snapshot: Box::new(Cursor::new(bytes)) })
@@ -140,7 +140,7 @@
         &mut self,
     ) -> Result<(Option<LogId<u64>>, StoredMembership<u64, openraft::EmptyNode>), Failure> {
         let state = self.state();
-        Ok((state.applied, state.membership.clone()))
+        Ok((state.last_applied, state.membership.clone()))
     }
 
     async fn apply<I>(&mut self, entries: I) -> Result<Vec<Applied>, Failure>
@@ -152,7 +152,7 @@
         let mut fleet = Fleet::clone(&state.fleet);
         let (mut applied, mut changed) = (Vec::new(), false);
         for entry in entries {
-            state.applied = Some(entry.log_id);
+            state.last_applied = Some(entry.log_id);
             let mut outcome = Applied(Ok(false));
             match entry.payload {
                 EntryPayload::Blank => {}
@@ -193,7 +193,7 @@
         })?;
         let mut state = self.state();
         state.fleet = Arc::new(fleet);
-        state.applied = meta.last_log_id;
+        state.last_applied = meta.last_log_id;
         state.membership = meta.last_membership.clone();
         state.snapshot = Some((meta.clone(), bytes));
         self.fleet_updates.send_replace(state.fleet.clone());
--- a/crates/cluster/tests/fleet.rs
+++ b/crates/cluster/tests/fleet.rs
@@ -43,9 +43,9 @@
         let mut last_version = fleet.plan().version;
         let ids: Vec<String> = (0..5).map(|i| format!("n{i}")).collect();
         for index in 1..60u64 {
-            let n = rng.below(3);
-            let p = &mut planners[n];
-            let number = n as u32;
+            let planner_index = rng.below(3);
+            let planner = &mut planners[planner_index];
+            let number = planner_index as u32;
             let mut view: BTreeMap<String, bool> = BTreeMap::new();
             for id in &ids {
                 if rng.below(6) > 0 {
@@ -56,33 +56,39 @@
                 view.iter().map(|(id, draining)| node(id, *draining)).collect()
             };
             let command = match rng.below(10) {
-                0 => Command::Expel { planner: number, epoch: p.version.epoch + rng.below(2) as u64 },
+                0 => Command::Expel { planner: number, epoch: planner.version.epoch + rng.below(2) as u64 },
                 1..3 => Command::View {
                     planner: number,
-                    announcement_version: version(p.version.epoch + rng.below(2) as u64, 1),
+                    announcement_version: version(planner.version.epoch + rng.below(2) as u64, 1),
                     nodes: nodes(&view),
                 },
                 _ => {
-                    let from =
-                        version(p.version.epoch, p.version.sequence.saturating_sub(rng.below(9) as u64 / 8));
-                    let gone = p.view.keys().filter(|id| !view.contains_key(*id)).cloned().collect();
-                    let to = version(from.epoch, p.version.sequence.saturating_add(1));
+                    let from = version(
+                        planner.version.epoch,
+                        planner.version.sequence.saturating_sub(rng.below(9) as u64 / 8),
+                    );
+                    let gone = planner.view.keys().filter(|id| !view.contains_key(*id)).cloned().collect();
+                    let to = version(from.epoch, planner.version.sequence.saturating_add(1));
                     Command::Change { planner: number, from, to, set: nodes(&view), gone }
                 }
             };
             let result = fleet.apply(1, index, command.clone());
             // The expected result according to the model.
             let is_applicable = match &command {
-                Command::View { announcement_version, .. } => announcement_version.epoch > p.version.epoch,
-                Command::Change { from, .. } => p.active && *from == p.version && from.sequence < u64::MAX,
+                Command::View { announcement_version, .. } => {
+                    announcement_version.epoch > planner.version.epoch
+                }
+                Command::Change { from, .. } => {
+                    planner.active && *from == planner.version && from.sequence < u64::MAX
+                }
                 Command::Expel { epoch, .. } => {
-                    *epoch > p.version.epoch || (*epoch == p.version.epoch && p.active)
+                    *epoch > planner.version.epoch || (*epoch == planner.version.epoch && planner.active)
                 }
                 Command::Base(_) => unreachable!(),
             };
             // A planner without a view can be expelled in epoch 0.
             let is_first_expulsion = matches!(&command, Command::Expel { epoch: 0, .. })
-                && p.version == AnnouncementVersion::default();
+                && planner.version == AnnouncementVersion::default();
             assert_eq!(
                 result,
                 if is_applicable || is_first_expulsion { Ok(true) } else { Err(CommandRejection::Outdated) },
@@ -94,32 +100,44 @@
             }
             applied += 1;
             // Nodes that others list when a view begins count as listed before by its planner.
-            let others = planners.iter().enumerate().filter(|(q, p)| *q != n && p.active);
-            let others: BTreeSet<String> = others.flat_map(|(_, p)| p.view.keys().cloned()).collect();
-            let p = &mut planners[n];
+            let others = planners
+                .iter()
+                .enumerate()
+                .filter(|(other_index, planner)| *other_index != planner_index && planner.active);
+            let others: BTreeSet<String> =
+                others.flat_map(|(_, planner)| planner.view.keys().cloned()).collect();
+            let planner = &mut planners[planner_index];
             match command {
                 Command::View { announcement_version, .. } => {
-                    p.ever_listed.extend(others);
-                    (p.version, p.view, p.active) = (announcement_version, view.clone(), true);
-                    for (_, q) in planners.iter_mut().enumerate().filter(|(q, p)| *q != n && p.active) {
+                    planner.ever_listed.extend(others);
+                    (planner.version, planner.view, planner.active) =
+                        (announcement_version, view.clone(), true);
+                    for (_, other) in planners
+                        .iter_mut()
+                        .enumerate()
+                        .filter(|(other_index, planner)| *other_index != planner_index && planner.active)
+                    {
                         let missing: Vec<&String> =
-                            view.keys().filter(|id| !q.view.contains_key(*id)).collect();
+                            view.keys().filter(|id| !other.view.contains_key(*id)).collect();
                         if 2 * missing.len() <= view.len() {
-                            q.ever_listed.extend(missing.into_iter().cloned());
+                            other.ever_listed.extend(missing.into_iter().cloned());
                         }
                     }
                 }
-                Command::Change { to, .. } => (p.version, p.view) = (to, view),
+                Command::Change { to, .. } => (planner.version, planner.view) = (to, view),
                 Command::Expel { epoch, .. } => {
-                    (p.version, p.active) = (version(epoch, u64::MAX), false);
+                    (planner.version, planner.active) = (version(epoch, u64::MAX), false);
                 }
                 Command::Base(_) => unreachable!(),
             }
-            let listed: BTreeSet<String> =
-                planners.iter().filter(|p| p.active).flat_map(|p| p.view.keys().cloned()).collect();
-            for p in &mut planners {
-                p.ever_listed.extend(p.view.keys().cloned());
-                p.ever_listed.retain(|id| listed.contains(id));
+            let listed: BTreeSet<String> = planners
+                .iter()
+                .filter(|planner| planner.active)
+                .flat_map(|planner| planner.view.keys().cloned())
+                .collect();
+            for planner in &mut planners {
+                planner.ever_listed.extend(planner.view.keys().cloned());
+                planner.ever_listed.retain(|id| listed.contains(id));
             }
             let plan = fleet.plan();
             assert!(
@@ -130,11 +148,11 @@
             let planned: BTreeSet<String> = plan.nodes.iter().map(|n| n.id.clone()).collect();
             assert_eq!(planned, listed, "seed {seed}");
             for node in &plan.nodes {
-                let drains_for = |p: &PlannerModel| match p.view.get(&node.id) {
+                let drains_for = |planner: &PlannerModel| match planner.view.get(&node.id) {
                     Some(draining) => *draining,
-                    None => p.ever_listed.contains(&node.id),
+                    None => planner.ever_listed.contains(&node.id),
                 };
-                let drains = planners.iter().filter(|p| p.active).any(drains_for);
+                let drains = planners.iter().filter(|planner| planner.active).any(drains_for);
                 assert_eq!(node.draining, drains, "seed {seed}: {} at {index}", node.id);
                 draining += usize::from(drains);
             }
--- a/crates/plan/src/io/security.rs
+++ b/crates/plan/src/io/security.rs
@@ -114,7 +114,7 @@
         Self(None)
     }
 
-    /// TLS with the certificates in `files`.
+    /// TLS with the certificates in `files`. Fails if a file cannot be read or the files do not match.
     pub fn read(files: CertificateFiles) -> Result<Self, SecurityError> {
         let config = RwLock::new(load_config(&files)?);
         Ok(Self(Some(Arc::new(Tls { files, config }))))
--- a/crates/plan/src/relay.rs
+++ b/crates/plan/src/relay.rs
@@ -88,7 +88,7 @@
         let accepted = offered.min(own_mailbox.allowance as usize);
         own_mailbox.allowance -= accepted as f64;
         self.counts.dropped += (offered - accepted) as u64;
-        let mut woken = Vec::new();
+        let mut filled_queues = Vec::new();
         for message in messages.into_iter().take(accepted) {
             let recipients = self
                 .connections
@@ -103,7 +103,7 @@
             for to in recipients {
                 let Some(mailbox) = self.mailboxes.get_mut(&to) else { continue };
                 if mailbox.waiting.is_empty() {
-                    woken.push(to);
+                    filled_queues.push(to);
                 }
                 if mailbox.waiting.len() >= MAX_WAITING_MESSAGES {
                     mailbox.waiting.pop_front();
@@ -112,7 +112,7 @@
                 mailbox.waiting.push_back(message.bytes.clone());
             }
         }
-        woken
+        filled_queues
     }
 
     fn open_mailbox(&mut self, connection: u64, sender: u64, now: Duration) {
