--- a/crates/peers/src/core.rs
+++ b/crates/peers/src/core.rs
@@ -274,7 +274,7 @@
         Ok(header.sender)
     }
 
-    /// Removes the process of a proxy that has been silent for longest, if the proxy has as many as are kept.
+    /// Removes the process of a proxy that has been silent for longest, if [`MAX_PROCESSES_PER_PROXY`] are known.
     fn evict_oldest_process(&mut self, proxy: ProxyId) {
         let processes: Vec<(MonotonicTime, Process)> = self
             .processes
--- a/crates/verdicts/src/pool.rs
+++ b/crates/verdicts/src/pool.rs
@@ -139,7 +139,8 @@
     /// Operators' overrides with the times at which they end.
     overrides: BTreeMap<NodeId, (OverrideKind, Duration)>,
     version: u32,
-    /// Not all other proxies are partners. Claims of partners then stand for proxies that this one does not hear.
+    /// Not all other proxies are partners. Partners then also send the verdicts that they hold, which rest on
+    /// the evidence of proxies that send nothing to this one.
     is_partial_mesh: bool,
     partners: usize,
     answering_partners: usize,
--- a/crates/verdicts/src/pool/relisted.rs
+++ b/crates/verdicts/src/pool/relisted.rs
@@ -5,8 +5,8 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// The attempts in a part of a report can be older than the position of the part says by this many parts: slots start
-/// before their attempts, and ages are rounded down to parts.
+/// The attempts in a part of a report are older than the position of the part says by at most this many parts: the
+/// youngest slot is incomplete, and the ages of reports are rounded down to whole parts.
 const MAX_PART_AGE_ERROR: usize = 2;
 
 /// The number of removed nodes that are remembered. Above it the oldest ones are forgotten, and count as new if they
