--- a/crates/dewpier/src/mysql.rs
+++ b/crates/dewpier/src/mysql.rs
@@ -4,7 +4,7 @@
 use crate::error::ServeError;
 use crate::list_updater::{ListUpdater, random_seed};
 use crate::lists::ListSource;
-use dewpier_mysql::io::{Front, MySql, Role};
+use dewpier_mysql::io::{Front, MySqlUpstream, Role};
 use dewpier_mysql::login::Credentials;
 use gannetproxy::engine::{Budget, Engine, EngineLimits};
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 /// The servers of one role: their engine, and the updater of its list.
 struct ServerGroup {
     list_updater: ListUpdater,
-    engine: Rc<Engine<MySql>>,
+    engine: Rc<Engine<MySqlUpstream>>,
 }
 
 impl ServerGroup {
@@ -37,18 +37,18 @@
     ) -> Result<Self, ServeError> {
         let source = ListSource::from_inventory(inventory.clone())?;
         let mut list_updater = ListUpdater::start(source, vec![config.zone.clone()]).await?;
-        let upstream = MySql {
-            connections: connections.clone(),
-            answers: answers.clone(),
-            held: config.hold_bytes,
-            most_packet: config.max_packet_bytes,
+        let upstream = MySqlUpstream {
+            connection_budget: connections.clone(),
+            response_budget: answers.clone(),
+            max_buffered_bytes: config.hold_bytes,
+            max_packet_bytes: config.max_packet_bytes,
             connect_timeout: config.connect_timeout,
-            idle_close: config.idle_close,
-            own: credentials.clone(),
+            server_idle_timeout: config.idle_close,
+            credentials: credentials.clone(),
             role,
         };
         let limits =
-            EngineLimits { drain_grace: config.drain_grace, max_open_requests: config.front.most_sessions };
+            EngineLimits { drain_grace: config.drain_grace, max_open_requests: config.front.max_sessions };
         let engine = Engine::start_with_lease(
             config.settings.clone(),
             limits,
