--- a/crates/dewpier/benches/decision.rs
+++ b/crates/dewpier/benches/decision.rs
@@ -2,8 +2,10 @@
 //! words of sixteen other proxies on all nodes and a judgement every 250 ms, at 100 requests a second of one proxy. No I/O; the same
 //! requests and answers in both. Prints the processor time of a request in each and their ratio. `cargo bench --bench decision`.
 
-use dewpier_peers::{Carried, Name, Process};
-use dewpier_verdicts::{End, Entry, Member, NodeId, Settings as Rules, Tally, Verdicts};
+use dewpier_peers::{Process, ProxyId, TopicHandler};
+use dewpier_verdicts::{
+    AttemptCounts, AttemptEnd, EvidenceEntry, ListedNode, NodeId, Settings as Rules, Verdicts,
+};
 use gannetproxy::{
     Action, AttemptResult, BackendEntry as Listed, BackendId, Balancer, Class, Event, ListUpdate, Outcome,
     Request, RequestId, Settings,
@@ -18,7 +20,7 @@
 const ROUNDS: usize = 7;
 
 fn node(backend: BackendId) -> NodeId {
-    NodeId::of(&format!("node-{}", backend.0), "address")
+    NodeId::new(&format!("node-{}", backend.0), "address")
 }
 
 /// All that a proxy of a fleet does beside the module.
@@ -30,9 +32,13 @@
 impl Beside {
     fn new() -> Self {
         let now = Duration::from_secs(60);
-        let rules = Rules { proxies: 17, ..Rules::default() };
-        let mut verdicts = Verdicts::new(rules, Process { name: Name(1), life: 1 }, "a", 1, 16, now);
-        verdicts.list((0..NODES).map(|n| Member { node: node(BackendId(n + 1)), cell: 0 }).collect(), now);
+        let rules = Rules { fleet_size: 17, ..Rules::default() };
+        let mut verdicts =
+            Verdicts::new(rules, Process { proxy: ProxyId(1), incarnation: 1 }, "a", 1, 16, now);
+        verdicts.set_nodes(
+            (0..NODES).map(|n| ListedNode { node: node(BackendId(n + 1)), cell: 0 }).collect(),
+            now,
+        );
         Self { verdicts, judged: now }
     }
 
@@ -40,15 +46,25 @@
         for other in 2..18 {
             let mut bytes = Vec::new();
             for n in 0..NODES {
-                let tally = Tally { good: 9, failed: u32::from(n.is_multiple_of(7)), ..Tally::default() };
+                let tally = AttemptCounts {
+                    good: 9,
+                    failed: u32::from(n.is_multiple_of(7)),
+                    ..AttemptCounts::default()
+                };
                 let version = now.as_millis() as u32;
-                Entry { version, node: node(BackendId(n + 1)), tally, ..Entry::default() }.write(&mut bytes);
+                EvidenceEntry {
+                    version,
+                    node: node(BackendId(n + 1)),
+                    counts: tally,
+                    ..EvidenceEntry::default()
+                }
+                .write(&mut bytes);
             }
-            let from = Process { name: Name(other), life: 1 };
-            black_box(self.verdicts.hear(from, Duration::from_millis(5), &bytes, now));
+            let from = Process { proxy: ProxyId(other), incarnation: 1 };
+            black_box(self.verdicts.receive(from, Duration::from_millis(5), &bytes, now));
         }
         self.verdicts.tick(now);
-        black_box(self.verdicts.avoided(now));
+        black_box(self.verdicts.avoided_nodes(now));
         self.judged = now;
     }
 }
@@ -73,7 +89,7 @@
         });
         let Some(backend) = sent else { continue };
         if let Some(beside) = &mut beside {
-            beside.verdicts.began((n, 0), node(backend), 0, now);
+            beside.verdicts.record_start((n, 0), node(backend), 0, now);
         }
         actions.clear();
         let ended = AttemptResult {
@@ -87,7 +103,7 @@
         };
         balancer.handle(at + 0.004, Event::Outcome(ended), &mut actions);
         if let Some(beside) = &mut beside {
-            beside.verdicts.ended((n, 0), End::Served, now + Duration::from_millis(4));
+            beside.verdicts.record_end((n, 0), AttemptEnd::Served, now + Duration::from_millis(4));
             if now - beside.judged >= Duration::from_millis(250) {
                 beside.round(now);
             }
--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -1,14 +1,14 @@
 //! Twelve processes of the program before eight nodes, with little traffic each, that tell each other what they
 //! see; nodes turn bad, and links between the processes fail.
 
-use dewpier_peers::{Carried, Key, Name, Peers, Process, Topic};
+use dewpier_peers::{Key, Peers, Process, ProxyId, Topic, TopicHandler};
 use dewpier_standins::backend::Backend;
 use dewpier_standins::mesh::Way;
 use dewpier_standins::{LONG, wait_for};
 use dewpier_trials::record::Held;
 use dewpier_trials::schedule::Size;
 use dewpier_trials::stage::{SECRET, Settings, Stage};
-use dewpier_verdicts::{Claim, Entry, Kind, NodeId, Tally};
+use dewpier_verdicts::{AttemptCounts, Claim, EvidenceEntry, Kind, NodeId};
 use std::collections::HashSet;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -158,35 +158,36 @@
 
 struct Lies(Vec<NodeId>, u32);
 
-impl Carried for Lies {
+impl TopicHandler for Lies {
     fn topic(&self) -> Topic {
-        dewpier_verdicts::TOPIC
+        dewpier_verdicts::EVIDENCE_TOPIC
     }
 
-    fn say(&mut self, _: Name, _: usize, _: Duration) -> Vec<u8> {
+    fn write_payload(&mut self, _: ProxyId, _: usize, _: Duration) -> Vec<u8> {
         let mut bytes = Vec::new();
         self.1 += 1;
         for node in &self.0 {
-            let tally = Tally { failed: 200, ..Tally::default() };
-            let claim = Some((Claim { plain: true, kind: Kind::Gone }, 0));
-            Entry { version: self.1, node: *node, tally, claim, ..Entry::default() }.write(&mut bytes);
+            let tally = AttemptCounts { failed: 200, ..AttemptCounts::default() };
+            let claim = Some((Claim { severe: true, kind: Kind::Gone }, 0));
+            EvidenceEntry { version: self.1, node: *node, counts: tally, claim, ..EvidenceEntry::default() }
+                .write(&mut bytes);
         }
         bytes
     }
 
-    fn hear(&mut self, _: Process, _: Duration, _: &[u8], _: Duration) -> bool {
+    fn receive(&mut self, _: Process, _: Duration, _: &[u8], _: Duration) -> bool {
         true
     }
 }
 
 impl Liar {
     fn start(world: &World) -> Self {
-        let name = |i: usize| Name::of(&format!("proxy-{i}"));
+        let name = |i: usize| ProxyId::from_name(&format!("proxy-{i}"));
         let socket = UdpSocket::bind(world.0.mesh.listen[PROXIES]).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
-        let to: Vec<(Name, SocketAddr)> =
+        let to: Vec<(ProxyId, SocketAddr)> =
             (0..PROXIES).map(|i| (name(i), world.0.mesh.inlet(PROXIES, i))).collect();
-        let id = |(i, b): (usize, &Backend)| NodeId::of(&format!("pricing-{i:02}"), &b.address.to_string());
+        let id = |(i, b): (usize, &Backend)| NodeId::new(&format!("pricing-{i:02}"), &b.address.to_string());
         let nodes: Vec<NodeId> = world.0.nodes.iter().enumerate().map(id).collect();
         let over = Arc::new(AtomicBool::new(false));
         let taken = Arc::new(std::sync::atomic::AtomicU64::new(0));
@@ -194,27 +195,34 @@
         let thread = std::thread::spawn(move || {
             let start = Instant::now();
             let (every, stale) = (Duration::from_millis(EVERY), Duration::from_secs(4));
-            let me = Process { name: name(PROXIES), life: 1 };
+            let me = Process { proxy: name(PROXIES), incarnation: 1 };
             let key = Key::from_secret(SECRET);
             let others = (0..PROXIES).map(name).collect();
-            let settings = dewpier_peers::Settings { me, others, every, stale, most_taken: 10_000, key };
+            let settings = dewpier_peers::Settings {
+                own_process: me,
+                fleet: others,
+                send_interval: every,
+                max_echo_age: stale,
+                max_datagrams_per_second: 10_000,
+                key,
+            };
             let (mut peers, mut lies) = (Peers::new(settings, Duration::ZERO), Lies(nodes, 0));
             let mut next = Duration::ZERO;
             let mut buffer = [0; 300];
             while !known.load(Ordering::SeqCst) {
                 if let Ok(length) = socket.recv(&mut buffer) {
-                    let _ = peers.hear(&buffer[..length], start.elapsed(), &mut [&mut lies]);
-                    count.store(peers.counts.taken, Ordering::SeqCst);
+                    let _ = peers.receive(&buffer[..length], start.elapsed(), &mut [&mut lies]);
+                    count.store(peers.counts.accepted, Ordering::SeqCst);
                 }
                 if start.elapsed() >= next {
                     next = start.elapsed() + every;
-                    for out in peers.round(start.elapsed(), &mut [&mut lies]) {
+                    for out in peers.write_round(start.elapsed(), &mut [&mut lies]) {
                         let at = to.iter().find(|(name, _)| *name == out.to).unwrap().1;
                         let _ = socket.send_to(&out.bytes, at);
                     }
                 }
             }
-            peers.counts.taken
+            peers.counts.accepted
         });
         Self { over, thread: Some(thread), taken }
     }
--- a/crates/dewpier/tests/snapshot.rs
+++ b/crates/dewpier/tests/snapshot.rs
@@ -1,7 +1,7 @@
 //! Processes of a fleet that are killed all at once and go on from what they knew, and what becomes of a file that can't
 //! be gone by; and a node that is another process, of which what is known must not count.
 
-use dewpier_peers::{Key, Name};
+use dewpier_peers::{Key, ProxyId};
 use dewpier_standins::wait_for;
 use dewpier_trials::schedule::Size;
 use dewpier_trials::stage::{SECRET, Settings, Stage};
@@ -84,15 +84,15 @@
     let mut version = whole.clone();
     version[9] = 77;
     let cases: [(usize, &[u8], &str); 5] = [
-        (1, &spoilt, "its seal does not fit"),
-        (2, &whole, "its seal does not fit"),
+        (1, &spoilt, "the authentication tag does not match"),
+        (2, &whole, "the authentication tag does not match"),
         (3, &other[..20], "20 bytes: expected 50 to 1048576"),
         (4, &version, "byte 8: version 77, expected 1"),
         (5, b"", "0 bytes: expected"),
     ];
     for (proxy, bytes, why) in cases {
         stage.restart_with(proxy, bytes);
-        let told = stage.logged(proxy, "no snapshot is taken up");
+        let told = stage.logged(proxy, "restoring the snapshot failed");
         assert!(told.len() == 1 && told[0].contains(why), "{proxy}: {told:?}");
         // It serves, and keeps what it knows from here on.
         wait_for("a new file", || stage.figure(proxy, "snapshots_written") > Some(1));
@@ -100,23 +100,23 @@
     }
     // The control: a whole one is gone by.
     stage.restart_with(1, &whole);
-    assert_eq!(stage.logged(1, "goes on from what the process before knew").len(), 1);
+    assert_eq!(stage.logged(1, "restored the snapshot of the previous process").len(), 1);
     wait_for("its first judgement", || out(&stage, 1, 6));
     // A folder that is gone is told once, and nothing else comes of it.
     let kept = stage.kept(7);
     std::fs::remove_dir_all(kept.parent().unwrap()).unwrap();
     wait_for("failures", || stage.figure(7, "snapshots_failed") > Some(2));
-    assert_eq!(stage.logged(7, "what is known here is not kept").len(), 1);
+    assert_eq!(stage.logged(7, "writing the snapshot failed").len(), 1);
     assert!(stage.call(7, "check").is_some_and(|told| told.starts_with("YES")));
 }
 
 /// What was kept, as if it had been kept so much later: what a process would go by that does not count the time between.
 fn younger(kept: &[u8], proxy: usize, by: Duration) -> Vec<u8> {
-    let (said, _) = kept.split_at(kept.len() - dewpier_peers::SEAL);
+    let (said, _) = kept.split_at(kept.len() - dewpier_peers::TAG_BYTES);
     let mut said = said.to_vec();
     let at = u64::from_be_bytes(said[26..34].try_into().unwrap()) + by.as_millis() as u64;
     said[26..34].copy_from_slice(&at.to_be_bytes());
-    let seal = Key::from_secret(SECRET).seal(Name::of(&format!("proxy-{proxy}")), &said);
+    let seal = Key::from_secret(SECRET).compute_tag(ProxyId::from_name(&format!("proxy-{proxy}")), &said);
     said.extend(seal);
     said
 }
