--- a/crates/plan/src/relay.rs
+++ b/crates/plan/src/relay.rs
@@ -14,8 +14,8 @@
 /// Maximum number of messages queued for one connection. When the queue is full the oldest message is
 /// dropped, because the next round repeats its content.
 pub const MAX_WAITING_MESSAGES: usize = 128;
-/// Maximum number of messages that one connection may send per second; further ones are dropped. 1.5 times
-/// what 20 rounds to all partners in a fleet of 10,000 need.
+/// Maximum number of messages that one connection may send per second; further ones are dropped. The limit is
+/// 1.5 times the need of a proxy that sends 20 rounds to all its partners in a fleet of 10,000.
 pub const MAX_MESSAGES_PER_SECOND: u32 = 1000;
 /// Maximum number of connections of one sender that receive messages: the old and the new process during a
 /// handover. A third connection replaces the oldest.
