--- a/crates/cluster/tests/fleet.rs
+++ b/crates/cluster/tests/fleet.rs
@@ -36,7 +36,7 @@
     let seeds = std::env::var("FLEET_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(400);
     let (mut applied, mut draining, mut outdated) = (0, 0, 0);
     for _ in 0..seeds {
-        let seed = rng.number();
+        let seed = rng.next_u64();
         let mut rng = Rng::new(seed);
         let mut fleet = Fleet::default();
         let mut planners: Vec<PlannerModel> = (0..3).map(|_| PlannerModel::default()).collect();
--- a/crates/dewpier/benches/overhead.rs
+++ b/crates/dewpier/benches/overhead.rs
@@ -10,7 +10,7 @@
 mod parts;
 
 use dewpier_standins::backend::Backend;
-use dewpier_standins::load::Load;
+use dewpier_standins::load::LoadGenerator;
 use parts::{Part, pinned, program, used};
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -46,16 +46,16 @@
     let addresses: Vec<SocketAddr> = addresses.split(',').filter_map(|a| a.parse().ok()).collect();
     let each = |i: usize, address: &SocketAddr| {
         let some = connections / addresses.len() + usize::from(i < connections % addresses.len());
-        Load::start(*address, some, Duration::ZERO, Arc::new(get))
+        LoadGenerator::start(*address, some, Duration::ZERO, Arc::new(get))
     };
-    let loads: Vec<Load> = addresses.iter().enumerate().map(|(i, a)| each(i, a)).collect();
+    let loads: Vec<LoadGenerator> = addresses.iter().enumerate().map(|(i, a)| each(i, a)).collect();
     std::thread::sleep(played);
-    let mut tally = dewpier_standins::load::Tally::default();
+    let mut tally = dewpier_standins::load::ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
     let rate = tally.served as f64 / played.as_secs_f64();
     let micros: Vec<String> =
         [0.5, 0.99, 0.999, 1.0].map(|part| tally.quantile(part).as_micros().to_string()).to_vec();
-    println!("{rate:.0} {} {}", micros.join(" "), tally.refused + tally.failed + tally.lost);
+    println!("{rate:.0} {} {}", micros.join(" "), tally.rejected + tally.failed + tally.unanswered);
 }
 
 fn ask(core: usize, addresses: &str, connections: usize) -> Vec<f64> {
--- a/crates/dewpier/benches/reload.rs
+++ b/crates/dewpier/benches/reload.rs
@@ -5,7 +5,7 @@
 //! `cargo bench --bench reload`
 
 use dewpier_standins::backend::Backend;
-use dewpier_standins::load::Load;
+use dewpier_standins::load::LoadGenerator;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -52,7 +52,7 @@
 
     let get = |_: usize, _: u64| "GET /quotes/7 HTTP/1.1\r\nHost: b\r\nContent-Length: 0\r\n\r\n".to_string();
     let part = |reloading: bool, version: &mut usize| {
-        let load = Load::start(address, 16, Duration::from_millis(5), Arc::new(get));
+        let load = LoadGenerator::start(address, 16, Duration::from_millis(5), Arc::new(get));
         let start = Instant::now();
         while start.elapsed() < PART {
             if reloading {
@@ -70,8 +70,8 @@
         without.push(part(false, &mut version));
         with.push(part(true, &mut version));
     }
-    let sum = |all: Vec<dewpier_standins::load::Tally>| {
-        let mut sum = dewpier_standins::load::Tally::default();
+    let sum = |all: Vec<dewpier_standins::load::ResponseCounts>| {
+        let mut sum = dewpier_standins::load::ResponseCounts::default();
         all.into_iter().for_each(|one| sum.add(one));
         sum
     };
@@ -82,7 +82,7 @@
     let _ = std::fs::remove_dir_all(&folder);
     let ms = |d: Duration| d.as_secs_f64() * 1000.0;
     for (name, tally) in [("no reload", &mut without), ("a reload a second", &mut with)] {
-        let unserved = tally.all() - tally.served;
+        let unserved = tally.total() - tally.served;
         let (p50, p99, p999) = (tally.quantile(0.5), tally.quantile(0.99), tally.quantile(0.999));
         println!(
             "{name:>18}: {} served, {unserved} not, p50 {:.2} ms, p99 {:.2} ms, p99.9 {:.2} ms",
--- a/crates/dewpier/benches/unlike.rs
+++ b/crates/dewpier/benches/unlike.rs
@@ -5,14 +5,14 @@
 #[path = "common/parts.rs"]
 mod parts;
 
-use dewpier_standins::faulty::{FAULTS, Fault, Faulty};
-use dewpier_standins::shop::{Account, Accounts, play, twice};
+use dewpier_standins::faulty::{ALL_FAULTS, Fault, FaultyBackend};
+use dewpier_standins::shop::{RequestCounts, RunCounts, duplicate_orders, run_clients};
 use parts::program_at;
 use std::path::Path;
 use std::time::Duration;
 
 /// Faults that tell at once, as a server does that has too much to do or is broken.
-const AT_ONCE: [Fault; 3] = [Fault::Error, Fault::Busy, Fault::ResetAfter];
+const AT_ONCE: [Fault; 3] = [Fault::ServerError, Fault::Unavailable, Fault::ResetAfterRead];
 
 struct Scene {
     name: &'static str,
@@ -32,7 +32,7 @@
         Scene {
             name: "24 clients",
             parts: unlike,
-            faults: &FAULTS,
+            faults: &ALL_FAULTS,
             clients: 24,
             requests: 5000,
             pause: Duration::ZERO,
@@ -40,7 +40,7 @@
         Scene {
             name: "3 clients, quiet",
             parts: unlike,
-            faults: &FAULTS,
+            faults: &ALL_FAULTS,
             clients: 3,
             requests: 450,
             pause: Duration::from_millis(30),
@@ -56,7 +56,7 @@
         Scene {
             name: "all silent, 24 clients",
             parts: [1.0; 5],
-            faults: &[Fault::Silent],
+            faults: &[Fault::NoResponse],
             clients: 24,
             requests: 240,
             pause: Duration::from_millis(100),
@@ -76,8 +76,8 @@
 }
 
 fn run(scene: &Scene, label: &str, path: &str, seed: u64) {
-    let start = |(i, part): (usize, &f64)| Faulty::start(seed * 100 + i as u64, *part, scene.faults);
-    let nodes: Vec<Faulty> = scene.parts.iter().enumerate().map(start).collect();
+    let start = |(i, part): (usize, &f64)| FaultyBackend::start(seed * 100 + i as u64, *part, scene.faults);
+    let nodes: Vec<FaultyBackend> = scene.parts.iter().enumerate().map(start).collect();
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("unlike");
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("nodes.csv");
@@ -96,12 +96,13 @@
     );
     let (_proxy, address, _) = program_at(0, path, "serve", &folder, &text);
     let address = address.parse().expect("an address");
-    let Accounts { mut safe, orders, span } = play(address, scene.clients, scene.requests, scene.pause);
-    let all = (safe.all() + orders.all()) as f64;
-    let sum = |of: fn(&Faulty) -> usize| nodes.iter().map(of).sum::<usize>() as f64 / all;
-    let of = |a: &Account| a.lost + a.wrong;
-    safe.waited.sort_unstable();
-    safe.took.sort_unstable();
+    let RunCounts { mut safe, orders, duration: span } =
+        run_clients(address, scene.clients, scene.requests, scene.pause);
+    let all = (safe.total() + orders.total()) as f64;
+    let sum = |of: fn(&FaultyBackend) -> usize| nodes.iter().map(of).sum::<usize>() as f64 / all;
+    let of = |a: &RequestCounts| a.unanswered + a.invalid;
+    safe.error_times.sort_unstable();
+    safe.success_times.sort_unstable();
     let at = |times: &[Duration], part: f64| {
         let last = times.len().saturating_sub(1) as f64;
         times.get((last * part).round() as usize).map_or(0, Duration::as_millis)
@@ -109,20 +110,20 @@
     println!(
         "{} | {label} | {:.2}% of {} | {}, {} | {} | {}, {} ms | {:.2}% | {}, {}, {} | {:.3} | {:.3} | {} ms | {:.1} s",
         scene.name,
-        100.0 * safe.part_served(),
-        safe.all(),
-        safe.refused,
+        100.0 * safe.success_fraction(),
+        safe.total(),
+        safe.rejected,
         safe.failed,
-        safe.told_when,
-        at(&safe.waited, 0.5),
-        at(&safe.waited, 1.0),
-        100.0 * orders.part_served(),
-        twice(&nodes).len(),
-        safe.lost + orders.lost,
-        of(&safe) + of(&orders) - safe.lost - orders.lost,
-        sum(Faulty::attempts),
-        sum(Faulty::connected),
-        at(&safe.took, 0.99),
+        safe.with_retry_after,
+        at(&safe.error_times, 0.5),
+        at(&safe.error_times, 1.0),
+        100.0 * orders.success_fraction(),
+        duplicate_orders(&nodes).len(),
+        safe.unanswered + orders.unanswered,
+        of(&safe) + of(&orders) - safe.unanswered - orders.unanswered,
+        sum(FaultyBackend::attempt_count),
+        sum(FaultyBackend::connection_count),
+        at(&safe.success_times, 0.99),
         span.as_secs_f64(),
     );
 }
--- a/crates/dewpier/examples/demo.rs
+++ b/crates/dewpier/examples/demo.rs
@@ -5,7 +5,7 @@
 
 use dewpier::{config::Config, run};
 use dewpier_standins::backend::Backend;
-use dewpier_standins::load::{Load, Tally};
+use dewpier_standins::load::{LoadGenerator, ResponseCounts};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -54,14 +54,14 @@
     }
 }
 
-fn report(name: &str, tally: &mut Tally) {
+fn report(name: &str, tally: &mut ResponseCounts) {
     let (p50, p99) = (tally.quantile(0.5), tally.quantile(0.99));
     println!(
         "{name:<12} {:>7} served, {} refused, {} failed, {} without an answer; p50 {:.1} ms, p99 {:.1} ms",
         tally.served,
-        tally.refused,
+        tally.rejected,
         tally.failed,
-        tally.lost,
+        tally.unanswered,
         p50.as_secs_f64() * 1000.0,
         p99.as_secs_f64() * 1000.0
     );
@@ -114,8 +114,8 @@
             "POST /orders HTTP/1.1\r\nHost: shop\r\nX-Order: {client}-{n}\r\nContent-Length: 4\r\n\r\nfour"
         )
     };
-    let quotes = Load::start(address, 8, Duration::from_millis(5), Arc::new(quote));
-    let orders = Load::start(address, 4, Duration::from_millis(10), Arc::new(order));
+    let quotes = LoadGenerator::start(address, 8, Duration::from_millis(5), Arc::new(quote));
+    let orders = LoadGenerator::start(address, 4, Duration::from_millis(10), Arc::new(order));
     // When each list was written: the proxy accepts it once it has settled, so not before.
     let drains: Mutex<Vec<(usize, Instant)>> = Mutex::default();
     let step = |text: &str, act: &dyn Fn()| {
@@ -138,7 +138,7 @@
     let count_late = || {
         for (node, written) in drains.lock().iter().flat_map(|d| d.iter()) {
             let after = |at: Instant| at > *written + settled + GRACE;
-            let found = backends[*node].arrivals().iter().filter(|a| after(a.at)).count();
+            let found = backends[*node].arrivals().iter().filter(|a| after(a.received_at)).count();
             late.lock().iter_mut().for_each(|l| **l += found);
         }
     };
@@ -147,7 +147,7 @@
         write(file, backends, |_| Some("serving"));
         backends[2].kill();
     });
-    step("pricing-02 is back", &|| backends[2].revive());
+    step("pricing-02 is back", &|| backends[2].restart());
     step("the file is cut off in the middle of a write: it is refused, the last list serves on", &|| {
         let text = std::fs::read_to_string(file).unwrap_or_default();
         let _ = std::fs::write(file, &text[..text.len() * 2 / 3]);
@@ -157,7 +157,7 @@
     let _ = stop.send(());
     let ended = proxy.join().is_ok_and(|ran| ran.is_ok());
     let mut runs: HashMap<String, usize> = HashMap::new();
-    for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order) {
+    for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order_id) {
         *runs.entry(order).or_default() += 1;
     }
     let twice = runs.values().filter(|n| **n > 1).count();
@@ -165,7 +165,8 @@
     report("quotes", &mut quotes);
     report("orders", &mut orders);
     println!("orders that ran twice: {twice}; sends to a drained backend after the grace: {late}");
-    match ended && quotes.lost + orders.lost == 0 && twice == 0 && late == 0 && quotes.served > 0 {
+    match ended && quotes.unanswered + orders.unanswered == 0 && twice == 0 && late == 0 && quotes.served > 0
+    {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
--- a/crates/dewpier/examples/levels.rs
+++ b/crates/dewpier/examples/levels.rs
@@ -6,7 +6,7 @@
 //! Processes are killed, so that it needs the program: `cargo build --release` first.
 
 use dewpier_standins::backend::Backend;
-use dewpier_standins::load::{Load, Tally};
+use dewpier_standins::load::{LoadGenerator, ResponseCounts};
 use std::collections::HashMap;
 use std::error::Error;
 use std::fmt::Write;
@@ -140,9 +140,9 @@
             let named = if order { format!("X-Order: {number}-{client}-{n}\r\n") } else { String::new() };
             format!("{method} /orders HTTP/1.1\r\nHost: shop\r\n{named}Content-Length: 0\r\n\r\n")
         };
-        Load::start(*address, 3, Duration::from_millis(5), Arc::new(script))
+        LoadGenerator::start(*address, 3, Duration::from_millis(5), Arc::new(script))
     };
-    let loads: Vec<Load> = forwarders.iter().enumerate().map(load).collect();
+    let loads: Vec<LoadGenerator> = forwarders.iter().enumerate().map(load).collect();
     let mut drains: Vec<(usize, Instant)> = Vec::new();
     std::thread::sleep(STEP);
 
@@ -175,28 +175,29 @@
     std::thread::sleep(STEP);
     drains.extend(told(&planners, at).map(|at| (3, at)));
 
-    let mut tally = Tally::default();
+    let mut tally = ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
     let mut runs: HashMap<String, usize> = HashMap::new();
-    for order in nodes.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order) {
+    for order in nodes.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order_id) {
         *runs.entry(order).or_default() += 1;
     }
     let twice = runs.values().filter(|n| **n > 1).count();
-    let after =
-        |(node, at): &(usize, Instant)| nodes[*node].arrivals().iter().filter(|a| a.at > *at + GRACE).count();
+    let after = |(node, at): &(usize, Instant)| {
+        nodes[*node].arrivals().iter().filter(|a| a.received_at > *at + GRACE).count()
+    };
     let late: usize = drains.iter().map(after).sum();
     let (p50, p99) = (tally.quantile(0.5), tally.quantile(0.99));
     println!(
         "{} served, {} refused, {} failed, {} without an answer; p50 {:.1} ms, p99 {:.1} ms",
         tally.served,
-        tally.refused,
+        tally.rejected,
         tally.failed,
-        tally.lost,
+        tally.unanswered,
         p50.as_secs_f64() * 1000.0,
         p99.as_secs_f64() * 1000.0
     );
     println!("orders that ran twice: {twice}; {} drains, sends after their grace: {late}", drains.len());
-    Ok(tally.lost == 0 && twice == 0 && late == 0 && tally.served > 1000 && drains.len() == 4)
+    Ok(tally.unanswered == 0 && twice == 0 && late == 0 && tally.served > 1000 && drains.len() == 4)
 }
 
 fn main() -> ExitCode {
--- a/crates/dewpier/examples/mysql.rs
+++ b/crates/dewpier/examples/mysql.rs
@@ -4,7 +4,7 @@
 
 use dewpier::config::{Config, hash_password};
 use dewpier::run;
-use dewpier_standins::mysql::{Asked, MySqlServer, Reply};
+use dewpier_standins::mysql::{MySqlServer, ReceivedStatement, Reply};
 use mysql::prelude::Queryable;
 use std::collections::HashMap;
 use std::error::Error;
@@ -30,12 +30,12 @@
 }
 
 fn server(work: Duration) -> MySqlServer {
-    MySqlServer::start("elm", move |asked: &Asked| {
+    MySqlServer::start("elm", move |asked: &ReceivedStatement| {
         let reply = match asked.text.starts_with("SELECT") {
             true => Reply::Rows(vec!["id", "due"], vec![vec![Some("7".into()), Some("monday".into())]]),
             false => Reply::Ok(1, 0),
         };
-        Reply::Late(work, Box::new(reply))
+        Reply::Delayed(work, Box::new(reply))
     })
 }
 
@@ -132,7 +132,7 @@
         servers[1].kill();
         std::thread::sleep(STEP);
         println!("- replica-1 is back");
-        servers[1].revive();
+        servers[1].restart();
         std::thread::sleep(STEP);
         over.store(true, Ordering::SeqCst);
     });
--- a/crates/dewpier/tests/bad_backends.rs
+++ b/crates/dewpier/tests/bad_backends.rs
@@ -13,8 +13,8 @@
 const GOOD: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
 /// One that answers with these bytes, whatever they are, and keeps the connection.
-fn saying(bytes: &'static str) -> Played {
-    Played::new(move |_, _| Play::Answer(bytes.to_string()))
+fn saying(bytes: &'static str) -> ScriptedServer {
+    ScriptedServer::new(move |_, _| ScriptedReply::Respond(bytes.to_string()))
 }
 
 #[test]
@@ -42,32 +42,36 @@
         assert!(status != 200 && status != 429 && status != 503, "{status} for {bytes:.60}");
         // Far sooner than the 19 s that the client would wait.
         assert!(start.elapsed() < Duration::from_secs(10), "{:?} for {bytes:.60}", start.elapsed());
-        assert_eq!(backend.count(), 1, "{bytes:.60}");
+        assert_eq!(backend.request_count(), 1, "{bytes:.60}");
     }
 }
 
 #[test]
 fn what_comes_behind_a_good_answer_is_not_taken_for_the_next_one() {
     for extra in ["HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "\u{1}noise"] {
-        let backend = Played::new(move |before, _| match before {
-            0 => Play::AnswerThen(GOOD.to_string(), Duration::from_millis(5), extra.to_string()),
-            _ => Play::Answer(GOOD.to_string()),
+        let backend = ScriptedServer::new(move |before, _| match before {
+            0 => ScriptedReply::RespondInTwoParts(
+                GOOD.to_string(),
+                Duration::from_millis(5),
+                extra.to_string(),
+            ),
+            _ => ScriptedReply::Respond(GOOD.to_string()),
         });
         let proxy = Proxy::before(&[&backend]);
         for _ in 0..2 {
             let reply = proxy.ask(&request("order", 9000));
             assert_eq!((reply.status(), reply.body.as_slice()), (200, b"hello".as_slice()), "{extra}");
         }
-        assert_eq!(backend.connections.load(Ordering::SeqCst), 2, "{extra}");
+        assert_eq!(backend.connection_count.load(Ordering::SeqCst), 2, "{extra}");
     }
 }
 
 #[test]
 fn what_comes_ahead_of_an_answer_is_skipped() {
     // The answer may follow long after: it has not begun with them.
-    let backend = Played::new(move |_, _| {
+    let backend = ScriptedServer::new(move |_, _| {
         let ahead = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
-        Play::AnswerThen(ahead.to_string(), Duration::from_millis(1500), GOOD.to_string())
+        ScriptedReply::RespondInTwoParts(ahead.to_string(), Duration::from_millis(1500), GOOD.to_string())
     });
     let proxy = Proxy::before(&[&backend]);
     let reply = proxy.ask(&request("order", 19_000));
@@ -78,7 +82,7 @@
 fn a_report_that_cannot_be_read_is_ignored() {
     for report in ["{", "[]", "{\"avg_ms\":\"x\"}", "{\"avg_ms\":-5}", "{\"avg_ms\":1e999}"] {
         let text = format!("HTTP/1.1 200 OK\r\nX-Pressure: {report}\r\nContent-Length: 5\r\n\r\nhello");
-        let backend = Played::new(move |_, _| Play::Answer(text.clone()));
+        let backend = ScriptedServer::new(move |_, _| ScriptedReply::Respond(text.clone()));
         let proxy = Proxy::before(&[&backend]);
         assert_eq!(proxy.ask(&request("order", 9000)).status(), 200, "{report}");
     }
@@ -93,7 +97,7 @@
         for stream in listener.incoming().map_while(Result::ok) {
             std::thread::spawn(move || {
                 let mut stream = BufReader::with_capacity(4096, stream);
-                if read(&mut stream).is_some() {
+                if read_message(&mut stream).is_some() {
                     stream.get_mut().write_all(GOOD.as_bytes()).unwrap();
                     // Dropped with something unread, which resets it.
                     let _ = stream.get_mut().read(&mut [0]);
@@ -125,22 +129,22 @@
 }
 
 /// Backends that answer until `stuck` is set, and then not before `LONG`, or until it is taken back.
-fn sticking<const N: usize>(stuck: &Arc<AtomicBool>, took: Duration) -> [Played; N] {
+fn sticking<const N: usize>(stuck: &Arc<AtomicBool>, took: Duration) -> [ScriptedServer; N] {
     std::array::from_fn(|_| {
         let stuck = stuck.clone();
-        Played::new(move |_, _| {
+        ScriptedServer::new(move |_, _| {
             std::thread::sleep(took);
             let start = Instant::now();
-            while stuck.load(Ordering::SeqCst) && start.elapsed() < LONG {
+            while stuck.load(Ordering::SeqCst) && start.elapsed() < WAIT_TIMEOUT {
                 std::thread::sleep(Duration::from_millis(5));
             }
-            Play::Answer(GOOD.to_string())
+            ScriptedReply::Respond(GOOD.to_string())
         })
     })
 }
 
-fn total(backends: &[Played]) -> usize {
-    backends.iter().map(Played::count).sum()
+fn total(backends: &[ScriptedServer]) -> usize {
+    backends.iter().map(ScriptedServer::request_count).sum()
 }
 
 #[test]
@@ -151,11 +155,11 @@
     let [good] = sticking(&Arc::default(), Duration::from_millis(50));
     let proxy = Proxy::start(&entry_with(20.0), &known(&[&bad, &good]), quiet().address);
     let ask = || proxy.ask(&request("order", 19_000)).status();
-    wait_for("answer of each", || ask() == 200 && bad.count() > 1 && good.count() > 1);
+    wait_for("answer of each", || ask() == 200 && bad.request_count() > 1 && good.request_count() > 1);
     stuck.store(true, Ordering::SeqCst);
     std::thread::scope(|scope| {
-        let before = bad.count();
-        while bad.count() == before {
+        let before = bad.request_count();
+        while bad.request_count() == before {
             scope.spawn(ask);
             std::thread::sleep(Duration::from_millis(200));
         }
@@ -164,7 +168,7 @@
             let asked = [(); 3].map(|()| scope.spawn(ask));
             assert!(asked.into_iter().all(|asked| asked.join().unwrap() == 200));
         }
-        assert_eq!(bad.count(), before + 1);
+        assert_eq!(bad.request_count(), before + 1);
         stuck.store(false, Ordering::SeqCst);
     });
 }
@@ -172,7 +176,7 @@
 #[test]
 fn a_few_calls_a_backend_are_no_overload_however_far_beyond_the_usual() {
     let stuck = Arc::new(AtomicBool::new(false));
-    let backends: [Played; 4] = sticking(&stuck, Duration::ZERO);
+    let backends: [ScriptedServer; 4] = sticking(&stuck, Duration::ZERO);
     let mut settings = entry_with(6.0);
     settings["n-instances"] = json!(2);
     let proxy = Proxy::start(&settings, &known(&backends.each_ref()), quiet().address);
@@ -199,7 +203,7 @@
 #[test]
 fn a_jam_that_passes_soon_costs_no_refusals() {
     let stuck = Arc::new(AtomicBool::new(false));
-    let backends: [Played; 1] = sticking(&stuck, Duration::ZERO);
+    let backends: [ScriptedServer; 1] = sticking(&stuck, Duration::ZERO);
     let proxy = Proxy::start(&entry_with(20.0), &known(&backends.each_ref()), quiet().address);
     let ask = || proxy.ask(&request("order", 19_000)).status();
     (0..30).for_each(|_| assert_eq!(ask(), 200));
@@ -219,7 +223,7 @@
 #[test]
 fn a_jam_that_lasts_is_answered_long_before_the_client_gives_up() {
     let stuck = Arc::new(AtomicBool::new(false));
-    let backends: [Played; 1] = sticking(&stuck, Duration::ZERO);
+    let backends: [ScriptedServer; 1] = sticking(&stuck, Duration::ZERO);
     let proxy = Proxy::start(&entry_with(4.0), &known(&backends.each_ref()), quiet().address);
     let ask = || {
         let start = Instant::now();
--- a/crates/dewpier/tests/bad_clients.rs
+++ b/crates/dewpier/tests/bad_clients.rs
@@ -12,14 +12,14 @@
 
 /// Until an error or the end of its connection, whichever comes first.
 fn turned_away(stream: &mut BufReader<TcpStream>) -> Option<u16> {
-    let status = read(stream).map(|m| m.status());
+    let status = read_message(stream).map(|m| m.status());
     assert!(status.is_none_or(|s| s >= 400), "{status:?}");
     status
 }
 
 #[test]
 fn connections_that_stay_without_a_request_make_room_for_others() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let mut config = config_of(&settings(), &known(&[&backend]));
     config["limits"]["sockets"] = json!(64);
     let proxy = Proxy::with(&config, quiet().address);
@@ -29,7 +29,7 @@
         let mut kept = proxy.connect();
         wait_for("answer", || {
             let sent = kept.get_mut().write_all(request("look", 9000).as_bytes());
-            let served = sent.is_ok() && read(&mut kept).is_some_and(|m| m.status() == 200);
+            let served = sent.is_ok() && read_message(&mut kept).is_some_and(|m| m.status() == 200);
             if !served {
                 kept = proxy.connect();
                 std::thread::sleep(Duration::from_millis(50));
@@ -47,7 +47,7 @@
 
 #[test]
 fn who_gets_the_place_of_a_connection_that_never_asked_is_served() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let mut config = config_of(&settings(), &known(&[&backend]));
     config["limits"]["sockets"] = json!(64); // room for 21 clients
     let proxy = Proxy::with(&config, quiet().address);
@@ -57,7 +57,7 @@
     let mut asked = Vec::new();
     for n in 0..15 {
         let mut stream = proxy.connect();
-        assert_eq!(ask(&mut stream, &request("look", 9000)).status(), 200, "client {n}");
+        assert_eq!(exchange(&mut stream, &request("look", 9000)).status(), 200, "client {n}");
         asked.push(stream);
     }
     drop(mute);
@@ -65,14 +65,14 @@
 
 #[test]
 fn a_newcomer_takes_the_place_of_one_that_rests_between_two_requests() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let mut config = config_of(&settings(), &known(&[&backend]));
     config["limits"]["sockets"] = json!(64); // room for 21 clients
     let proxy = Proxy::with(&config, quiet().address);
     let mut kept = Vec::new();
     for n in 0..63 {
         let mut stream = proxy.connect();
-        assert_eq!(ask(&mut stream, &request("look", 9000)).status(), 200, "client {n}");
+        assert_eq!(exchange(&mut stream, &request("look", 9000)).status(), 200, "client {n}");
         kept.push(stream);
         // The one that has rested longest does so for less than two seconds, and more than a tenth.
         std::thread::sleep(Duration::from_millis(40));
@@ -81,25 +81,25 @@
 
 #[test]
 fn a_connection_with_a_request_in_hand_is_not_closed_to_make_room() {
-    let (backend, release) = Played::held("hello");
+    let (backend, release) = ScriptedServer::with_held_response("hello");
     let mut config = config_of(&settings(), &known(&[&backend]));
     config["limits"]["sockets"] = json!(64);
     let proxy = Proxy::with(&config, quiet().address);
     let mut busy = proxy.connect();
     busy.get_mut().write_all(request("order", 20_000).as_bytes()).unwrap();
-    wait_for("attempt", || backend.count() == 1);
+    wait_for("attempt", || backend.request_count() == 1);
     let mute: Vec<_> = (0..60).map(|_| proxy.connect()).collect();
     // Those that say nothing are all closed in time; the one at work is not.
     for mut stream in mute {
         assert_eq!(turned_away(&mut stream), None);
     }
     release.send(()).unwrap();
-    assert_eq!(read(&mut busy).expect("an answer").status(), 200);
+    assert_eq!(read_message(&mut busy).expect("an answer").status(), 200);
 }
 
 #[test]
 fn what_never_comes_whole_is_given_up_within_three_seconds() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::before(&[&backend]);
     let good = request("look", 9000);
     let start = Instant::now();
@@ -111,29 +111,29 @@
     });
     // One that has had an answer before is no better.
     let mut second = proxy.connect();
-    assert_eq!(ask(&mut second, &request("look", 9000)).status(), 200);
+    assert_eq!(exchange(&mut second, &request("look", 9000)).status(), 200);
     second.get_mut().write_all(b"GET /api HT").unwrap();
     let statuses = streams.each_mut().map(turned_away);
     assert_eq!(statuses, [None, None, Some(408)]);
     turned_away(&mut second);
     // 3 s is what is owed; a busy machine is given more, and what it was before is far beyond.
     assert!(start.elapsed() < Duration::from_secs(15), "{:?}", start.elapsed());
-    assert_eq!(backend.count(), 1);
+    assert_eq!(backend.request_count(), 1);
 }
 
 #[test]
 fn a_connection_at_rest_is_kept() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::before(&[&backend]);
     let mut stream = proxy.connect();
-    assert_eq!(ask(&mut stream, &request("look", 9000)).status(), 200);
+    assert_eq!(exchange(&mut stream, &request("look", 9000)).status(), 200);
     std::thread::sleep(Duration::from_millis(3500));
-    assert_eq!(ask(&mut stream, &request("look", 9000)).status(), 200);
+    assert_eq!(exchange(&mut stream, &request("look", 9000)).status(), 200);
 }
 
 #[test]
 fn what_could_be_read_in_two_ways_does_not_go_on() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::before(&[&backend]);
     let good = request("save", 9000);
     let hidden = format!("0\r\n\r\n{}", request("save", 9000));
@@ -154,14 +154,14 @@
         stream.get_mut().write_all(text.as_bytes()).unwrap();
         turned_away(&mut stream);
         // Nor does anything behind it.
-        assert!(read(&mut stream).is_none(), "{coding}");
+        assert!(read_message(&mut stream).is_none(), "{coding}");
     }
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
 
 #[test]
 fn a_spoilt_request_is_refused_and_its_connection_closed() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::before(&[&backend]);
     let (look, save, order) = (request("look", 9000), request("save", 9000), request("order", 9000));
     let id = look.lines().find(|l| l.starts_with("X-Txn")).unwrap();
@@ -181,20 +181,20 @@
         look.replace("GET /api?q=1", "CONNECT elsewhere:80"),
     ] {
         let mut stream = proxy.connect();
-        let reply = ask(&mut stream, &text);
+        let reply = exchange(&mut stream, &text);
         assert_eq!((reply.status(), reply.header("connection")), (400, Some("close")), "{text}");
-        assert!(read(&mut stream).is_none(), "{text}");
+        assert!(read_message(&mut stream).is_none(), "{text}");
     }
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
     // A wait that no class allows is cut to what it does allow.
     assert_eq!(proxy.ask(&look.replace("9000", "4294967295")).status(), 200);
-    let sent = backend.requests.lock().unwrap()[0].clone();
+    let sent = backend.received_requests.lock().unwrap()[0].clone();
     assert!(sent.header("x-remaining-ms").unwrap().parse::<u64>().unwrap() <= 30_000);
 }
 
 #[test]
 fn a_head_without_end_is_refused() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::before(&[&backend]);
     let mut stream = proxy.connect();
     let _ = stream.get_mut().write_all(b"GET /api HTTP/1.1\r\n");
@@ -205,33 +205,33 @@
         }
     }
     turned_away(&mut stream);
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
 
 #[test]
 fn the_id_of_an_open_request_neither_ends_nor_answers_it() {
-    let (backend, release) = Played::held("hello");
+    let (backend, release) = ScriptedServer::with_held_response("hello");
     let proxy = Proxy::before(&[&backend]);
     let text = request("order", 20_000);
     let mut first = proxy.connect();
     first.get_mut().write_all(text.as_bytes()).unwrap();
-    wait_for("attempt", || backend.count() == 1);
+    wait_for("attempt", || backend.request_count() == 1);
     assert_eq!(proxy.ask(&text).status(), 400);
     release.send(()).unwrap();
-    assert_eq!(read(&mut first).expect("an answer").status(), 200);
-    assert_eq!(backend.count(), 1);
+    assert_eq!(read_message(&mut first).expect("an answer").status(), 200);
+    assert_eq!(backend.request_count(), 1);
 }
 
 #[test]
 fn an_id_used_again_is_not_answered_by_what_is_still_out_of_the_first() {
     // The first answer is late, and attempts are not cancelled here.
-    let backend = Played::new(move |before, _| {
+    let backend = ScriptedServer::new(move |before, _| {
         if before == 0 {
             std::thread::sleep(Duration::from_millis(1500));
-            return Play::Answer(answer("200 OK", "first"));
+            return ScriptedReply::Respond(format_response("200 OK", "first"));
         }
         std::thread::sleep(Duration::from_millis(1500));
-        Play::Answer(answer("200 OK", "second"))
+        ScriptedReply::Respond(format_response("200 OK", "second"))
     });
     let mut settings = settings();
     settings["caps"]["cancel"] = json!(false);
@@ -241,5 +241,5 @@
     assert!(status != 200 && status != 503, "{status}");
     let again = proxy.ask(&text.replace("X-Remaining-Ms: 600", "X-Remaining-Ms: 20000"));
     assert_eq!((again.status(), again.body.as_slice()), (200, b"second".as_slice()));
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 2);
+    assert_eq!(backend.connection_count.load(Ordering::SeqCst), 2);
 }
--- a/crates/dewpier/tests/client_gone.rs
+++ b/crates/dewpier/tests/client_gone.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::sockets::*;
-use dewpier_standins::message::reset;
+use dewpier_standins::message::reset_connection;
 use serde_json::json;
 use socket2::{Domain, Socket, Type};
 use std::io::{BufReader, Read, Write};
@@ -16,9 +16,9 @@
 const SEEN_WITHIN: Duration = Duration::from_millis(700);
 
 /// A backend that says nothing, and tells when an attempt there is given up.
-fn silent() -> (Played, Receiver<()>) {
+fn silent() -> (ScriptedServer, Receiver<()>) {
     let (ended, end) = channel();
-    (Played::new(move |_, _| Play::Silence(ended.clone())), end)
+    (ScriptedServer::new(move |_, _| ScriptedReply::NeverRespond(ended.clone())), end)
 }
 
 /// What a client may have sent behind its request when it leaves.
@@ -36,18 +36,18 @@
 fn a_client_that_leaves_is_seen_behind_what_it_sent_last() {
     type Leave = fn(BufReader<TcpStream>);
     let ways: [(&str, Leave); 2] =
-        [("closes", |client| drop(client)), ("resets", |client| reset(client.into_inner()))];
+        [("closes", |client| drop(client)), ("resets", |client| reset_connection(client.into_inner()))];
     for (how, leave) in ways {
         for (what, bytes) in behind() {
             let (backend, end) = silent();
             let proxy = Proxy::before(&[&backend]);
             let mut client = proxy.connect();
             client.get_mut().write_all(request("order", 20_000).as_bytes()).unwrap();
-            wait_for("attempt", || backend.count() == 1);
+            wait_for("attempt", || backend.request_count() == 1);
             client.get_mut().write_all(&bytes).unwrap();
             let left = Instant::now();
             leave(client);
-            heard(&end);
+            wait_for_close(&end);
             assert!(left.elapsed() < SEEN_WITHIN, "{how} behind {what}: {:?}", left.elapsed());
         }
     }
@@ -60,44 +60,44 @@
     let mut client = proxy.connect();
     // Its timer for a repeat fires after four tenths of this.
     client.get_mut().write_all(request("look", 2500).as_bytes()).unwrap();
-    wait_for("attempt", || first.count() + second.count() == 1);
+    wait_for("attempt", || first.request_count() + second.request_count() == 1);
     client.get_mut().write_all(request("look", 2500).as_bytes()).unwrap();
     drop(client);
-    let end = if first.count() == 1 { first_end } else { second_end };
-    heard(&end);
+    let end = if first.request_count() == 1 { first_end } else { second_end };
+    wait_for_close(&end);
     // By the end of its time every timer of it has fired.
     std::thread::sleep(Duration::from_millis(2700));
-    assert_eq!(first.count() + second.count(), 1, "an attempt after the client had left");
+    assert_eq!(first.request_count() + second.request_count(), 1, "an attempt after the client had left");
 }
 
 #[test]
 fn a_request_behind_an_open_one_is_read_as_it_came() {
-    let (backend, release) = Played::held("hello");
+    let (backend, release) = ScriptedServer::with_held_response("hello");
     let proxy = Proxy::before(&[&backend]);
     let mut client = proxy.connect();
     client.get_mut().write_all(request("look", 9000).as_bytes()).unwrap();
-    wait_for("attempt", || backend.count() == 1);
+    wait_for("attempt", || backend.request_count() == 1);
     (0..3).for_each(|_| client.get_mut().write_all(request("order", 9000).as_bytes()).unwrap());
     release.send(()).unwrap();
     for _ in 0..4 {
-        assert_eq!(read(&mut client).expect("an answer").status(), 200);
+        assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
     }
-    assert_eq!(backend.count(), 4);
+    assert_eq!(backend.request_count(), 4);
 }
 
 #[test]
 fn what_floods_a_connection_behind_a_request_ends_it_with_the_answer() {
-    let (backend, release) = Played::held("hello");
+    let (backend, release) = ScriptedServer::with_held_response("hello");
     let proxy = Proxy::before(&[&backend]);
     let mut client = proxy.connect();
     client.get_mut().write_all(request("look", 9000).as_bytes()).unwrap();
-    wait_for("attempt", || backend.count() == 1);
+    wait_for("attempt", || backend.request_count() == 1);
     client.get_mut().write_all(&vec![b'x'; 3 << 20]).unwrap();
     release.send(()).unwrap();
-    let answer = read(&mut client).expect("an answer");
+    let answer = read_message(&mut client).expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(read(&mut client).is_none());
-    assert_eq!(backend.count(), 1);
+    assert!(read_message(&mut client).is_none());
+    assert_eq!(backend.request_count(), 1);
 }
 
 /// A backend on which connections come up late: its queue is full of others until it accepts.
--- a/crates/dewpier/tests/common/sockets.rs
+++ b/crates/dewpier/tests/common/sockets.rs
@@ -3,10 +3,10 @@
 
 #![allow(dead_code)] // not every test needs all of it
 #[allow(unused_imports)] // not every test needs all of them
-pub use dewpier_standins::message::{Message, answer, ask, read};
-pub use dewpier_standins::played::{Play, Played};
+pub use dewpier_standins::message::{Message, exchange, format_response, read_message};
+pub use dewpier_standins::scripted_server::{ScriptedReply, ScriptedServer};
 #[allow(unused_imports)]
-pub use dewpier_standins::{LONG, heard, wait_for};
+pub use dewpier_standins::{WAIT_TIMEOUT, wait_for, wait_for_close};
 
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -45,8 +45,8 @@
 }
 
 /// A discovery that has nothing new.
-pub fn quiet() -> Played {
-    Played::new(|_, _| Play::Silence(channel().0))
+pub fn quiet() -> ScriptedServer {
+    ScriptedServer::new(|_, _| ScriptedReply::NeverRespond(channel().0))
 }
 
 pub struct Proxy {
@@ -127,24 +127,24 @@
     }
 
     /// One that knows these backends, with plain settings.
-    pub fn before(backends: &[&Played]) -> Self {
+    pub fn before(backends: &[&ScriptedServer]) -> Self {
         Self::start(&settings(), &known(backends), quiet().address)
     }
 
     pub fn connect(&self) -> BufReader<TcpStream> {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         BufReader::new(stream)
     }
 
     pub fn ask(&self, text: &str) -> Message {
-        ask(&mut self.connect(), text)
+        exchange(&mut self.connect(), text)
     }
 
     /// Makes an operator's call: all that it is told.
     pub fn call(&self, call: &str) -> String {
         let mut stream = TcpStream::connect(self.operator.expect("operators can call")).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream.write_all(format!("{call}\n").as_bytes()).unwrap();
         let mut told = String::new();
         stream.read_to_string(&mut told).unwrap();
@@ -172,8 +172,8 @@
     }
 }
 
-pub fn known(backends: &[&Played]) -> Value {
-    let named = |(i, b): (usize, &&Played)| entry(&format!("s-{i}"), b.address, "SERVING");
+pub fn known(backends: &[&ScriptedServer]) -> Value {
+    let named = |(i, b): (usize, &&ScriptedServer)| entry(&format!("s-{i}"), b.address, "SERVING");
     list(1, true, &backends.iter().enumerate().map(named).collect::<Vec<_>>())
 }
 
--- a/crates/dewpier/tests/descriptors.rs
+++ b/crates/dewpier/tests/descriptors.rs
@@ -24,12 +24,12 @@
 fn served(proxy: &Proxy, body: &[u8]) -> bool {
     let mut client = proxy.connect();
     let sent = client.get_mut().write_all(request("look", 9000).as_bytes());
-    sent.is_ok() && read(&mut client).is_some_and(|m| m.status() == 200 && m.body == body)
+    sent.is_ok() && read_message(&mut client).is_some_and(|m| m.status() == 200 && m.body == body)
 }
 
 #[test]
 fn idle_clients_on_every_descriptor_keep_out_nobody_else() {
-    let [old, new] = ["old", "new"].map(Played::good);
+    let [old, new] = ["old", "new"].map(ScriptedServer::always_ok);
     // Nobody listens there yet.
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut config = config_of(&settings(), &known(&[&old]));
@@ -54,10 +54,11 @@
     // Discovery can be reached again, and what it tells as well.
     let words = list(2, true, &[entry("s-new", new.address, "SERVING")]).to_string();
     let up = Instant::now();
-    let _discovery = Played::at(discovery, move |_, message| match message.first.contains("since=2&") {
-        true => Play::Silence(std::sync::mpsc::channel().0),
-        false => Play::Answer(answer("200 OK", &words)),
-    });
+    let _discovery =
+        ScriptedServer::bind(discovery, move |_, message| match message.start_line.contains("since=2&") {
+            true => ScriptedReply::NeverRespond(std::sync::mpsc::channel().0),
+            false => ScriptedReply::Respond(format_response("200 OK", &words)),
+        });
     wait_for("answer of the new backend", || served(&proxy, b"new"));
     assert!(up.elapsed() < STALENESS_BOUND, "{:?}", up.elapsed());
     // It rests while nothing happens, with all those connections open.
--- a/crates/dewpier/tests/discovery_watch.rs
+++ b/crates/dewpier/tests/discovery_watch.rs
@@ -21,13 +21,13 @@
     settings
 }
 
-fn silence() -> Play {
-    Play::Silence(channel().0)
+fn silence() -> ScriptedReply {
+    ScriptedReply::NeverRespond(channel().0)
 }
 
 /// A discovery whose list changes at one moment, from one backend to another one.
 struct Changing {
-    server: Played,
+    server: ScriptedServer,
     /// When it changed.
     since: Arc<Mutex<Option<Instant>>>,
 }
@@ -41,15 +41,15 @@
     /// long as it gives something; then each call is answered with `news`, or with silence where there is none.
     fn start(
         good: usize,
-        bad: impl Fn(usize) -> Option<Play> + Send + Sync + 'static,
-        news: impl Fn() -> Play + Send + Sync + 'static,
+        bad: impl Fn(usize) -> Option<ScriptedReply> + Send + Sync + 'static,
+        news: impl Fn() -> ScriptedReply + Send + Sync + 'static,
     ) -> Self {
         let since: Arc<Mutex<Option<Instant>>> = Arc::default();
         let changed = since.clone();
-        let server = Played::new(move |before, message| {
-            let knows_new = message.first.contains(&format!("since={NEW}&"));
+        let server = ScriptedServer::new(move |before, message| {
+            let knows_new = message.start_line.contains(&format!("since={NEW}&"));
             if before < good {
-                return Play::Answer(answer("200 OK", &list(OLD, false, &[]).to_string()));
+                return ScriptedReply::Respond(format_response("200 OK", &list(OLD, false, &[]).to_string()));
             }
             changed.lock().unwrap().get_or_insert_with(Instant::now);
             match bad(before - good) {
@@ -87,33 +87,36 @@
 /// Plays one case in both modes: the change is acted upon in time, and nothing goes to the old backend from then on.
 fn in_time(
     good: usize,
-    bad: impl Fn(usize) -> Option<Play> + Clone + Send + Sync + 'static,
+    bad: impl Fn(usize) -> Option<ScriptedReply> + Clone + Send + Sync + 'static,
     words: fn(SocketAddr, SocketAddr) -> Value,
-    wire: fn(&Value) -> Play,
+    wire: fn(&Value) -> ScriptedReply,
 ) {
     std::thread::scope(|scope| {
         for mode in MODES {
             let bad = bad.clone();
             scope.spawn(move || {
-                let [old, new] = ["old", "new"].map(Played::good);
+                let [old, new] = ["old", "new"].map(ScriptedServer::always_ok);
                 let (from, to) = (old.address, new.address);
                 let discovery = Changing::start(good, bad, move || wire(&words(from, to)));
                 let proxy = Proxy::start(&settings_of(mode), &known(&[&old]), discovery.server.address);
                 let took = discovery.acted_upon(&proxy);
                 assert!(took <= STALENESS_BOUND, "{mode}: {took:?}");
-                let before = old.count();
+                let before = old.request_count();
                 (0..20).for_each(|_| assert_eq!(proxy.ask(&request("look", 9000)).body, b"new", "{mode}"));
-                assert_eq!(old.count(), before, "{mode}: sent to what is not in service");
+                assert_eq!(old.request_count(), before, "{mode}: sent to what is not in service");
             });
         }
     });
 }
 
-fn whole_text(list: &Value) -> Play {
-    Play::Answer(answer("200 OK", &list.to_string()))
+fn whole_text(list: &Value) -> ScriptedReply {
+    ScriptedReply::Respond(format_response("200 OK", &list.to_string()))
 }
 
-fn first(calls: usize, play: fn() -> Play) -> impl Fn(usize) -> Option<Play> + Clone + Send + Sync {
+fn first(
+    calls: usize,
+    play: fn() -> ScriptedReply,
+) -> impl Fn(usize) -> Option<ScriptedReply> + Clone + Send + Sync {
     move |call| (call < calls).then(play)
 }
 
@@ -136,35 +139,47 @@
 fn an_answer_that_trickles_without_end() {
     let trickle = || {
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{}", " ".repeat(100_000));
-        Play::Pieces(text, 1, Duration::from_millis(20))
+        ScriptedReply::RespondInChunks(text, 1, Duration::from_millis(20))
     };
     in_time(1, first(1, trickle), as_changes, whole_text);
     let head = || {
-        Play::Pieces("HTTP/1.1 200 OK\r\nX-A: ".to_string() + &"a".repeat(9000), 1, Duration::from_millis(20))
+        ScriptedReply::RespondInChunks(
+            "HTTP/1.1 200 OK\r\nX-A: ".to_string() + &"a".repeat(9000),
+            1,
+            Duration::from_millis(20),
+        )
     };
     in_time(1, first(1, head), as_whole, whole_text);
 }
 
 #[test]
 fn watches_that_end_with_nothing() {
-    in_time(1, first(4, || Play::Close), as_drain, whole_text);
+    in_time(1, first(4, || ScriptedReply::Close), as_drain, whole_text);
 }
 
 #[test]
 fn calls_that_are_refused() {
-    in_time(1, first(4, || Play::Answer(answer("503 Service Unavailable", ""))), as_changes, whole_text);
+    in_time(
+        1,
+        first(4, || ScriptedReply::Respond(format_response("503 Service Unavailable", ""))),
+        as_changes,
+        whole_text,
+    );
 }
 
 #[test]
 fn answers_that_make_no_sense_are_refused_whole() {
     let half = || {
-        Play::Answer(answer("200 OK", r#"{"generation":7,"reset":true,"instances":[{"instanceId":"s-9"}"#))
+        ScriptedReply::Respond(format_response(
+            "200 OK",
+            r#"{"generation":7,"reset":true,"instances":[{"instanceId":"s-9"}"#,
+        ))
     };
     in_time(1, first(3, half), as_changes, whole_text);
     // One bad entry: nothing of the list is taken in, its version neither.
     let bad_entry = || {
         let bad = json!({"instanceId": "s-0", "hostPort": "nowhere", "lifecycle": "SERVING"});
-        Play::Answer(answer("200 OK", &list(9, true, &[bad]).to_string()))
+        ScriptedReply::Respond(format_response("200 OK", &list(9, true, &[bad]).to_string()))
     };
     in_time(1, first(2, bad_entry), as_changes, whole_text);
 }
@@ -172,17 +187,17 @@
 #[test]
 fn a_whole_list_instead_of_changes_leaves_out_what_is_gone() {
     in_time(0, first(0, silence), as_whole, whole_text);
-    in_time(1, first(1, || Play::Close), as_whole, whole_text);
+    in_time(1, first(1, || ScriptedReply::Close), as_whole, whole_text);
 }
 
 #[test]
 fn lists_may_come_indented_and_in_pieces() {
     in_time(1, first(1, silence), as_changes, |list| {
-        Play::Answer(answer("200 OK", &serde_json::to_string_pretty(list).unwrap()))
+        ScriptedReply::Respond(format_response("200 OK", &serde_json::to_string_pretty(list).unwrap()))
     });
     in_time(1, first(1, silence), as_whole, |list| {
-        let text = answer("200 OK", &serde_json::to_string_pretty(list).unwrap());
-        Play::Pieces(text, 97, Duration::from_millis(5))
+        let text = format_response("200 OK", &serde_json::to_string_pretty(list).unwrap());
+        ScriptedReply::RespondInChunks(text, 97, Duration::from_millis(5))
     });
 }
 
@@ -191,7 +206,7 @@
     std::thread::scope(|scope| {
         for mode in MODES {
             scope.spawn(move || {
-                let [old, new] = ["old", "new"].map(Played::good);
+                let [old, new] = ["old", "new"].map(ScriptedServer::always_ok);
                 // Nobody listens at this address until it is played.
                 let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
                 let proxy = Proxy::start(&settings_of(mode), &known(&[&old]), address);
@@ -201,11 +216,11 @@
                 std::thread::sleep(Duration::from_secs(7));
                 let up = Instant::now();
                 let words = whole_text(&as_drain(old.address, new.address));
-                let Play::Answer(words) = words else { unreachable!() };
-                let _server = Played::at(address, move |_, message| {
-                    match message.first.contains(&format!("since={NEW}&")) {
+                let ScriptedReply::Respond(words) = words else { unreachable!() };
+                let _server = ScriptedServer::bind(address, move |_, message| {
+                    match message.start_line.contains(&format!("since={NEW}&")) {
                         true => silence(),
-                        false => Play::Answer(words.clone()),
+                        false => ScriptedReply::Respond(words.clone()),
                     }
                 });
                 wait_for("answer of the new backend", || proxy.ask(&request("look", 9000)).body == b"new");
@@ -218,26 +233,26 @@
 #[test]
 fn what_the_old_discovery_still_says_after_a_move_is_not_taken_in() {
     for mode in MODES {
-        let [old, new] = ["old", "new"].map(Played::good);
+        let [old, new] = ["old", "new"].map(ScriptedServer::always_ok);
         let (release, held) = channel::<()>();
         let held = Mutex::new(held);
         // Its answer is newer by its number, and comes when the other discovery has been asked.
         let late = list(99, true, &[entry("s-0", old.address, "SERVING")]).to_string();
         let said = Arc::new(AtomicBool::new(false));
         let has_said = said.clone();
-        let first = Played::new(move |_, _| {
-            let _ = held.lock().unwrap().recv_timeout(LONG);
+        let first = ScriptedServer::new(move |_, _| {
+            let _ = held.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
             has_said.store(true, Ordering::SeqCst);
-            Play::Answer(answer("200 OK", &late))
+            ScriptedReply::Respond(format_response("200 OK", &late))
         });
         let words = list(3, true, &[entry("s-new", new.address, "SERVING")]).to_string();
-        let second = Played::new(move |_, message| match message.first.contains("since=3&") {
+        let second = ScriptedServer::new(move |_, message| match message.start_line.contains("since=3&") {
             true => silence(),
-            false => Play::Answer(answer("200 OK", &words)),
+            false => ScriptedReply::Respond(format_response("200 OK", &words)),
         });
         let mut config = config_of(&settings_of(mode), &known(&[&old]));
         let proxy = Proxy::with(&config, first.address);
-        wait_for("call", || first.count() >= 1);
+        wait_for("call", || first.request_count() >= 1);
         config["discovery"] = json!(second.address.to_string());
         proxy.configure(&config);
         proxy.signal("-HUP");
@@ -245,10 +260,10 @@
         release.send(()).unwrap();
         wait_for("late answer", || said.load(Ordering::SeqCst));
         // The next call goes to the second one, with its version.
-        wait_for("watch", || second.count() >= 3);
+        wait_for("watch", || second.request_count() >= 3);
         assert_eq!(proxy.ask(&request("look", 9000)).body, b"new", "{mode}");
-        let asked = second.requests.lock().unwrap().clone();
-        assert!(asked[1..].iter().all(|call| call.first.contains("since=3&")), "{mode}: {asked:?}");
+        let asked = second.received_requests.lock().unwrap().clone();
+        assert!(asked[1..].iter().all(|call| call.start_line.contains("since=3&")), "{mode}: {asked:?}");
     }
 }
 
@@ -256,13 +271,17 @@
 fn one_that_knows_no_backend_is_ready_soon_also_where_discovery_is_slow() {
     const READY_WITHIN: Duration = Duration::from_secs(6);
     for mode in MODES {
-        let backend = Played::good("hello");
+        let backend = ScriptedServer::always_ok("hello");
         let all = list(3, true, &[entry("s-0", backend.address, "SERVING")]).to_string();
         // Refused at first, then slow.
-        let discovery = Played::new(move |before, message| match before {
-            0 => Play::Answer(answer("503 Service Unavailable", "")),
-            _ if message.first.contains("since=3&") => silence(),
-            _ => Play::AnswerThen(String::new(), Duration::from_millis(900), answer("200 OK", &all)),
+        let discovery = ScriptedServer::new(move |before, message| match before {
+            0 => ScriptedReply::Respond(format_response("503 Service Unavailable", "")),
+            _ if message.start_line.contains("since=3&") => silence(),
+            _ => ScriptedReply::RespondInTwoParts(
+                String::new(),
+                Duration::from_millis(900),
+                format_response("200 OK", &all),
+            ),
         });
         let mut settings = settings_of(mode);
         // Calls are asked for so rarely that no proxy could wait for the first one.
--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -3,8 +3,8 @@
 
 use dewpier_peers::{Key, Peers, Process, ProxyId, Topic, TopicHandler};
 use dewpier_standins::backend::Backend;
-use dewpier_standins::mesh::Way;
-use dewpier_standins::{LONG, wait_for};
+use dewpier_standins::mesh::LinkFaults;
+use dewpier_standins::{WAIT_TIMEOUT, wait_for};
 use dewpier_trials::record::Held;
 use dewpier_trials::schedule::Size;
 use dewpier_trials::stage::{SECRET, Settings, Stage};
@@ -61,12 +61,12 @@
     fn seen_by(&self, node: usize, since: Instant, count: usize) -> Option<Instant> {
         let window = Duration::from_millis(STALE / 2);
         let mut arrivals = self.0.nodes[node].arrivals();
-        arrivals.retain(|a| a.at > since);
+        arrivals.retain(|a| a.received_at > since);
         let met = |until: Instant| {
-            let within = arrivals.iter().filter(|a| a.at <= until && a.at + window > until);
-            within.map(|a| &a.order).collect::<HashSet<_>>().len()
+            let within = arrivals.iter().filter(|a| a.received_at <= until && a.received_at + window > until);
+            within.map(|a| &a.order_id).collect::<HashSet<_>>().len()
         };
-        arrivals.iter().map(|a| a.at).find(|at| met(*at) >= count)
+        arrivals.iter().map(|a| a.received_at).find(|at| met(*at) >= count)
     }
 }
 
@@ -82,7 +82,10 @@
         if met.is_some_and(|met| met.elapsed() > world.0.bounds().avoided(lost) + SLACK) {
             break;
         }
-        assert!(met.is_some() || since.elapsed() < 2 * LONG, "too few proxies send there to try anything");
+        assert!(
+            met.is_some() || since.elapsed() < 2 * WAIT_TIMEOUT,
+            "too few proxies send there to try anything"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     for proxy in 0..PROXIES {
@@ -95,19 +98,22 @@
 #[test]
 fn a_node_that_turns_bad_is_avoided_within_the_bound_and_not_where_nothing_is_heard() {
     let world = World::start(1, 0);
-    assert!(turns_bad(&world, 2, 0.0, |b| b.slow(Duration::from_secs(60))), "it hangs");
+    assert!(turns_bad(&world, 2, 0.0, |b| b.set_response_time(Duration::from_secs(60))), "it hangs");
     assert!(world.held(0).iter().any(|h| h.node == 2 && h.kind == "silent"));
     // Half of all datagrams are lost, some come twice, and they overtake each other.
     let delay = Duration::from_millis(50);
-    world.0.mesh.set(Way { lost: 500, doubled: 200, delay, cut: false }, |_, _| true);
-    assert!(turns_bad(&world, 5, 0.5, |b| b.fail(true)), "it answers 500");
+    world.0.mesh.set_faults(
+        LinkFaults { lost_per_mille: 500, duplicated_per_mille: 200, max_delay: delay, cut: false },
+        |_, _| true,
+    );
+    assert!(turns_bad(&world, 5, 0.5, |b| b.set_failing(true)), "it answers 500");
     assert!(world.0.figure(3, "datagrams_refused.doubled") > Some(0));
     // Where the proxies don't hear each other none condemns anything, as one alone is not believed.
-    world.0.mesh.set(Way { cut: true, ..Way::default() }, |_, _| true);
-    world.0.nodes[2].slow(Duration::from_millis(30));
-    world.0.nodes[5].fail(false);
+    world.0.mesh.set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |_, _| true);
+    world.0.nodes[2].set_response_time(Duration::from_millis(30));
+    world.0.nodes[5].set_failing(false);
     wait_for("verdicts to lapse", || (0..PROXIES).all(|p| !world.keeps(p, 2) && !world.keeps(p, 5)));
-    assert!(!turns_bad(&world, 6, 0.0, |b| b.fail(true)), "the bound holds without what keeps it");
+    assert!(!turns_bad(&world, 6, 0.0, |b| b.set_failing(true)), "the bound holds without what keeps it");
 }
 
 #[test]
@@ -117,21 +123,24 @@
     let world = World::start(2, 1);
     let liar = Liar::start(&world);
     // One hears nobody, one is heard by nobody, so that nobody answers its questions.
-    world.0.mesh.set(Way { cut: true, ..Way::default() }, |from, to| to == 4 || from == 5);
-    world.0.nodes[2].fail(true);
+    world
+        .0
+        .mesh
+        .set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |from, to| to == 4 || from == 5);
+    world.0.nodes[2].set_failing(true);
     wait_for("a verdict of all that hear", || {
         (0..PROXIES).filter(|p| ![4, 5].contains(p)).all(|p| world.keeps(p, 2))
     });
     assert!(!world.keeps(4, 2), "it hears nobody");
     // One stands still while it holds the verdict; meanwhile the node recovers and everybody knows.
     world.0.signal(7, "-STOP");
-    world.0.nodes[2].fail(false);
+    world.0.nodes[2].set_failing(false);
     let stopped = Instant::now();
     // A liar's word keeps it up until two trials go well within half of the bound. Who is drawn to try may not have
     // the node in its subset, so that several turns, of a quarter of the bound each, can go by.
     let lifted = || (0..PROXIES).filter(|p| *p != 7).all(|p| !world.keeps(p, 2));
     while !lifted() {
-        assert!(stopped.elapsed() < 4 * LONG, "trials lift it");
+        assert!(stopped.elapsed() < 4 * WAIT_TIMEOUT, "trials lift it");
         std::thread::sleep(Duration::from_millis(50));
     }
     println!("trials lifted it after {:?}", stopped.elapsed());
@@ -140,7 +149,7 @@
     // Its socket is full of what was said then. Its first judgement is a round away.
     std::thread::sleep(Duration::from_millis(5 * EVERY));
     assert!(!world.keeps(7, 2), "after it stood still");
-    world.0.mesh.set(Way::default(), |_, _| true);
+    world.0.mesh.set_faults(LinkFaults::default(), |_, _| true);
     wait_for("talk of all with all", || {
         (0..PROXIES).all(|p| world.0.figure(p, "partners_answering") == Some(PROXIES as u64))
     });
@@ -183,10 +192,10 @@
 impl Liar {
     fn start(world: &World) -> Self {
         let name = |i: usize| ProxyId::from_name(&format!("proxy-{i}"));
-        let socket = UdpSocket::bind(world.0.mesh.listen[PROXIES]).unwrap();
+        let socket = UdpSocket::bind(world.0.mesh.listen_addresses[PROXIES]).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
         let to: Vec<(ProxyId, SocketAddr)> =
-            (0..PROXIES).map(|i| (name(i), world.0.mesh.inlet(PROXIES, i))).collect();
+            (0..PROXIES).map(|i| (name(i), world.0.mesh.send_address(PROXIES, i))).collect();
         let id = |(i, b): (usize, &Backend)| NodeId::new(&format!("pricing-{i:02}"), &b.address.to_string());
         let nodes: Vec<NodeId> = world.0.nodes.iter().enumerate().map(id).collect();
         let over = Arc::new(AtomicBool::new(false));
--- a/crates/dewpier/tests/generated_settings.rs
+++ b/crates/dewpier/tests/generated_settings.rs
@@ -92,23 +92,23 @@
     let (settings, classes, tenant) = drawn(&mut rng);
     let came: Arc<Mutex<HashMap<String, Vec<Came>>>> = Arc::default();
     // Each ends requests in a way that the id decides, so that a repeat may find another way elsewhere.
-    let backends: Vec<Played> = (0..BACKENDS)
+    let backends: Vec<ScriptedServer> = (0..BACKENDS)
         .map(|number| {
             let came = came.clone();
-            Played::new(move |_, message| {
+            ScriptedServer::new(move |_, message| {
                 let id = message.header("x-txn").unwrap_or_default().to_string();
                 let way = (u64::from_str_radix(&id, 16).unwrap_or(0) / 7 + 3 * number as u64 + seed) % 9;
                 let ran = way != 0;
                 came.lock().unwrap().entry(id).or_default().push((Instant::now(), number, ran));
                 match way {
-                    0 => Play::Answer(
+                    0 => ScriptedReply::Respond(
                         "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n".into(),
                     ),
-                    1 => Play::Answer(answer("500 No", "")),
-                    2 => Play::Close,
-                    3 => Play::Silence(std::sync::mpsc::channel().0),
-                    4 => Play::Answer("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf".into()),
-                    _ => Play::Answer(answer("200 OK", "done")),
+                    1 => ScriptedReply::Respond(format_response("500 No", "")),
+                    2 => ScriptedReply::Close,
+                    3 => ScriptedReply::NeverRespond(std::sync::mpsc::channel().0),
+                    4 => ScriptedReply::Respond("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf".into()),
+                    _ => ScriptedReply::Respond(format_response("200 OK", "done")),
                 }
             })
         })
@@ -118,7 +118,7 @@
     let told_at: Arc<Mutex<Option<Instant>>> = Arc::default();
     let entries = |state: &str| -> Vec<Value> {
         let state_of = |i: usize| if i + 1 == BACKENDS { state } else { "SERVING" };
-        let of = |(i, b): (usize, &Played)| {
+        let of = |(i, b): (usize, &ScriptedServer)| {
             let mut entry = entry(&format!("s-{i}"), b.address, state_of(i));
             entry["cell"] = json!(i / 2);
             entry
@@ -127,16 +127,16 @@
     };
     let drains = list(2, true, &entries("DRAINING")).to_string();
     let (drained_now, told) = (drained.clone(), told_at.clone());
-    let discovery = Played::new(move |_, message| {
-        if message.first.contains("since=2&") {
-            return Play::Silence(std::sync::mpsc::channel().0);
+    let discovery = ScriptedServer::new(move |_, message| {
+        if message.start_line.contains("since=2&") {
+            return ScriptedReply::NeverRespond(std::sync::mpsc::channel().0);
         }
         if !drained_now.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(50));
-            return Play::Answer(answer("200 OK", &list(1, false, &[]).to_string()));
+            return ScriptedReply::Respond(format_response("200 OK", &list(1, false, &[]).to_string()));
         }
         told.lock().unwrap().get_or_insert_with(Instant::now);
-        Play::Answer(answer("200 OK", &drains))
+        ScriptedReply::Respond(format_response("200 OK", &drains))
     });
     let proxy = Proxy::start(&settings, &list(1, true, &entries("SERVING")), discovery.address);
     let classes_of: Vec<&Class> = (0..REQUESTS).map(|_| &classes[rng.below(classes.len())]).collect();
@@ -153,7 +153,7 @@
                 let mut client = proxy.connect();
                 let begun = Instant::now();
                 client.get_mut().write_all(asked(class, tenant, *id).as_bytes()).unwrap();
-                let status = read(&mut client).map(|answer| answer.status());
+                let status = read_message(&mut client).map(|answer| answer.status());
                 (status, begun.elapsed())
             }));
         }
@@ -237,7 +237,7 @@
         assert!(!output.status.success(), "{place}");
         assert!(told.contains(place), "{place}: {told}");
         // The same at SIGHUP: what serves goes on as it was.
-        let backend = Played::good("hello");
+        let backend = ScriptedServer::always_ok("hello");
         let proxy = Proxy::before(&[&backend]);
         proxy.configure(&config);
         proxy.signal("-HUP");
--- a/crates/dewpier/tests/growth.rs
+++ b/crates/dewpier/tests/growth.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::sockets::{LONG, NEXT, Play, Played, heard};
+use common::sockets::{NEXT, ScriptedReply, ScriptedServer, WAIT_TIMEOUT, wait_for_close};
 use dewpier_http::backend::{HttpUpstream, ResponsePolicy, ReusePolicy};
 use dewpier_http::limits::Budget;
 use dewpier_http::payload::Payload;
@@ -21,13 +21,13 @@
 #[test]
 fn the_engine_forgets_a_backend_that_is_gone_once_no_attempt_is_out() {
     let (ended, end) = channel();
-    let silent = Played::new(move |_, _| Play::Silence(ended.clone()));
+    let silent = ScriptedServer::new(move |_, _| ScriptedReply::NeverRespond(ended.clone()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let upstream = HttpUpstream {
             connections: Budget::new(10),
-            connect_timeout: LONG,
-            idle_close: LONG,
+            connect_timeout: WAIT_TIMEOUT,
+            idle_close: WAIT_TIMEOUT,
             probe_path: "/-/healthy",
             reuse_policy: ReusePolicy::new(0.0),
             response_policy: ResponsePolicy::Platform,
@@ -51,7 +51,7 @@
         let id = NEXT.fetch_add(1, Ordering::SeqCst) as u64;
         let (id, _answer) = engine.submit_request(Some(id), request, payload).unwrap();
         let pause = || tokio::time::sleep(Duration::from_millis(20));
-        while silent.count() == 0 {
+        while silent.request_count() == 0 {
             pause().await;
         }
         for new in 2..50 {
@@ -73,5 +73,5 @@
             assert!(waits < 2000, "it is not forgotten");
         }
     });
-    heard(&end);
+    wait_for_close(&end);
 }
--- a/crates/dewpier/tests/levels/main.rs
+++ b/crates/dewpier/tests/levels/main.rs
@@ -31,7 +31,7 @@
             only.then(|| println!("{drain_ms} ms: {:?}", World::play(one, planned, drains)));
             return all;
         }
-        None => (0..seeds).for_each(|_| all.add(World::play(rng.number(), planned, drains))),
+        None => (0..seeds).for_each(|_| all.add(World::play(rng.next_u64(), planned, drains))),
     }
     println!("{drain_ms} ms: {all:?}");
     // The faults do reach what they are for.
--- a/crates/dewpier/tests/levels/world.rs
+++ b/crates/dewpier/tests/levels/world.rs
@@ -351,7 +351,7 @@
                 self.later(who, first, What::Tick);
             }
             Who::F(f) => {
-                let seed = self.rng.number();
+                let seed = self.rng.next_u64();
                 self.forwarders[f] = Some(Forwarder::new(self.now, seed, settings(f), slice(f), self.drains));
                 for p in 0..PLANNERS {
                     self.later(who, 0, What::Connect(p));
--- a/crates/dewpier/tests/mysql.rs
+++ b/crates/dewpier/tests/mysql.rs
@@ -1,7 +1,7 @@
 //! `dewpier serve` with a front for MySQL clients, from outside: a real client library, stand-in servers, an
 //! inventory that is rewritten, and the stop.
 
-use dewpier_standins::mysql::{Asked, MySqlServer, Reply};
+use dewpier_standins::mysql::{MySqlServer, ReceivedStatement, Reply};
 use dewpier_standins::wait_for;
 use dewpier_trials::served::*;
 use mysql::prelude::Queryable;
@@ -11,10 +11,10 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-fn answer(asked: &Asked) -> Reply {
+fn answer(asked: &ReceivedStatement) -> Reply {
     match asked.text.starts_with("SELECT") {
         true => Reply::Rows(vec!["a"], vec![vec![Some("7".into())]]),
-        false => Reply::Late(Duration::from_millis(300), Box::new(Reply::Ok(1, 0))),
+        false => Reply::Delayed(Duration::from_millis(300), Box::new(Reply::Ok(1, 0))),
     }
 }
 
@@ -82,7 +82,7 @@
     assert_eq!(servers[0].statements().len(), before);
 
     let running = std::thread::spawn(move || first.query_drop("INSERT INTO t VALUES (2)"));
-    wait_for("statement", || servers[1].count("INSERT INTO t VALUES (2)") == 1);
+    wait_for("statement", || servers[1].count_statements("INSERT INTO t VALUES (2)") == 1);
     proxy.stop();
     assert!(running.join().unwrap().is_ok(), "it was taken");
     assert!(client(address).is_err());
--- a/crates/dewpier/tests/operate.rs
+++ b/crates/dewpier/tests/operate.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-fn operated(settings: &Value, backends: &[&Played]) -> Proxy {
+fn operated(settings: &Value, backends: &[&ScriptedServer]) -> Proxy {
     let mut config = config_of(settings, &known(backends));
     config["operator"] = json!("127.0.0.1:0");
     Proxy::with(&config, quiet().address)
@@ -18,7 +18,7 @@
 
 #[test]
 fn calls_are_answered_whatever_other_callers_do() {
-    let backend = Played::good("a");
+    let backend = ScriptedServer::always_ok("a");
     let proxy = operated(&settings(), &[&backend]);
     let at = proxy.operator.unwrap();
     // Callers that say nothing, half a call, too much, or anything at all; they stay.
@@ -45,13 +45,13 @@
     let vars = proxy.call("vars");
     assert!(vars.ends_with("\nEND\n") && vars.contains("edge_relay.members=1\n"), "{vars}");
     // Who says nothing is let go.
-    stay[195].set_read_timeout(Some(LONG)).unwrap();
+    stay[195].set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     assert_eq!(stay[195].read(&mut [0; 64]).unwrap_or(0), 0);
 }
 
 #[test]
 fn without_an_address_nobody_is_listened_to() {
-    let backend = Played::good("a");
+    let backend = ScriptedServer::always_ok("a");
     let proxy = Proxy::before(&[&backend]);
     assert_eq!(proxy.operator, None);
     let listens = |table: &str| {
@@ -68,18 +68,18 @@
 
 #[test]
 fn a_drain_empties_it_and_is_undone() {
-    let backend = Played::good("a");
+    let backend = ScriptedServer::always_ok("a");
     let proxy = operated(&settings(), &[&backend]);
     let ready = "GET /-/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n";
     wait_for("a yes", || proxy.ask(ready).status() == 200);
     let (mut rests, mut mute, mut asks) = (proxy.connect(), proxy.connect(), proxy.connect());
-    assert_eq!(ask(&mut rests, &request("look", 5000)).status(), 200);
+    assert_eq!(exchange(&mut rests, &request("look", 5000)).status(), 200);
     assert!(proxy.call("drain-on").starts_with("YES"));
     assert!(proxy.call("drain-on").starts_with("YES"), "twice");
     assert_eq!(proxy.ask(ready).status(), 503);
     assert!(proxy.call("check").starts_with("NO"));
     // One that goes on is served, and told with its answer.
-    let told = ask(&mut asks, &request("look", 5000));
+    let told = exchange(&mut asks, &request("look", 5000));
     assert_eq!((told.status(), told.header("connection")), (200, Some("close")));
     // So is one that comes although it drains.
     let late = proxy.ask(&request("look", 5000));
@@ -92,14 +92,14 @@
     assert!(proxy.call("check").starts_with("YES"));
     let mut stays = proxy.connect();
     for _ in 0..2 {
-        let served = ask(&mut stays, &request("look", 5000));
+        let served = exchange(&mut stays, &request("look", 5000));
         assert_eq!((served.status(), served.header("connection")), (200, None));
     }
 }
 
 #[test]
 fn clients_that_never_pause_lose_nothing_by_drains() {
-    let backend = Played::good("a");
+    let backend = ScriptedServer::always_ok("a");
     let proxy = operated(&settings(), &[&backend]);
     wait_for("a yes", || proxy.call("check").starts_with("YES"));
     let over = AtomicBool::new(false);
@@ -108,7 +108,7 @@
             let (mut served, mut told) = (0, 0);
             let mut stream = proxy.connect();
             while !over.load(Ordering::SeqCst) {
-                let answer = ask(&mut stream, &request("order", 10_000));
+                let answer = exchange(&mut stream, &request("order", 10_000));
                 assert_eq!(answer.status(), 200);
                 served += 1;
                 if answer.header("connection") == Some("close") {
@@ -130,20 +130,22 @@
         assert!(counts.iter().all(|(_, told)| *told > 0), "{counts:?}");
         let served: u64 = counts.iter().map(|(served, _)| served).sum();
         assert_eq!(proxy.figure("downstream_requests.order.completed"), served);
-        assert_eq!(backend.count() as u64, served);
+        assert_eq!(backend.request_count() as u64, served);
     });
 }
 
 #[test]
 fn figures_are_what_the_peers_saw() {
     // One that closes instead of every fifth answer, and one that turns every third request away.
-    let spoils = Played::new(|n, _| match n % 5 {
-        0 => Play::Close,
-        _ => Play::Answer(answer("200 OK", "a")),
+    let spoils = ScriptedServer::new(|n, _| match n % 5 {
+        0 => ScriptedReply::Close,
+        _ => ScriptedReply::Respond(format_response("200 OK", "a")),
     });
-    let full = Played::new(|n, _| match n % 3 {
-        0 => Play::Answer("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n".into()),
-        _ => Play::Answer(answer("200 OK", "b")),
+    let full = ScriptedServer::new(|n, _| match n % 3 {
+        0 => ScriptedReply::Respond(
+            "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n".into(),
+        ),
+        _ => ScriptedReply::Respond(format_response("200 OK", "b")),
     });
     let proxy = operated(&settings(), &[&spoils, &full]);
     wait_for("a yes", || proxy.call("check").starts_with("YES"));
@@ -171,11 +173,11 @@
             );
         }
     }
-    assert_eq!(proxy.figure("upstream_requests"), (spoils.count() + full.count()) as u64);
+    assert_eq!(proxy.figure("upstream_requests"), (spoils.request_count() + full.request_count()) as u64);
     assert_eq!(proxy.figure("pending"), 0);
     // One whose client leaves has ended too, and one that is out is pending.
     let (ended, _hears) = std::sync::mpsc::channel();
-    let silent = Played::new(move |_, _| Play::Silence(ended.clone()));
+    let silent = ScriptedServer::new(move |_, _| ScriptedReply::NeverRespond(ended.clone()));
     let proxy = operated(&settings(), &[&silent]);
     wait_for("a yes", || proxy.call("check").starts_with("YES"));
     let mut leaves = proxy.connect();
@@ -190,7 +192,7 @@
 fn the_program_asks_one_that_serves_an_inventory() {
     let folder = std::env::temp_dir().join(format!("dw-operate-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let backend = Played::good("a");
+    let backend = ScriptedServer::always_ok("a");
     std::fs::write(folder.join("nodes.csv"), format!("id,address\na,{}\n", backend.address)).unwrap();
     let config = folder.join("dewpier.toml");
     let text = "listen = \"127.0.0.1:0\"\noperator = \"127.0.0.1:0\"\n[inventory]\nfile = \"nodes.csv\"\n";
@@ -226,7 +228,7 @@
 /// keeps nothing on a disk.
 #[test]
 fn the_platforms_program_belongs_to_no_fleet() {
-    let backend = Played::good("a");
+    let backend = ScriptedServer::always_ok("a");
     let mut config = config_of(&settings(), &known(&[&backend]));
     config["operator"] = json!("127.0.0.1:0");
     config["peers"] = json!(["127.0.0.1:9"]);
--- a/crates/dewpier/tests/plan.rs
+++ b/crates/dewpier/tests/plan.rs
@@ -2,8 +2,8 @@
 //! and comes back, all under load.
 
 use dewpier_standins::backend::Backend;
-use dewpier_standins::load::{Load, Tally};
-use dewpier_standins::{own_addresses, wait_for};
+use dewpier_standins::load::{LoadGenerator, ResponseCounts};
+use dewpier_standins::{reserve_addresses, wait_for};
 use dewpier_trials::served::*;
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -12,7 +12,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-fn load(address: SocketAddr, name: &'static str) -> Load {
+fn load(address: SocketAddr, name: &'static str) -> LoadGenerator {
     orders(address, name, 4, Duration::from_millis(1))
 }
 
@@ -38,11 +38,11 @@
             .map(|l| if drained(l) { l.replace("serving", "draining") } else { l.into() } + "\n")
             .collect()
     };
-    let mut planner = Served::planner(&own_addresses(1)[0].to_string(), &file);
+    let mut planner = Served::planner(&reserve_addresses(1)[0].to_string(), &file);
     let address = planner.address;
     let forwarders = [Served::forwarder("f0", &[address]), Served::forwarder("f1", &[address])];
     let loads = [load(forwarders[0].address, "f0"), load(forwarders[1].address, "f1")];
-    wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
+    wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
 
     // A drain: from the moment that the planner was told, by its own log.
     let lines = planner.lines();
@@ -56,7 +56,7 @@
         [&b"\xff\xff\xff\xff"[..], b"\x03\x00\x00\x00abc", b"\x00\x00\x00\x00", b"GET / HTTP/1.1\r\n\r\n"]
     {
         let mut stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(dewpier_standins::LONG)).unwrap();
+        stream.set_read_timeout(Some(dewpier_standins::WAIT_TIMEOUT)).unwrap();
         stream.write_all(nonsense).unwrap();
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer);
@@ -67,7 +67,7 @@
     planner.child.kill().unwrap();
     planner.child.wait().unwrap();
     // Which of them it goes to is the module's affair.
-    let sum = |from: usize| backends.iter().skip(from).map(Backend::count).sum::<usize>();
+    let sum = |from: usize| backends.iter().skip(from).map(Backend::request_count).sum::<usize>();
     let before = sum(1);
     wait_for("load without planner", || sum(1) > before + 500);
     assert_eq!(late(&backends[0], told), 0);
@@ -83,17 +83,17 @@
     let known = Instant::now();
     std::thread::sleep(Duration::from_millis(1200));
     assert_eq!(late(&backends[1], known), 0);
-    let before = backends[0].count();
-    wait_for("the one that is back", || backends[0].count() > before + 5);
+    let before = backends[0].request_count();
+    wait_for("the one that is back", || backends[0].request_count() > before + 5);
 
-    let mut tally = Tally::default();
+    let mut tally = ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
     // Between the end of the lease and the word that all are silent a request may be refused, which
     // is harmless; none is left without an answer.
-    assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
-    assert!(tally.served > 1000 && tally.refused < tally.served / 50, "{} refused", tally.refused);
+    assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
+    assert!(tally.served > 1000 && tally.rejected < tally.served / 50, "{} refused", tally.rejected);
     let mut orders: HashMap<String, usize> = HashMap::new();
-    for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order) {
+    for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order_id) {
         *orders.entry(order).or_default() += 1;
     }
     assert!(orders.len() > 100 && orders.values().all(|n| *n == 1), "an order ran twice");
@@ -115,7 +115,7 @@
         let settings = format!("drain_ms = 250\n{}", watched(&file));
         let forwarder = Served::forwarder_with("f0", &[planner.address], &settings);
         let load = load(forwarder.address, "f0");
-        wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
+        wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
         for drained in 0..2 {
             let text = draining(&good, drained + 1);
             let lines = planner.lines();
@@ -127,13 +127,13 @@
                 planner.child.wait().unwrap();
                 forwarder.logged(0, "backends from its own watch");
             }
-            let sum = || backends.iter().skip(2).map(Backend::count).sum::<usize>();
+            let sum = || backends.iter().skip(2).map(Backend::request_count).sum::<usize>();
             let before = sum();
             wait_for("load on the rest", || sum() > before + 300);
             assert_eq!(late_by(&backends[drained], told, bound), 0, "{planners}");
         }
         let tally = load.stop();
-        assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
+        assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
         forwarder.stop();
     }
 }
@@ -148,7 +148,7 @@
     let planner = Served::planner("127.0.0.1:0", &file);
     let forwarder = Served::forwarder("f0", &[planner.address]);
     let load = load(forwarder.address, "f0");
-    wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
+    wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
     for drained in 0..2 {
         forwarder.signal("-STOP");
         std::thread::sleep(Duration::from_millis(100)); // what it had begun is through
@@ -159,13 +159,13 @@
         std::thread::sleep(Duration::from_millis(1500));
         // Its clients' requests have been waiting in its sockets all the while.
         forwarder.signal("-CONT");
-        let sum = || backends.iter().skip(2).map(Backend::count).sum::<usize>();
+        let sum = || backends.iter().skip(2).map(Backend::request_count).sum::<usize>();
         let before = sum();
         wait_for("load on the rest", || sum() > before + 40);
         assert_eq!(late(&backends[drained], told), 0);
     }
     let tally = load.stop();
-    assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
+    assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
     forwarder.stop();
     planner.stop();
 }
@@ -193,9 +193,9 @@
     let socket = |name: &str| std::env::temp_dir().join(format!("dewpier-{}-{name}", std::process::id()));
     let forwarders: Vec<Served> =
         ["f0", "f1"].map(|name| Served::forwarder_with(name, &[address], &settings(&socket(name)))).into();
-    let loads: Vec<Load> =
+    let loads: Vec<LoadGenerator> =
         forwarders.iter().zip(["f0", "f1"]).map(|(f, name)| load(f.address, name)).collect();
-    wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
+    wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
     let shows = |words: &[&str]| {
         let shown = Command::new(env!("CARGO_BIN_EXE_dewpier"))
             .args(["plan", "show", "--config"])
@@ -216,9 +216,9 @@
         forwarder.logged(0, "backends from its own watch");
     }
     shows(&["f0: by own watch", "it holds for ", "draining"]);
-    let before: usize = backends.iter().skip(1).map(Backend::count).sum();
+    let before: usize = backends.iter().skip(1).map(Backend::request_count).sum();
     wait_for("load by its own watch", || {
-        backends.iter().skip(1).map(Backend::count).sum::<usize>() > before + 500
+        backends.iter().skip(1).map(Backend::request_count).sum::<usize>() > before + 500
     });
     assert_eq!(late(&backends[0], told), 0);
     let lines: Vec<usize> = forwarders.iter().map(Served::lines).collect();
@@ -234,14 +234,14 @@
     for forwarder in &forwarders {
         forwarder.logged(0, "planners are back");
     }
-    let counts = || backends.iter().skip(2).map(Backend::count).collect::<Vec<_>>();
+    let counts = || backends.iter().skip(2).map(Backend::request_count).collect::<Vec<_>>();
     let before = counts();
     wait_for("load by planners", || counts().iter().zip(&before).all(|(now, then)| *now > then + 50));
     assert_eq!((late(&backends[0], told), late(&backends[1], told_two)), (0, 0));
-    let mut tally = Tally::default();
+    let mut tally = ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
-    assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
-    assert!(tally.refused <= 20, "{} of {} refused", tally.refused, tally.all());
+    assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
+    assert!(tally.rejected <= 20, "{} of {} refused", tally.rejected, tally.total());
     forwarders.into_iter().for_each(Served::stop);
     again.stop();
     ["f0", "f1"].iter().for_each(|name| std::fs::remove_file(socket(name)).unwrap());
--- a/crates/dewpier/tests/planners.rs
+++ b/crates/dewpier/tests/planners.rs
@@ -2,9 +2,9 @@
 //! by one and all at once while nodes drain, under load.
 
 use dewpier_standins::backend::Backend;
-use dewpier_standins::load::{Load, Tally};
+use dewpier_standins::load::{LoadGenerator, ResponseCounts};
 use dewpier_standins::relay::Relay;
-use dewpier_standins::{own_addresses, wait_for};
+use dewpier_standins::{reserve_addresses, wait_for};
 use dewpier_trials::served::*;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 
 impl Places {
     fn new() -> Self {
-        let mut listen = own_addresses(6);
+        let mut listen = reserve_addresses(6);
         let talk = listen.split_off(3);
         Self { listen, talk }
     }
@@ -44,7 +44,7 @@
     planner.child.wait().unwrap();
 }
 
-fn load(address: SocketAddr, name: &'static str) -> Load {
+fn load(address: SocketAddr, name: &'static str) -> LoadGenerator {
     orders(address, name, 2, Duration::from_millis(2))
 }
 
@@ -63,7 +63,7 @@
 
 fn orders_ran_once(backends: &[Backend]) {
     let mut orders: HashMap<String, usize> = HashMap::new();
-    for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order) {
+    for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order_id) {
         *orders.entry(order).or_default() += 1;
     }
     assert!(orders.len() > 100 && orders.values().all(|n| *n == 1), "an order ran twice");
@@ -80,8 +80,9 @@
     let mut planners: Vec<Served> = (0..3).map(|n| places.start(n, &file)).collect();
     agree(&planners, 0);
     let forwarders: Vec<Served> = ["f0", "f1"].map(|f| Served::forwarder(f, &places.listen)).into();
-    let loads: Vec<Load> = forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| load(f.address, n)).collect();
-    wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
+    let loads: Vec<LoadGenerator> =
+        forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| load(f.address, n)).collect();
+    wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
     let mut told = Vec::new();
     for n in 0..3 {
         // Each is told of a drain and killed in that moment. The two others go on.
@@ -102,13 +103,13 @@
     // What drained comes back, once all three say so.
     replace(&file, good.as_bytes());
     agree(&planners, 0);
-    let counts = |from: usize| backends.iter().take(from).map(Backend::count).sum::<usize>();
+    let counts = |from: usize| backends.iter().take(from).map(Backend::request_count).sum::<usize>();
     let before = counts(3);
     wait_for("those that are back", || counts(3) > before + 5);
-    let mut tally = Tally::default();
+    let mut tally = ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
-    assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
-    assert!(tally.served > 500 && tally.refused <= 4, "{} of {} refused", tally.refused, tally.all());
+    assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
+    assert!(tally.served > 500 && tally.rejected <= 4, "{} of {} refused", tally.rejected, tally.total());
     orders_ran_once(&backends);
     forwarders.into_iter().chain(planners).for_each(Served::stop);
 }
@@ -126,8 +127,9 @@
     let own = watched(&file);
     let forwarders: Vec<Served> =
         ["f0", "f1"].map(|f| Served::forwarder_with(f, &places.listen, &own)).into();
-    let loads: Vec<Load> = forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| load(f.address, n)).collect();
-    wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
+    let loads: Vec<LoadGenerator> =
+        forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| load(f.address, n)).collect();
+    wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
     let lines: Vec<usize> = planners.iter().map(Served::lines).collect();
     replace(&file, drained(&good, &[0]).as_bytes());
     let told = planners.iter().zip(&lines).map(|(p, from)| p.logged(*from, "backends from").0).min().unwrap();
@@ -157,10 +159,10 @@
     let (told_three, _) = planners[1].logged(lines, "backends from");
     std::thread::sleep(Duration::from_millis(1000));
     assert_eq!(late(&backends[2], told_three), 0);
-    let mut tally = Tally::default();
+    let mut tally = ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
-    assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
-    assert!(tally.served > 500 && tally.refused <= 8, "{} of {} refused", tally.refused, tally.all());
+    assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
+    assert!(tally.served > 500 && tally.rejected <= 8, "{} of {} refused", tally.rejected, tally.total());
     orders_ran_once(&backends);
     forwarders.into_iter().chain(planners).for_each(Served::stop);
 }
@@ -187,8 +189,9 @@
         .collect();
     agree(&planners, 0);
     let forwarders: Vec<Served> = ["f0", "f1"].map(|f| Served::forwarder(f, &places.listen)).into();
-    let loads: Vec<Load> = forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| load(f.address, n)).collect();
-    wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
+    let loads: Vec<LoadGenerator> =
+        forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| load(f.address, n)).collect();
+    wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
     let mut drained_nodes: Vec<(usize, Instant)> = Vec::new();
     let write = |at: &[usize], drains: &[usize]| {
         let lines: Vec<usize> = at.iter().map(|n| planners[*n].lines()).collect();
@@ -200,8 +203,8 @@
         let others: Vec<usize> = (0..3).filter(|n| *n != alone).collect();
         let cut = |on: bool| {
             for other in &others {
-                own_ways[*other].cut(on && alone != 1, on);
-                ways[*other][alone].cut(on && alone != 1, on);
+                own_ways[*other].set_blocked(on && alone != 1, on);
+                ways[*other][alone].set_blocked(on && alone != 1, on);
             }
         };
         let before: Vec<usize> = drained_nodes.iter().map(|(node, _)| *node).collect();
@@ -231,12 +234,12 @@
     }
     write(&[0, 1, 2], &[]);
     agree(&planners, 0);
-    let before = backends[0].count();
-    wait_for("those that are back", || backends[0].count() > before + 2);
-    let mut tally = Tally::default();
+    let before = backends[0].request_count();
+    wait_for("those that are back", || backends[0].request_count() > before + 2);
+    let mut tally = ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
-    assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
-    assert!(tally.served > 500 && tally.refused <= 8, "{} of {} refused", tally.refused, tally.all());
+    assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
+    assert!(tally.served > 500 && tally.rejected <= 8, "{} of {} refused", tally.rejected, tally.total());
     orders_ran_once(&backends);
     forwarders.into_iter().chain(planners).for_each(Served::stop);
 }
@@ -254,7 +257,7 @@
     agree(&planners, 0);
     let forwarder = Served::forwarder("f0", &places.listen);
     let load = load(forwarder.address, "f0");
-    wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
+    wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
     let lines = planners[2].lines();
     replace(&files[2], drained(&good, &[0]).as_bytes());
     let (told, _) = planners[2].logged(lines, "backends from");
@@ -269,10 +272,10 @@
     drop(gone);
     agree(&planners, 1);
     assert!(at.elapsed() > Duration::from_millis(2500), "it was expelled after {:?}", at.elapsed());
-    let before = backends[0].count();
-    wait_for("the one that only the dead one had drained", || backends[0].count() > before + 2);
+    let before = backends[0].request_count();
+    wait_for("the one that only the dead one had drained", || backends[0].request_count() > before + 2);
     let tally = load.stop();
-    assert_eq!((tally.failed, tally.lost, tally.refused), (0, 0, 0), "of {}", tally.all());
+    assert_eq!((tally.failed, tally.unanswered, tally.rejected), (0, 0, 0), "of {}", tally.total());
     planners.push(forwarder);
     planners.into_iter().for_each(Served::stop);
 }
@@ -293,8 +296,8 @@
     let settings = format!("nodes = {PART}\n{}", watched(&file));
     let forwarder = Served::forwarder_with("f0", &places.listen, &settings);
     let load = load(forwarder.address, "f0");
-    let used = || -> Vec<usize> { (0..24).filter(|i| backends[*i].count() > 0).collect() };
-    wait_for("load", || backends.iter().map(Backend::count).sum::<usize>() > 500);
+    let used = || -> Vec<usize> { (0..24).filter(|i| backends[*i].request_count() > 0).collect() };
+    wait_for("load", || backends.iter().map(Backend::request_count).sum::<usize>() > 500);
     let first = used();
     assert!((2..=PART).contains(&first.len()), "{first:?}");
     // One that it uses drains: the next one takes its place.
@@ -307,9 +310,9 @@
     assert_eq!(late(&backends[drains], told), 0);
     planners.iter_mut().for_each(kill);
     forwarder.logged(0, "from its own watch");
-    let before: Vec<usize> = backends.iter().map(Backend::count).collect();
+    let before: Vec<usize> = backends.iter().map(Backend::request_count).collect();
     wait_for("load by its own watch", || {
-        backends.iter().zip(&before).map(|(b, n)| b.count() - n).sum::<usize>() > 500
+        backends.iter().zip(&before).map(|(b, n)| b.request_count() - n).sum::<usize>() > 500
     });
     assert_eq!(late(&backends[drains], told), 0);
     let last = used();
@@ -318,8 +321,8 @@
     let descriptors = descriptors.unwrap_or(0); // told where the system tells it
     assert!(descriptors < 64, "{descriptors} descriptors for {PART} nodes");
     let tally = load.stop();
-    assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
-    assert!(tally.refused <= 4, "{} of {} refused", tally.refused, tally.all());
+    assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
+    assert!(tally.rejected <= 4, "{} of {} refused", tally.rejected, tally.total());
     orders_ran_once(&backends);
     forwarder.stop();
 }
@@ -337,21 +340,23 @@
     let forwarders: Vec<Served> = ["f0", "f1", "f2"]
         .map(|f| Served::forwarder_with(f, &places.listen, "[backends]\ncold_ms = 4000\n"))
         .into();
-    let loads: Vec<Load> =
+    let loads: Vec<LoadGenerator> =
         forwarders.iter().zip(["f0", "f1", "f2"]).map(|(f, n)| load(f.address, n)).collect();
-    wait_for("load on all", || backends.iter().take(6).all(|b| b.count() > 200));
+    wait_for("load on all", || backends.iter().take(6).all(|b| b.request_count() > 200));
     replace(&file, table(&backends).as_bytes());
-    wait_for("the new one", || backends[6].count() > 0);
+    wait_for("the new one", || backends[6].request_count() > 0);
     let (from, to) = (Instant::now(), Duration::from_secs(2));
     std::thread::sleep(to);
-    let within = |b: &Backend| b.arrivals().iter().filter(|a| a.at >= from && a.at < from + to).count();
+    let within = |b: &Backend| {
+        b.arrivals().iter().filter(|a| a.received_at >= from && a.received_at < from + to).count()
+    };
     let cold = within(&backends[6]);
     let usual = backends.iter().take(6).map(within).sum::<usize>() / 6;
     // A fifth at first and three fifths after two seconds of four, times 3, is what tips it over.
     assert!(cold <= 3 * 2 * usual / 5, "{cold} against {usual}");
     assert!(cold > 0 && usual > 50, "{cold} against {usual}");
-    let mut tally = Tally::default();
+    let mut tally = ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
-    assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
+    assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
     forwarders.into_iter().chain(planners).for_each(Served::stop);
 }
--- a/crates/dewpier/tests/proxy.rs
+++ b/crates/dewpier/tests/proxy.rs
@@ -19,14 +19,17 @@
 
 #[test]
 fn a_request_goes_on_unchanged_and_so_does_its_answer() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::before(&[&backend]);
     assert_eq!(proxy.ask("GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n").status(), 200);
     let text = request("save", 9000);
     let answer = proxy.ask(&text);
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"hello".as_slice()));
-    let seen = backend.requests.lock().unwrap()[0].clone();
-    assert_eq!((seen.first.as_str(), seen.body.as_slice()), ("POST /api?q=1 HTTP/1.1", b"body".as_slice()));
+    let seen = backend.received_requests.lock().unwrap()[0].clone();
+    assert_eq!(
+        (seen.start_line.as_str(), seen.body.as_slice()),
+        ("POST /api?q=1 HTTP/1.1", b"body".as_slice())
+    );
     assert!(text.contains(&format!("X-Txn: {}\r\n", seen.header("x-txn").unwrap())));
     assert_eq!(seen.header("idempotency-key"), Some("5c0f6e1a"));
     let left: u64 = seen.header("x-remaining-ms").unwrap().parse().unwrap();
@@ -35,7 +38,7 @@
 
 #[test]
 fn what_is_malformed_gets_a_plain_4xx() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::before(&[&backend]);
     let good = request("look", 9000);
     for (from, to) in [
@@ -47,7 +50,7 @@
     ] {
         assert_eq!(proxy.ask(&good.replace(from, to)).status(), 400, "{to}");
     }
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
     assert_eq!(proxy.ask(&good).status(), 200);
 }
 
@@ -66,11 +69,12 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed_and_not_sent_again() {
-    let backends = [Played::new(|_, _| Play::Close), Played::new(|_, _| Play::Close)];
+    let backends =
+        [ScriptedServer::new(|_, _| ScriptedReply::Close), ScriptedServer::new(|_, _| ScriptedReply::Close)];
     let proxy = Proxy::before(&[&backends[0], &backends[1]]);
     let status = proxy.ask(&request("order", 9000)).status();
     assert!(status != 200 && status != 429 && status != 503, "{status}");
-    assert_eq!(backends[0].count() + backends[1].count(), 1);
+    assert_eq!(backends[0].request_count() + backends[1].request_count(), 1);
 }
 
 #[test]
@@ -84,29 +88,31 @@
 #[test]
 fn a_connection_that_the_backend_has_closed_is_not_used_again() {
     let (closed, end) = channel();
-    let backend = Played::new(move |_, _| Play::AnswerAndClose(answer("200 OK", "hello"), closed.clone()));
+    let backend = ScriptedServer::new(move |_, _| {
+        ScriptedReply::RespondAndClose(format_response("200 OK", "hello"), closed.clone())
+    });
     let proxy = Proxy::before(&[&backend]);
     for _ in 0..5 {
         assert_eq!(proxy.ask(&request("order", 9000)).status(), 200);
-        heard(&end);
+        wait_for_close(&end);
     }
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 5);
+    assert_eq!(backend.connection_count.load(Ordering::SeqCst), 5);
 }
 
 #[test]
 fn a_connection_is_used_again() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::before(&[&backend]);
     for _ in 0..10 {
         assert_eq!(proxy.ask(&request("order", 9000)).status(), 200);
         std::thread::sleep(Duration::from_millis(100)); // not before it has settled
     }
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 1);
+    assert_eq!(backend.connection_count.load(Ordering::SeqCst), 1);
 }
 
 #[test]
 fn a_connection_near_the_idle_limit_is_not_used_again() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let mut settings = settings();
     settings["caps"]["idle-close"] = json!(0.2);
     let proxy = Proxy::start(&settings, &known(&[&backend]), quiet().address);
@@ -114,45 +120,45 @@
         assert_eq!(proxy.ask(&request("order", 9000)).status(), 200);
         std::thread::sleep(Duration::from_millis(180));
     }
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 2);
+    assert_eq!(backend.connection_count.load(Ordering::SeqCst), 2);
 }
 
 #[test]
 fn a_silent_backend_leaves_no_client_without_an_answer() {
     let (ended, end) = channel();
-    let backend = Played::new(move |_, _| Play::Silence(ended.clone()));
+    let backend = ScriptedServer::new(move |_, _| ScriptedReply::NeverRespond(ended.clone()));
     let proxy = Proxy::before(&[&backend]);
     let start = Instant::now();
     let status = proxy.ask(&request("order", 1500)).status();
     assert!(status != 200 && status != 429 && status != 503, "{status}");
     // The proxy counts from when it reads the request, which on a busy machine is later than here.
     assert!(start.elapsed() < Duration::from_millis(2000), "{:?}", start.elapsed());
-    heard(&end);
+    wait_for_close(&end);
 }
 
 #[test]
 fn an_attempt_ends_when_its_client_leaves() {
     let (ended, end) = channel();
-    let backend = Played::new(move |_, _| Play::Silence(ended.clone()));
+    let backend = ScriptedServer::new(move |_, _| ScriptedReply::NeverRespond(ended.clone()));
     let proxy = Proxy::before(&[&backend]);
     let mut client = proxy.connect();
     client.get_mut().write_all(request("order", 20_000).as_bytes()).unwrap();
-    wait_for("attempt", || backend.count() == 1);
+    wait_for("attempt", || backend.request_count() == 1);
     let left = Instant::now();
     drop(client);
-    heard(&end);
+    wait_for_close(&end);
     assert!(left.elapsed() < Duration::from_secs(10));
 }
 
 #[test]
 fn sigterm_loses_nothing_that_was_taken() {
-    let (backend, release) = Played::held("hello");
+    let (backend, release) = ScriptedServer::with_held_response("hello");
     let mut proxy = Proxy::before(&[&backend]);
     let mut idle = proxy.connect();
-    assert_eq!(ask(&mut idle, "GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n").status(), 200);
+    assert_eq!(exchange(&mut idle, "GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n").status(), 200);
     let mut busy = proxy.connect();
     busy.get_mut().write_all(request("order", 20_000).as_bytes()).unwrap();
-    wait_for("attempt", || backend.count() == 1);
+    wait_for("attempt", || backend.request_count() == 1);
     proxy.signal("-TERM");
     // Requests on old connections and on new ones are served on, each more than once, and the
     // connections then end.
@@ -161,20 +167,20 @@
     let [first, unused] = &mut new;
     for stream in [0, 1, 0, 1] {
         let stream = if stream == 0 { &mut idle } else { &mut *first };
-        assert_eq!(ask(stream, &request("look", 20_000)).status(), 200);
+        assert_eq!(exchange(stream, &request("look", 20_000)).status(), 200);
     }
     for stream in [&mut idle, first, unused] {
-        assert!(read(stream).is_none(), "an idle connection is ended");
+        assert!(read_message(stream).is_none(), "an idle connection is ended");
     }
     release.send(()).unwrap();
-    assert_eq!(read(&mut busy).expect("an answer").status(), 200);
+    assert_eq!(read_message(&mut busy).expect("an answer").status(), 200);
     wait_for("exit", || proxy.child.try_wait().unwrap().is_some());
     assert_eq!(proxy.child.wait().unwrap().code(), Some(0));
 }
 
 #[test]
 fn a_request_that_never_comes_whole_does_not_hold_up_the_exit() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let mut proxy = Proxy::before(&[&backend]);
     let mut slow = proxy.connect();
     slow.get_mut().write_all(request("look", 9000).strip_suffix("dy").unwrap().as_bytes()).unwrap();
@@ -187,14 +193,14 @@
 
 #[test]
 fn nothing_goes_out_on_a_connection_that_comes_up_after_the_grace() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let attempt = |last_send: Option<f64>| {
         let connections = Budget::new(4);
         let http = HttpUpstream {
             connections,
-            connect_timeout: LONG,
-            idle_close: LONG,
+            connect_timeout: WAIT_TIMEOUT,
+            idle_close: WAIT_TIMEOUT,
             probe_path: "/",
             reuse_policy: ReusePolicy::new(0.0),
             response_policy: ResponsePolicy::Platform,
@@ -224,29 +230,29 @@
         runtime.block_on(attempted).outcome
     };
     assert_eq!(attempt(Some(0.0)), Outcome::NoConnection);
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
     assert_eq!(attempt(None), Outcome::Served);
 }
 
 #[test]
 fn discovery_that_talks_nonsense_is_asked_again_and_the_last_list_kept() {
-    let (old, new) = (Played::good("old"), Played::good("new"));
+    let (old, new) = (ScriptedServer::always_ok("old"), ScriptedServer::always_ok("new"));
     let news = list(2, false, &[entry("s-0", old.address, "DELETED"), entry("s-1", new.address, "SERVING")]);
     let good = Arc::new(AtomicUsize::new(0));
     let (may, told) = (good.clone(), news.to_string());
-    let discovery = Played::new(move |before, _| match (before, may.load(Ordering::SeqCst)) {
-        (0, _) => Play::Close,
-        (1, _) => Play::Answer(answer("503 Service Unavailable", "")),
-        (_, 0) => Play::Answer(answer("200 OK", "{\"generation\":")),
-        (_, 1) => Play::Answer(answer("200 OK", &told)),
-        _ => Play::Silence(channel().0),
+    let discovery = ScriptedServer::new(move |before, _| match (before, may.load(Ordering::SeqCst)) {
+        (0, _) => ScriptedReply::Close,
+        (1, _) => ScriptedReply::Respond(format_response("503 Service Unavailable", "")),
+        (_, 0) => ScriptedReply::Respond(format_response("200 OK", "{\"generation\":")),
+        (_, 1) => ScriptedReply::Respond(format_response("200 OK", &told)),
+        _ => ScriptedReply::NeverRespond(channel().0),
     });
     let proxy = Proxy::start(&settings(), &known(&[&old]), discovery.address);
-    wait_for("further call", || discovery.count() >= 3);
+    wait_for("further call", || discovery.request_count() >= 3);
     assert_eq!(proxy.ask(&request("look", 20_000)).body, b"old");
     good.store(1, Ordering::SeqCst);
-    let asked_for_more = |m: &Message| m.first.contains("since=2&");
-    wait_for("list", || discovery.requests.lock().unwrap().iter().any(asked_for_more));
+    let asked_for_more = |m: &Message| m.start_line.contains("since=2&");
+    wait_for("list", || discovery.received_requests.lock().unwrap().iter().any(asked_for_more));
     assert_eq!(proxy.ask(&request("look", 20_000)).body, b"new");
 }
 
@@ -262,38 +268,38 @@
 fn a_pushed_watch_that_falls_silent_is_made_again_before_its_news_count_as_told() {
     // They count as told 2 s after the wait that the call named. It named 10 s and was waited for as long as
     // that and 2 s more, so that a drain was known only after it had counted.
-    let (old, new) = (Played::good("old"), Played::good("new"));
+    let (old, new) = (ScriptedServer::always_ok("old"), ScriptedServer::always_ok("new"));
     let all = list(7, true, &[entry("s-1", new.address, "SERVING")]).to_string();
-    let discovery = Played::new(move |before, _| match before {
-        1 => Play::Answer(answer("200 OK", &all)),
-        _ => Play::Silence(channel().0),
+    let discovery = ScriptedServer::new(move |before, _| match before {
+        1 => ScriptedReply::Respond(format_response("200 OK", &all)),
+        _ => ScriptedReply::NeverRespond(channel().0),
     });
     let proxy = Proxy::start(&settings(), &known(&[&old]), discovery.address);
-    wait_for("third call", || discovery.count() >= 3);
-    let calls = discovery.requests.lock().unwrap();
-    let waits: Vec<(u64, u64)> = calls.iter().map(|call| since_and_wait(&call.first)).collect();
-    assert!(waits[0].0 == 1 && (1..=2000).contains(&waits[0].1), "{}", calls[0].first);
-    assert_eq!(waits[1], (1, 0), "{}", calls[1].first);
-    assert!(waits[2].0 == 7 && (1..=2000).contains(&waits[2].1), "{}", calls[2].first);
+    wait_for("third call", || discovery.request_count() >= 3);
+    let calls = discovery.received_requests.lock().unwrap();
+    let waits: Vec<(u64, u64)> = calls.iter().map(|call| since_and_wait(&call.start_line)).collect();
+    assert!(waits[0].0 == 1 && (1..=2000).contains(&waits[0].1), "{}", calls[0].start_line);
+    assert_eq!(waits[1], (1, 0), "{}", calls[1].start_line);
+    assert!(waits[2].0 == 7 && (1..=2000).contains(&waits[2].1), "{}", calls[2].start_line);
     drop(calls);
     assert_eq!(proxy.ask(&request("look", 20_000)).body, b"new");
 }
 
 #[test]
 fn where_the_list_must_be_asked_for_a_call_that_failed_is_made_again() {
-    let (old, new) = (Played::good("old"), Played::good("new"));
+    let (old, new) = (ScriptedServer::always_ok("old"), ScriptedServer::always_ok("new"));
     let all = list(7, true, &[entry("s-1", new.address, "SERVING")]).to_string();
-    let discovery = Played::new(move |before, _| match before {
-        0 | 1 => Play::Answer(answer("503 Service Unavailable", "")),
-        2 => Play::Answer(answer("200 OK", &all)),
-        _ => Play::Silence(channel().0),
+    let discovery = ScriptedServer::new(move |before, _| match before {
+        0 | 1 => ScriptedReply::Respond(format_response("503 Service Unavailable", "")),
+        2 => ScriptedReply::Respond(format_response("200 OK", &all)),
+        _ => ScriptedReply::NeverRespond(channel().0),
     });
     let mut settings = settings();
     settings["registry-mode"] = json!("subscribe");
     settings["rules"]["ask-within"] = json!(1.0);
     let proxy = Proxy::start(&settings, &known(&[&old]), discovery.address);
-    wait_for("further watch", || discovery.count() >= 4);
-    let watch = discovery.requests.lock().unwrap()[3].first.clone();
+    wait_for("further watch", || discovery.request_count() >= 4);
+    let watch = discovery.received_requests.lock().unwrap()[3].start_line.clone();
     let (since, wait) = since_and_wait(&watch);
     assert!(since == 7 && (1..=1000).contains(&wait), "{watch}");
     assert_eq!(proxy.ask(&request("look", 20_000)).body, b"new");
@@ -301,13 +307,17 @@
 
 #[test]
 fn a_list_that_stalls_half_way_is_asked_for_again_long_before_its_wait_is_over() {
-    let (old, new) = (Played::good("old"), Played::good("new"));
+    let (old, new) = (ScriptedServer::always_ok("old"), ScriptedServer::always_ok("new"));
     let news = list(2, false, &[entry("s-0", old.address, "DELETED"), entry("s-1", new.address, "SERVING")]);
-    let whole = answer("200 OK", &news.to_string());
-    let discovery = Played::new(move |before, _| match before {
-        0 => Play::AnswerThen(whole[..whole.len() / 2].to_string(), 4 * LONG, String::new()),
-        1 => Play::Answer(whole.clone()),
-        _ => Play::Silence(channel().0),
+    let whole = format_response("200 OK", &news.to_string());
+    let discovery = ScriptedServer::new(move |before, _| match before {
+        0 => ScriptedReply::RespondInTwoParts(
+            whole[..whole.len() / 2].to_string(),
+            4 * WAIT_TIMEOUT,
+            String::new(),
+        ),
+        1 => ScriptedReply::Respond(whole.clone()),
+        _ => ScriptedReply::NeverRespond(channel().0),
     });
     let mut settings = settings();
     settings["registry-mode"] = json!("subscribe");
@@ -315,5 +325,5 @@
     settings["rules"]["ask-within"] = json!(40.0);
     let proxy = Proxy::start(&settings, &known(&[&old]), discovery.address);
     wait_for("the new list", || proxy.ask(&request("look", 20_000)).body == b"new");
-    assert!(discovery.count() >= 2);
+    assert!(discovery.request_count() >= 2);
 }
--- a/crates/dewpier/tests/reload.rs
+++ b/crates/dewpier/tests/reload.rs
@@ -7,22 +7,24 @@
 use std::sync::mpsc::channel;
 
 /// A discovery that has this list, whole, and nothing newer: a call that names another version is told all of it.
-fn having(generation: u64, backend: &Played) -> Played {
+fn having(generation: u64, backend: &ScriptedServer) -> ScriptedServer {
     let all =
         list(generation, true, &[entry(&format!("s-{generation}"), backend.address, "SERVING")]).to_string();
-    Played::new(move |_, message| match message.first.contains(&format!("since={generation}&")) {
-        false => Play::Answer(answer("200 OK", &all)),
-        true => Play::Silence(channel().0),
+    ScriptedServer::new(move |_, message| {
+        match message.start_line.contains(&format!("since={generation}&")) {
+            false => ScriptedReply::Respond(format_response("200 OK", &all)),
+            true => ScriptedReply::NeverRespond(channel().0),
+        }
     })
 }
 
 #[test]
 fn on_sighup_the_list_comes_from_the_discovery_that_the_file_names() {
-    let backends = ["old", "new", "newest"].map(Played::good);
+    let backends = ["old", "new", "newest"].map(ScriptedServer::always_ok);
     let mut config = config_of(&settings(), &known(&[&backends[0]]));
     let first = quiet();
     let mut proxy = Proxy::with(&config, first.address);
-    wait_for("watch", || first.count() == 1);
+    wait_for("watch", || first.request_count() == 1);
     assert_eq!(proxy.ask(&request("look", 9000)).body, b"old");
     // The versions of the next one are lower: they say nothing beside those of the first.
     let mut discoveries = Vec::new();
@@ -32,10 +34,18 @@
         proxy.configure(&config);
         proxy.signal("-HUP");
         wait_for("list", || proxy.ask(&request("look", 9000)).body == name.as_bytes());
-        wait_for("watch", || discovery.count() >= 2);
-        let requests = discovery.requests.lock().unwrap().clone();
-        assert!(requests[0].first.starts_with("GET /api/targets?since=0&"), "{}", requests[0].first);
-        assert!(requests[1].first.contains(&format!("since={generation}&")), "{}", requests[1].first);
+        wait_for("watch", || discovery.request_count() >= 2);
+        let requests = discovery.received_requests.lock().unwrap().clone();
+        assert!(
+            requests[0].start_line.starts_with("GET /api/targets?since=0&"),
+            "{}",
+            requests[0].start_line
+        );
+        assert!(
+            requests[1].start_line.contains(&format!("since={generation}&")),
+            "{}",
+            requests[1].start_line
+        );
         discoveries.push(discovery);
     }
     // What can't be used changes nothing, also several times and during a stop.
@@ -53,18 +63,20 @@
 #[test]
 fn a_discovery_that_knows_no_watch_from_the_beginning_is_asked_for_its_list() {
     for refuses in [true, false] {
-        let backends = ["old", "new"].map(Played::good);
+        let backends = ["old", "new"].map(ScriptedServer::always_ok);
         let all = list(5, true, &[entry("s-new", backends[1].address, "SERVING")]).to_string();
         let part = backends[0].address;
-        let discovery = Played::new(move |_, message| match message.first.as_str() {
-            "GET /api/targets HTTP/1.1" => Play::Answer(answer("200 OK", &all)),
-            first if first.contains("since=0&") && refuses => Play::Answer(answer("400 Bad Request", "")),
+        let discovery = ScriptedServer::new(move |_, message| match message.start_line.as_str() {
+            "GET /api/targets HTTP/1.1" => ScriptedReply::Respond(format_response("200 OK", &all)),
+            first if first.contains("since=0&") && refuses => {
+                ScriptedReply::Respond(format_response("400 Bad Request", ""))
+            }
             first if first.contains("since=0&") => {
                 // What changed there since the beginning, and not all that there is.
                 let part = list(5, false, &[entry("s-part", part, "SERVING")]);
-                Play::Answer(answer("200 OK", &part.to_string()))
+                ScriptedReply::Respond(format_response("200 OK", &part.to_string()))
             }
-            _ => Play::Silence(channel().0),
+            _ => ScriptedReply::NeverRespond(channel().0),
         });
         let mut config = config_of(&settings(), &known(&[&backends[0]]));
         let proxy = Proxy::with(&config, quiet().address);
--- a/crates/dewpier/tests/rulings.rs
+++ b/crates/dewpier/tests/rulings.rs
@@ -1,7 +1,7 @@
 //! What an operator says of a node at one of eight processes holds at all that hear it, ends everywhere in time, and is
 //! heard by who starts anew.
 
-use dewpier_standins::mesh::Way;
+use dewpier_standins::mesh::LinkFaults;
 use dewpier_standins::wait_for;
 use dewpier_trials::schedule::Size;
 use dewpier_trials::stage::{Settings, Stage};
@@ -22,9 +22,9 @@
 
 /// Proxies that have sent to a node since then.
 fn senders(stage: &Stage, node: usize, since: Instant) -> Vec<String> {
-    let arrivals = stage.nodes[node].arrivals().into_iter().filter(|a| a.at > since);
+    let arrivals = stage.nodes[node].arrivals().into_iter().filter(|a| a.received_at > since);
     let mut senders: Vec<String> =
-        arrivals.filter_map(|a| Some(a.order?.split('-').next()?.to_string())).collect();
+        arrivals.filter_map(|a| Some(a.order_id?.split('-').next()?.to_string())).collect();
     senders.sort();
     senders.dedup();
     senders
@@ -59,7 +59,7 @@
     assert!(says(&stage, 1, "avoid 8 pricing-05").starts_with("YES"));
     let ends = Instant::now() + Duration::from_secs(8);
     wait_for("all to go by it", || all(&|p| out(&stage, p, 5)));
-    stage.mesh.set(Way { cut: true, ..Way::default() }, |_, to| to == 6);
+    stage.mesh.set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |_, to| to == 6);
     assert!(says(&stage, 4, "as-seen pricing-05").starts_with("YES"));
     wait_for("it to be taken back", || all(&|p| p == 6 || !out(&stage, p, 5)));
     assert!(Instant::now() > ends || out(&stage, 6, 5), "it can't have heard");
@@ -67,7 +67,7 @@
     std::thread::sleep(settings().every + SLACK);
     assert!(!out(&stage, 6, 5), "it goes by it after its end");
     // Heard again by who starts with nothing, and it may be taken back there.
-    stage.mesh.set(Way::default(), |_, _| true);
+    stage.mesh.set_faults(LinkFaults::default(), |_, _| true);
     stage.restart(2);
     wait_for("the new process to hear", || {
         (0..3).all(|node| stage.held(2).is_some() && out(&stage, 2, node))
@@ -86,7 +86,7 @@
     assert!(says(&stage, 3, "trust 600 pricing-01").starts_with("YES"));
     let trusted = |p: usize| says(&stage, p, "verdicts").contains("pricing-01: trust");
     wait_for("all to hear", || (0..PROXIES).all(trusted));
-    stage.nodes[1].fail(true);
+    stage.nodes[1].set_failing(true);
     let judged =
         |p: usize| stage.held(p).is_some_and(|h| h.iter().any(|h| h.node == 1 && h.kind == "failing"));
     wait_for("a verdict", || (0..PROXIES).any(judged));
--- a/crates/dewpier/tests/secured.rs
+++ b/crates/dewpier/tests/secured.rs
@@ -3,7 +3,7 @@
 use dewpier_plan::io::{CertificateFiles, Planner, Role, Security};
 use dewpier_plan::{Node, Plan, Version};
 use dewpier_standins::backend::Backend;
-use dewpier_standins::{LONG, own_addresses, wait_for};
+use dewpier_standins::{WAIT_TIMEOUT, reserve_addresses, wait_for};
 use dewpier_trials::served::*;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use std::io::{Read, Write};
@@ -79,7 +79,7 @@
         if let Ok(mut stream) = Security::read(files).unwrap().connect(stream, Role::Planner).await {
             let _ = stream.write_all(says).await;
             let _ = stream.flush().await;
-            let _ = tokio::time::timeout(LONG, stream.read_to_end(&mut answer)).await.unwrap();
+            let _ = tokio::time::timeout(WAIT_TIMEOUT, stream.read_to_end(&mut answer)).await.unwrap();
         }
         answer
     })
@@ -93,14 +93,14 @@
     let good = table(&backends);
     std::fs::write(&file, &good).unwrap();
     let (ours, theirs) = (Authority::new("ours"), Authority::new("theirs"));
-    let talk = own_addresses(3);
+    let talk = reserve_addresses(3);
     let planners: Vec<Served> = (0..3).map(|n| planner(n, &talk, &ours, &file)).collect();
     let addresses: Vec<SocketAddr> = planners.iter().map(|p| p.address).collect();
     let settings = ours.settings("planners.tls", "forwarder");
     let forwarder = Served::forwarder_with("f0", &addresses, &settings);
     let ask = |n: usize| {
         let mut stream = TcpStream::connect(forwarder.address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         write!(stream, "GET /{n} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).unwrap();
@@ -112,7 +112,7 @@
     // ours for another part.
     let lines = planners[0].lines();
     let mut plain = TcpStream::connect(addresses[0]).unwrap();
-    plain.set_read_timeout(Some(LONG)).unwrap();
+    plain.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     plain.write_all(b"\x06\x00\x00\x00\x08\x01\x12\x02\x0a\x00").unwrap();
     let mut answer = Vec::new();
     let _ = plain.read_to_end(&mut answer);
@@ -192,7 +192,7 @@
     std::thread::sleep(Duration::from_secs(2));
     lured.kill().unwrap();
     lured.wait().unwrap();
-    let text = lines.recv_timeout(LONG).unwrap();
+    let text = lines.recv_timeout(WAIT_TIMEOUT).unwrap();
     assert!(!text.contains("backends from"), "{text}");
     assert!(addresses[..2].iter().all(|a| text.contains(&format!("planner {a}: "))), "{text}");
     let followed = Served::forwarder_with("f1", &addresses, &settings);
--- a/crates/dewpier/tests/serve.rs
+++ b/crates/dewpier/tests/serve.rs
@@ -1,10 +1,10 @@
 //! `dewpier serve` from outside: plain clients, and an inventory that is rewritten under load.
 
 use dewpier_standins::backend::Backend;
-use dewpier_standins::load::{Load, Tally};
-use dewpier_standins::message::{answer, ask, read_head};
-use dewpier_standins::played::{Play, Played};
+use dewpier_standins::load::{LoadGenerator, ResponseCounts};
+use dewpier_standins::message::{exchange, format_response, read_head};
 use dewpier_standins::rng::Rng;
+use dewpier_standins::scripted_server::{ScriptedReply, ScriptedServer};
 use dewpier_standins::wait_for;
 use dewpier_trials::served::*;
 use std::collections::HashMap;
@@ -22,18 +22,18 @@
 }
 
 /// Gets, and an order now and then, which must not run twice.
-fn mixed(address: std::net::SocketAddr, clients: usize) -> Load {
+fn mixed(address: std::net::SocketAddr, clients: usize) -> LoadGenerator {
     let script = |client: usize, n: u64| match n % 5 {
         0 => plain("POST", "/orders", &format!("X-Order: {client}-{n}\r\n")),
         _ => plain("GET", "/quotes/7", ""),
     };
-    Load::start(address, clients, Duration::from_millis(1), Arc::new(script))
+    LoadGenerator::start(address, clients, Duration::from_millis(1), Arc::new(script))
 }
 
 /// Nothing was dropped, and no order ran twice.
 #[track_caller]
-fn whole(tally: &Tally, backends: &[Backend]) {
-    assert_eq!((tally.refused, tally.failed, tally.lost), (0, 0, 0), "of {}", tally.all());
+fn whole(tally: &ResponseCounts, backends: &[Backend]) {
+    assert_eq!((tally.rejected, tally.failed, tally.unanswered), (0, 0, 0), "of {}", tally.total());
     assert!(tally.served > 0);
     no_order_twice(backends);
 }
@@ -41,7 +41,7 @@
 #[track_caller]
 fn no_order_twice(backends: &[Backend]) {
     let mut seen: HashMap<String, usize> = HashMap::new();
-    for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order) {
+    for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order_id) {
         *seen.entry(order).or_default() += 1;
     }
     assert!(!seen.is_empty());
@@ -52,21 +52,21 @@
 #[test]
 fn plain_clients_are_served_and_see_what_backends_say() {
     let play = |_: usize, message: &dewpier_standins::message::Message| {
-        let path = message.first.split(' ').nth(1).unwrap_or_default().to_string();
-        Play::Answer(match path.as_str() {
+        let path = message.start_line.split(' ').nth(1).unwrap_or_default().to_string();
+        ScriptedReply::Respond(match path.as_str() {
             "/found" => "HTTP/1.1 302 Found\r\nLocation: /there\r\nConnection: x-hop\r\nX-Hop: 1\r\n\
                          Set-Cookie: a=1\r\nSet-Cookie: b=2\r\nContent-Length: 2\r\n\r\nok"
                 .into(),
-            "/none" => answer("404 Not Found", "none"),
-            "/busy" => answer("503 Service Unavailable", "busy"),
-            "/broken" => answer("500 Internal Server Error", "sorry"),
+            "/none" => format_response("404 Not Found", "none"),
+            "/busy" => format_response("503 Service Unavailable", "busy"),
+            "/broken" => format_response("500 Internal Server Error", "sorry"),
             "/head" => "HTTP/1.1 200 OK\r\nContent-Length: 1234\r\n\r\n".into(),
-            _ => answer("200 OK", "hello"),
+            _ => format_response("200 OK", "hello"),
         })
     };
     // A repeat goes to another backend.
-    let backends = [Played::new(play), Played::new(play)];
-    let asked = || backends.iter().map(Played::count).sum::<usize>();
+    let backends = [ScriptedServer::new(play), ScriptedServer::new(play)];
+    let asked = || backends.iter().map(ScriptedServer::request_count).sum::<usize>();
     let settings = "default_port = 80\n[[class]]\nname = \"quote\"\neffect = \"keyed\"\nwindow_ms = 5000\n\
                     match = [{ methods = [\"POST\"], path = \"/quotes\" }]\n\
                     [[class]]\nname = \"brief\"\neffect = \"safe\"\ndeadline_ms = 900\naim_ms = 900\n\
@@ -74,34 +74,34 @@
     let table = format!("address\n{}\n{}\n", backends[0].address, backends[1].address);
     let served = Served::start("nodes.csv", table.as_bytes(), settings);
     let mut client = served.connect();
-    let answer = ask(&mut client, &plain("GET", "/x", ""));
+    let answer = exchange(&mut client, &plain("GET", "/x", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"hello".as_slice()));
-    let answer = ask(&mut client, &plain("GET", "/found", ""));
+    let answer = exchange(&mut client, &plain("GET", "/found", ""));
     let cookies: Vec<_> = answer.headers.iter().filter(|(n, _)| n == "set-cookie").collect();
     assert_eq!((answer.status(), answer.header("location"), cookies.len()), (302, Some("/there"), 2));
     assert_eq!(answer.header("x-hop"), None, "a header of the connection");
-    assert_eq!(ask(&mut client, &plain("GET", "/none", "")).status(), 404);
+    assert_eq!(exchange(&mut client, &plain("GET", "/none", "")).status(), 404);
     // An error is the answer if nothing better comes; what may have run is not sent again.
     let before = asked();
-    let answer = ask(&mut client, &plain("POST", "/broken", ""));
+    let answer = exchange(&mut client, &plain("POST", "/broken", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (500, b"sorry".as_slice()));
     assert_eq!(asked() - before, 1);
     // A 503 that does not say that the request was turned away promises nothing.
-    assert_eq!(ask(&mut client, &plain("POST", "/busy", "")).status(), 502);
+    assert_eq!(exchange(&mut client, &plain("POST", "/busy", "")).status(), 502);
     assert_eq!(asked() - before, 2);
     let before = before + 1;
-    let answer = ask(&mut served.connect(), &plain("GET", "/broken", ""));
+    let answer = exchange(&mut served.connect(), &plain("GET", "/broken", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (500, b"sorry".as_slice()));
     assert_eq!(asked() - before, 3, "a safe request is tried again");
     let mut client = served.connect();
-    assert_eq!(ask(&mut client, &plain("POST", "/quotes/1", "Idempotency-Key: k\r\n")).status(), 200);
-    let answer = ask(&mut client, &plain("POST", "/quotes/1", ""));
+    assert_eq!(exchange(&mut client, &plain("POST", "/quotes/1", "Idempotency-Key: k\r\n")).status(), 200);
+    let answer = exchange(&mut client, &plain("POST", "/quotes/1", ""));
     assert_eq!(answer.status(), 400, "{}", String::from_utf8_lossy(&answer.body));
     let mut client = served.connect();
     client.get_mut().write_all(plain("HEAD", "/head", "").as_bytes()).unwrap();
     let head = read_head(&mut client).unwrap();
     assert_eq!((head.status(), head.header("content-length")), (200, Some("1234")));
-    assert_eq!(ask(&mut client, &plain("GET", "/x", "")).body, b"hello");
+    assert_eq!(exchange(&mut client, &plain("GET", "/x", "")).body, b"hello");
     served.stop();
 }
 
@@ -162,14 +162,14 @@
     let backend = Backend::start("b", Duration::ZERO);
     let table = format!("id,address\na,localhost:{}\n", backend.address.port());
     let served = Served::start("n.csv", table.as_bytes(), "names = \"look-up\"");
-    assert_eq!(ask(&mut served.connect(), &plain("GET", "/", "")).status(), 200);
+    assert_eq!(exchange(&mut served.connect(), &plain("GET", "/", "")).status(), 200);
     // Two names of one address are one node under two ids.
     let lines = served.lines();
     let both = format!("{table}b,127.0.0.1:{}\n", backend.address.port());
     replace(&served.file, both.as_bytes());
     let (_, told) = served.logged(lines, "the last good list serves on");
     assert!(told.contains("expected one node an address"), "{told}");
-    assert_eq!(ask(&mut served.connect(), &plain("GET", "/", "")).status(), 200);
+    assert_eq!(exchange(&mut served.connect(), &plain("GET", "/", "")).status(), 200);
 }
 
 /// Ways to break any text.
@@ -337,7 +337,7 @@
     let tally = load.stop();
     // What a flipped bit left readable may have named an address where nothing listens: then another
     // node answers.
-    assert_eq!((tally.failed, tally.lost, tally.refused), (0, 0, 0), "of {}", tally.all());
+    assert_eq!((tally.failed, tally.unanswered, tally.rejected), (0, 0, 0), "of {}", tally.total());
     assert!(tally.served > 100, "{}", tally.served);
     no_order_twice(backends);
     served.stop();
@@ -413,7 +413,7 @@
     std::fs::remove_file(&served.file).unwrap();
     served.logged(lines, "cannot read it");
     let tally = load.stop();
-    assert_eq!((tally.refused, tally.failed, tally.lost), (0, 0, 0), "of {}", tally.all());
+    assert_eq!((tally.rejected, tally.failed, tally.unanswered), (0, 0, 0), "of {}", tally.total());
     no_order_twice(&backends);
     served.stop();
 }
@@ -424,7 +424,7 @@
     let good = table(&backends);
     let served = Served::start("nodes.csv", good.as_bytes(), "settle_ms = 20\nmax_vanish = 0.9");
     let load = mixed(served.address, 8);
-    let spread = |from: usize| backends[from..].iter().all(|b| b.count() > 20);
+    let spread = |from: usize| backends[from..].iter().all(|b| b.request_count() > 20);
     wait_for("load on all", || spread(0));
     // One drains and one is dropped, at once; then the others carry on.
     let text: String = good
@@ -438,16 +438,18 @@
     std::thread::sleep(Duration::from_millis(1500));
     let grace = Duration::from_millis(500);
     for drained in &backends[..2] {
-        let late = drained.arrivals().iter().filter(|a| a.at > accepted + grace).count();
+        let late = drained.arrivals().iter().filter(|a| a.received_at > accepted + grace).count();
         assert_eq!(late, 0);
     }
-    let since: Vec<usize> = backends[2..].iter().map(|b| b.count()).collect();
-    wait_for("load on the rest", || backends[2..].iter().zip(&since).all(|(b, s)| b.count() > s + 20));
+    let since: Vec<usize> = backends[2..].iter().map(|b| b.request_count()).collect();
+    wait_for("load on the rest", || {
+        backends[2..].iter().zip(&since).all(|(b, s)| b.request_count() > s + 20)
+    });
     // They come back, and are used again.
-    let before = [backends[0].count(), backends[1].count()];
+    let before = [backends[0].request_count(), backends[1].request_count()];
     replace(&served.file, good.as_bytes());
     let start = Instant::now();
-    wait_for("return", || backends.iter().zip(before).take(2).all(|(b, n)| b.count() > n));
+    wait_for("return", || backends.iter().zip(before).take(2).all(|(b, n)| b.request_count() > n));
     println!("both are back after {:?}", start.elapsed());
     whole(&load.stop(), &backends);
     served.stop();
@@ -458,15 +460,15 @@
     let backends = backends(4);
     let served = Served::start("nodes.csv", table(&backends).as_bytes(), "");
     let load = mixed(served.address, 8);
-    wait_for("load on all", || backends.iter().all(|b| b.count() > 20));
+    wait_for("load on all", || backends.iter().all(|b| b.request_count() > 20));
     for backend in &backends[..2] {
         backend.kill();
         std::thread::sleep(Duration::from_millis(200));
-        backend.revive();
+        backend.restart();
     }
     std::thread::sleep(Duration::from_millis(200));
     let tally = load.stop();
-    assert_eq!(tally.lost, 0, "each has one answer, {} of them a failure", tally.failed);
+    assert_eq!(tally.unanswered, 0, "each has one answer, {} of them a failure", tally.failed);
     no_order_twice(&backends);
     served.stop();
 }
--- a/crates/dewpier/tests/shutdown.rs
+++ b/crates/dewpier/tests/shutdown.rs
@@ -27,16 +27,16 @@
 /// A client that has had an answer and rests.
 fn resting(proxy: &Proxy) -> BufReader<TcpStream> {
     let mut client = proxy.connect();
-    assert_eq!(ask(&mut client, &request("look", 9000)).status(), 200);
+    assert_eq!(exchange(&mut client, &request("look", 9000)).status(), 200);
     client
 }
 
 #[test]
 fn a_request_that_crosses_the_end_of_its_connection_is_not_sent_on() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::before(&[&backend]);
     let mut clients: Vec<_> = (0..8).map(|_| resting(&proxy)).collect();
-    let before = backend.count();
+    let before = backend.request_count();
     let told = Instant::now();
     proxy.signal("-TERM");
     for client in &mut clients {
@@ -49,12 +49,12 @@
         assert_eq!(client.read(&mut [0; 64]).unwrap(), 0);
     }
     ends_in_time(proxy, told);
-    assert_eq!(backend.count(), before, "sent on after the end");
+    assert_eq!(backend.request_count(), before, "sent on after the end");
 }
 
 #[test]
 fn a_request_of_which_half_had_come_is_answered() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::before(&[&backend]);
     let mut idle = resting(&proxy);
     let text = request("order", 9000);
@@ -68,10 +68,10 @@
     assert_eq!(proxy.ask(READY).status(), 200);
     let told = Instant::now();
     proxy.signal("-TERM");
-    assert!(read(&mut idle).is_none(), "idle connections are ended");
+    assert!(read_message(&mut idle).is_none(), "idle connections are ended");
     for (client, cut) in halves.iter_mut().zip(cuts) {
         client.get_mut().write_all(&text.as_bytes()[cut..]).unwrap();
-        let answer = read(client).unwrap_or_else(|| panic!("no answer behind {cut} bytes"));
+        let answer = read_message(client).unwrap_or_else(|| panic!("no answer behind {cut} bytes"));
         // The second one has the name of the first, which is no longer in use.
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
@@ -81,7 +81,7 @@
 #[test]
 fn hanging_backends_keep_nobody_without_an_answer() {
     let (ended, end) = channel();
-    let backend = Played::new(move |_, _| Play::Silence(ended.clone()));
+    let backend = ScriptedServer::new(move |_, _| ScriptedReply::NeverRespond(ended.clone()));
     let mut settings = settings();
     // Its clients would wait for longer than the process lives.
     for class in settings["classes"].as_array_mut().unwrap() {
@@ -96,7 +96,7 @@
             client
         })
         .collect();
-    wait_for("attempts", || backend.count() >= 3);
+    wait_for("attempts", || backend.request_count() >= 3);
     let told = Instant::now();
     proxy.signal("-TERM");
     let answers: Vec<_> = clients.iter_mut().map(|client| read_head(client).expect("an answer")).collect();
@@ -104,26 +104,26 @@
     let order = answers[2].status();
     assert!(order != 200 && order != 429 && order != 503, "what may have run is not refused: {order}");
     ends_in_time(proxy, told);
-    heard(&end);
+    wait_for_close(&end);
 }
 
 #[test]
 fn signals_may_come_together_and_again() {
     for signals in [["-TERM", "-HUP"], ["-HUP", "-TERM"], ["-TERM", "-TERM"]] {
-        let (backend, release) = Played::held("hello");
+        let (backend, release) = ScriptedServer::with_held_response("hello");
         let (first, second) = (quiet(), quiet());
         let mut config = config_of(&settings(), &known(&[&backend]));
         let proxy = Proxy::with(&config, first.address);
         let mut client = proxy.connect();
         client.get_mut().write_all(request("order", 3000).as_bytes()).unwrap();
-        wait_for("attempt", || backend.count() == 1);
+        wait_for("attempt", || backend.request_count() == 1);
         config["discovery"] = json!(second.address.to_string());
         proxy.configure(&config);
         let told = Instant::now();
         signals.iter().for_each(|signal| proxy.signal(signal));
         wait_for("stop", || proxy.ask(READY).status() == 503);
         release.send(()).unwrap();
-        assert_eq!(read(&mut client).expect("an answer").status(), 200, "{signals:?}");
+        assert_eq!(read_message(&mut client).expect("an answer").status(), 200, "{signals:?}");
         drop(client);
         ends_in_time(proxy, told);
     }
@@ -141,7 +141,7 @@
 #[test]
 fn a_client_that_neither_asks_nor_reads_does_not_keep_it() {
     let big: &'static str = Box::leak("x".repeat(60_000).into_boxed_str());
-    let backend = Played::good(big);
+    let backend = ScriptedServer::always_ok(big);
     let proxy = Proxy::before(&[&backend]);
     let mut deaf = proxy.connect();
     // More answers than its buffers hold, and it reads none.
--- a/crates/dewpier/tests/snapshot.rs
+++ b/crates/dewpier/tests/snapshot.rs
@@ -25,7 +25,7 @@
 /// judgement on: none can have heard another.
 fn all_anew(snapshots: bool) -> (usize, usize) {
     let stage = start(5, snapshots);
-    stage.nodes[BAD].fail(true);
+    stage.nodes[BAD].set_failing(true);
     wait_for("a verdict of all", || (0..PROXIES).all(|p| out(&stage, p, BAD)));
     assert!(stage.call(4, "avoid 600 pricing-06").is_some_and(|told| told.starts_with("YES")));
     wait_for("all to hear what an operator says", || (0..PROXIES).all(|p| out(&stage, p, 6)));
@@ -35,8 +35,8 @@
         wait_for("all to keep it", || (0..PROXIES).all(|p| written(p) >= before[p] + 2));
     }
     // Nobody hears anybody from here on: what a new process holds it has from the one before.
-    let cut = dewpier_standins::mesh::Way { cut: true, ..Default::default() };
-    stage.mesh.set(cut, |_, _| true);
+    let cut = dewpier_standins::mesh::LinkFaults { cut: true, ..Default::default() };
+    stage.mesh.set_faults(cut, |_, _| true);
     let killed = Instant::now();
     stage.restart_all();
     let held = |node: usize| (0..PROXIES).filter(|p| out(&stage, *p, node)).count();
@@ -50,7 +50,7 @@
     if snapshots {
         // What was kept ages on: with nothing new that goes wrong it lapses within the bound, and the operator's word
         // does not.
-        stage.nodes[BAD].fail(false);
+        stage.nodes[BAD].set_failing(false);
         wait_for("the verdict to lapse", || held(BAD) == 0);
         let most = stage.bounds().stale + stage.bounds().every + Duration::from_secs(2);
         assert!(killed.elapsed() < most, "it lapsed after {:?}", killed.elapsed());
@@ -75,8 +75,8 @@
     let written = |p: usize| stage.figure(p, "snapshots_written").unwrap_or_default();
     let before: Vec<u64> = (0..PROXIES).map(written).collect();
     wait_for("all to keep it", || (0..PROXIES).all(|p| written(p) >= before[p] + 2));
-    let cut = dewpier_standins::mesh::Way { cut: true, ..Default::default() };
-    stage.mesh.set(cut, |_, _| true);
+    let cut = dewpier_standins::mesh::LinkFaults { cut: true, ..Default::default() };
+    stage.mesh.set_faults(cut, |_, _| true);
     let whole = std::fs::read(stage.kept(1)).unwrap();
     let mut spoilt = whole.clone();
     spoilt[40] ^= 1;
@@ -126,17 +126,17 @@
 #[test]
 fn the_bound_on_staleness_holds_over_a_restart_and_is_broken_where_time_is_not_counted() {
     let stage = start(8, true);
-    stage.nodes[BAD].fail(true);
+    stage.nodes[BAD].set_failing(true);
     wait_for("a verdict of all", || (0..PROXIES).all(|p| out(&stage, p, BAD)));
     let written = |p: usize| stage.figure(p, "snapshots_written").unwrap_or_default();
     let before: Vec<u64> = (0..PROXIES).map(written).collect();
     wait_for("all to keep it", || (0..PROXIES).all(|p| written(p) >= before[p] + 2));
-    let cut = dewpier_standins::mesh::Way { cut: true, ..Default::default() };
-    stage.mesh.set(cut, |_, _| true);
+    let cut = dewpier_standins::mesh::LinkFaults { cut: true, ..Default::default() };
+    stage.mesh.set_faults(cut, |_, _| true);
     let files: Vec<Vec<u8>> = (0..PROXIES).map(|p| std::fs::read(stage.kept(p)).unwrap()).collect();
     let killed = Instant::now();
     (0..PROXIES).for_each(|p| stage.signal(p, "-KILL"));
-    stage.nodes[BAD].fail(false);
+    stage.nodes[BAD].set_failing(false);
     let bound = stage.bounds();
     std::thread::sleep(bound.stale + bound.every);
     for (p, file) in files.iter().enumerate() {
@@ -155,11 +155,11 @@
 #[test]
 fn a_node_that_is_replaced_at_its_address_is_kept_out_by_nothing_that_was_seen_before() {
     let stage = start(7, false);
-    stage.nodes[BAD].fail(true);
+    stage.nodes[BAD].set_failing(true);
     wait_for("a verdict of all", || (0..PROXIES).all(|p| out(&stage, p, BAD)));
     stage.relist(&[BAD]);
-    stage.nodes[BAD].fail(false);
-    let count = stage.nodes[BAD].count();
+    stage.nodes[BAD].set_failing(false);
+    let count = stage.nodes[BAD].request_count();
     stage.relist(&[]);
     let back = Instant::now();
     // A quarter of the window in which attempts count: what was seen before would have kept it out for all of that.
@@ -168,5 +168,5 @@
         assert!(holds.is_empty(), "{holds:?} keep it out {:?} after it came back", back.elapsed());
         std::thread::sleep(Duration::from_millis(100));
     }
-    wait_for("traffic there", || stage.nodes[BAD].count() > count + 3);
+    wait_for("traffic there", || stage.nodes[BAD].request_count() > count + 3);
 }
--- a/crates/dewpier/tests/streams.rs
+++ b/crates/dewpier/tests/streams.rs
@@ -3,7 +3,7 @@
 #[path = "common/sockets.rs"]
 mod sockets;
 
-use dewpier_standins::bulk::{self, Bulk, Came, Framing};
+use dewpier_standins::bulk::{self, BulkServer, Framing, ReceivedBody};
 use dewpier_standins::message::read_head;
 use dewpier_standins::rng::Rng;
 use gannetproxy::engine::{
@@ -26,7 +26,7 @@
 /// What the process may hold of memory while they are under way, in kB.
 const MOST_KB: u64 = 48 << 10;
 
-fn proxy(bulk: &Bulk) -> Proxy {
+fn proxy(bulk: &BulkServer) -> Proxy {
     let listed = list(1, true, &[entry("s-0", bulk.address, "SERVING")]);
     let mut settings = settings();
     settings["projects"] = json!([{"name": "acme", "quota-per-s": 100_000.0, "share": 1.0}]);
@@ -39,9 +39,9 @@
 }
 
 /// How long streams are, in bytes, and who they go through.
-fn streaming() -> (usize, Bulk, Proxy) {
+fn streaming() -> (usize, BulkServer, Proxy) {
     let mb = std::env::var("STREAM_MB").ok().and_then(|mb| mb.parse().ok()).unwrap_or(STREAM_MB);
-    let bulk = Bulk::start();
+    let bulk = BulkServer::start();
     let proxy = proxy(&bulk);
     (mb * MB, bulk, proxy)
 }
@@ -60,10 +60,10 @@
 }
 
 /// An answer to a request without a body: its status and how its body came.
-fn fetch(stream: &mut BufReader<TcpStream>, head: &str, wait: impl FnMut(usize)) -> (u16, Came) {
+fn fetch(stream: &mut BufReader<TcpStream>, head: &str, wait: impl FnMut(usize)) -> (u16, ReceivedBody) {
     stream.get_mut().write_all(format!("{head}Content-Length: 0\r\n\r\n").as_bytes()).unwrap();
     let answer = read_head(stream).expect("an answer");
-    (answer.status(), bulk::read(stream, &answer.headers, wait))
+    (answer.status(), bulk::read_body(stream, &answer.headers, wait))
 }
 
 #[test]
@@ -76,10 +76,14 @@
                 let mut stream = proxy.connect();
                 let (status, came) =
                     fetch(&mut stream, &head("order", &format!("size={size}&framing={framing}")), |_| {});
-                assert_eq!((status, came), (200, Came { size, right: true, whole: true }), "{framing}");
+                assert_eq!(
+                    (status, came),
+                    (200, ReceivedBody { size, is_correct: true, is_complete: true }),
+                    "{framing}"
+                );
                 // The connection goes on.
                 let (status, came) = fetch(&mut stream, &head("look", "size=70000"), |_| {});
-                assert_eq!((status, came.size, came.right), (200, 70_000, true));
+                assert_eq!((status, came.size, came.is_correct), (200, 70_000, true));
             });
         }
     });
@@ -97,34 +101,35 @@
             let (proxy, framing) = (&proxy, [Framing::Length, Framing::Chunked][n % 2]);
             scope.spawn(move || {
                 let mut stream = proxy.connect();
-                bulk::write(stream.get_mut(), &head("order", "size=5"), framing, size, None).unwrap();
-                let answer = read(&mut stream).expect("an answer");
+                bulk::write_body(stream.get_mut(), &head("order", "size=5"), framing, size, None).unwrap();
+                let answer = read_message(&mut stream).expect("an answer");
                 assert_eq!(answer.status(), 200, "{framing:?}");
                 // The connection goes on, unless it is said to end.
                 if answer.header("connection") == Some("close") {
                     stream = proxy.connect();
                 }
-                assert_eq!(ask(&mut stream, &request("look", 9000)).status(), 200);
+                assert_eq!(exchange(&mut stream, &request("look", 9000)).status(), 200);
             });
         }
     });
     assert!(most_held(&proxy) < MOST_KB, "{} kB", most_held(&proxy));
-    let looks = bulk.bodies[1].load(Ordering::SeqCst);
-    assert_eq!(bulk.bodies[0].load(Ordering::SeqCst) + looks, 2 * STREAMS);
+    let looks = bulk.body_counts[1].load(Ordering::SeqCst);
+    assert_eq!(bulk.body_counts[0].load(Ordering::SeqCst) + looks, 2 * STREAMS);
     assert_eq!(looks, STREAMS, "short bodies are others than these");
 }
 
 #[test]
 fn bodies_of_every_framing_and_size_arrive_as_they_are() {
-    let bulk = Bulk::start();
+    let bulk = BulkServer::start();
     let proxy = proxy(&bulk);
     let mut stream = proxy.connect();
     let sizes = [0, 1, 65_535, 65_536, 65_537, 131_072, MB + 1];
     for size in sizes {
         for framing in [Framing::Length, Framing::Chunked] {
             for class in ["look", "save", "order"] {
-                bulk::write(stream.get_mut(), &head(class, "size=3"), framing, size, None).unwrap();
-                let answer = read(&mut stream).unwrap_or_else(|| panic!("no answer: {size} {framing:?}"));
+                bulk::write_body(stream.get_mut(), &head(class, "size=3"), framing, size, None).unwrap();
+                let answer =
+                    read_message(&mut stream).unwrap_or_else(|| panic!("no answer: {size} {framing:?}"));
                 assert_eq!(answer.status(), 200, "{size} {framing:?}");
                 // hyper keeps no connection on which trailers came, and says so.
                 if answer.header("connection") == Some("close") {
@@ -134,12 +139,12 @@
         }
     }
     // An empty one goes on without a length.
-    assert_eq!(bulk.bodies[0].load(Ordering::SeqCst), (sizes.len() - 1) * 6);
+    assert_eq!(bulk.body_counts[0].load(Ordering::SeqCst), (sizes.len() - 1) * 6);
     // A client of an older version, one that names the host in its target, and one that waits to be told to go on.
     let old = head("look", "size=70000&framing=chunked").replace("HTTP/1.1", "HTTP/1.0");
     let mut stream = proxy.connect();
     let (status, came) = fetch(&mut stream, &old, |_| {});
-    assert_eq!((status, came), (200, Came { size: 70_000, right: true, whole: true }));
+    assert_eq!((status, came), (200, ReceivedBody { size: 70_000, is_correct: true, is_complete: true }));
     let whole = head("look", "size=9").replace("GET /", "GET http://other.svc/");
     assert_eq!(fetch(&mut proxy.connect(), &whole, |_| {}).0, 200);
     let mut stream = proxy.connect();
@@ -149,23 +154,26 @@
     assert_eq!(read_head(&mut stream).expect("a word").status(), 100);
     let mut at = 0;
     while at < 100_000 {
-        let piece = bulk::part(at, 100_000 - at);
+        let piece = bulk::pattern_bytes(at, 100_000 - at);
         stream.get_mut().write_all(piece).unwrap();
         at += piece.len();
     }
-    assert_eq!(read(&mut stream).expect("an answer").status(), 200);
+    assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
     // Two requests in one piece.
     let mut stream = proxy.connect();
     let mut both = Vec::new();
-    bulk::write(&mut both, &head("look", "size=2"), Framing::Length, 100, None).unwrap();
+    bulk::write_body(&mut both, &head("look", "size=2"), Framing::Length, 100, None).unwrap();
     both.extend_from_slice(request("look", 9000).as_bytes());
     stream.get_mut().write_all(&both).unwrap();
-    assert_eq!([read(&mut stream).unwrap().status(), read(&mut stream).unwrap().status()], [200, 200]);
+    assert_eq!(
+        [read_message(&mut stream).unwrap().status(), read_message(&mut stream).unwrap().status()],
+        [200, 200]
+    );
 }
 
 #[test]
 fn answers_that_break_off_are_seen_to() {
-    let bulk = Bulk::start();
+    let bulk = BulkServer::start();
     let proxy = proxy(&bulk);
     let mut rng = Rng::from_env("SEED", 35);
     for n in 0..40 {
@@ -174,7 +182,7 @@
         let cut = 66_000 + rng.below(size - 66_000);
         let query = format!("size={size}&framing={framing}&cut={cut}");
         let (status, came) = fetch(&mut proxy.connect(), &head("order", &query), |_| {});
-        assert_eq!((status, came.right, came.whole), (200, true, false), "{query}");
+        assert_eq!((status, came.is_correct, came.is_complete), (200, true, false), "{query}");
         assert!(came.size <= cut, "{query}: {came:?}");
     }
     wait_for("all counted", || proxy.figure("pending") == 0);
@@ -184,7 +192,7 @@
 
 #[test]
 fn bodies_that_break_off_never_arrive_whole() {
-    let bulk = Bulk::start();
+    let bulk = BulkServer::start();
     let proxy = proxy(&bulk);
     let mut rng = Rng::from_env("SEED", 36);
     for n in 0..40 {
@@ -192,30 +200,30 @@
         let size = 70_000 + rng.below(MB);
         let cut = 66_000 + rng.below(size - 66_000);
         let mut stream = proxy.connect();
-        bulk::write(stream.get_mut(), &head("order", "size=5"), framing, size, Some(cut)).unwrap();
+        bulk::write_body(stream.get_mut(), &head("order", "size=5"), framing, size, Some(cut)).unwrap();
         stream.get_mut().shutdown(std::net::Shutdown::Write).unwrap();
-        let answer = read(&mut stream).map(|answer| answer.status());
+        let answer = read_message(&mut stream).map(|answer| answer.status());
         assert!(answer.is_none_or(|status| status >= 400), "{answer:?}");
     }
     wait_for("all ended", || proxy.figure("pending") == 0);
-    assert_eq!(bulk.bodies[0].load(Ordering::SeqCst), 0);
+    assert_eq!(bulk.body_counts[0].load(Ordering::SeqCst), 0);
     assert_eq!(proxy.figure("upstream_requests"), 0, "none was written whole");
 }
 
 #[test]
 fn an_answer_before_the_body_has_come_is_passed_on() {
-    let bulk = Bulk::start();
+    let bulk = BulkServer::start();
     let proxy = proxy(&bulk);
     let mut stream = proxy.connect();
     let text = format!("{}Content-Length: {}\r\n\r\n", head("order", "early=1"), 8 * MB);
     stream.get_mut().write_all(text.as_bytes()).unwrap();
-    stream.get_mut().write_all(bulk::part(0, 60_000)).unwrap();
-    assert_eq!(read(&mut stream).expect("an answer").status(), 503);
+    stream.get_mut().write_all(bulk::pattern_bytes(0, 60_000)).unwrap();
+    assert_eq!(read_message(&mut stream).expect("an answer").status(), 503);
 }
 
 #[test]
 fn slow_peers_are_served_by_their_rate() {
-    let bulk = Bulk::start();
+    let bulk = BulkServer::start();
     let proxy = proxy(&bulk);
     std::thread::scope(|scope| {
         // 64 kB a second, for 4 s: longer than any fixed time that a short request has.
@@ -228,12 +236,12 @@
             }
             let mut at = 0;
             while at < 256_000 {
-                let piece = bulk::part(at, 6400.min(256_000 - at));
+                let piece = bulk::pattern_bytes(at, 6400.min(256_000 - at));
                 stream.get_mut().write_all(piece).unwrap();
                 at += piece.len();
                 std::thread::sleep(Duration::from_millis(100));
             }
-            assert_eq!(read(&mut stream).expect("an answer").status(), 200);
+            assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
         });
         let reads = scope.spawn(|| {
             let begun = Instant::now();
@@ -242,7 +250,7 @@
             let (status, came) = fetch(&mut stream, &head("order", &query), |read| {
                 std::thread::sleep(Duration::from_secs(4).mul_f64(read as f64 / size as f64));
             });
-            assert_eq!((status, came), (200, Came { size, right: true, whole: true }));
+            assert_eq!((status, came), (200, ReceivedBody { size, is_correct: true, is_complete: true }));
             assert!(begun.elapsed() > Duration::from_secs(3), "it was not slow");
         });
         uploads.join().unwrap();
@@ -252,7 +260,7 @@
 
 #[test]
 fn long_bodies_that_do_not_come_keep_no_short_one_out() {
-    let bulk = Bulk::start();
+    let bulk = BulkServer::start();
     let proxy = proxy(&bulk);
     // Twice as many as there is room for.
     let mut stay = Vec::new();
@@ -263,7 +271,7 @@
         stream.get_mut().write_all(text.as_bytes()).unwrap();
         // Who is refused is told at once; the others are asked for nothing.
         stream.get_mut().set_read_timeout(Some(Duration::from_millis(20))).unwrap();
-        refused += usize::from(read(&mut stream).is_some_and(|answer| answer.status() == 503));
+        refused += usize::from(read_message(&mut stream).is_some_and(|answer| answer.status() == 503));
         stay.push(stream);
     }
     assert!(refused > 0, "there is room for all of them");
@@ -333,7 +341,7 @@
             max_attempts: 4,
             ..Settings::default()
         };
-        let bounds = EngineLimits { drain_grace: LONG, max_open_requests: 10 };
+        let bounds = EngineLimits { drain_grace: WAIT_TIMEOUT, max_open_requests: 10 };
         let engine = Engine::start(settings, bounds, 7, Waits(seen.clone()));
         let listed = |n| ListedBackend {
             entry: BackendEntry { id: BackendId(n), ..BackendEntry::default() },
@@ -342,7 +350,7 @@
         engine.update_list(BackendListUpdate::Remembered(vec![listed(1), listed(2), listed(3)]));
         let request = Request { budget: 15.0, ..Request::default() };
         let (_, answer) = engine.submit_request(None, request, ()).unwrap();
-        let answered = tokio::time::timeout(LONG, answer).await.expect("an answer in time");
+        let answered = tokio::time::timeout(WAIT_TIMEOUT, answer).await.expect("an answer in time");
         assert!(matches!(answered, Ok(Answer::Served(()))));
         tokio::time::sleep(Duration::from_millis(200)).await;
         assert_eq!(seen.borrow().iter().filter(|only| **only).count(), 1, "{:?}", seen.borrow());
--- a/crates/dewpier/tests/upgrade.rs
+++ b/crates/dewpier/tests/upgrade.rs
@@ -25,7 +25,7 @@
     folder
 }
 
-fn config(backends: &[&Played]) -> Value {
+fn config(backends: &[&ScriptedServer]) -> Value {
     let mut config = config_of(&settings(), &known(backends));
     config["operator"] = json!("127.0.0.1:0");
     config
@@ -35,10 +35,10 @@
     proxy.call("check").starts_with("YES")
 }
 
-fn backend() -> Played {
-    Played::new(|_, _| {
+fn backend() -> ScriptedServer {
+    ScriptedServer::new(|_, _| {
         std::thread::sleep(Duration::from_millis(2));
-        Play::Answer(answer("200 OK", "done"))
+        ScriptedReply::Respond(format_response("200 OK", "done"))
     })
 }
 
@@ -51,11 +51,11 @@
 }
 
 /// Ids that reached any of them more than once.
-fn twice(backends: &[&Played]) -> Vec<String> {
+fn twice(backends: &[&ScriptedServer]) -> Vec<String> {
     let mut seen = HashSet::new();
     let mut twice = Vec::new();
     for backend in backends {
-        for message in backend.requests.lock().unwrap().iter() {
+        for message in backend.received_requests.lock().unwrap().iter() {
             let id = message.header("x-txn").unwrap().to_string();
             if !seen.insert(id.clone()) {
                 twice.push(id);
@@ -84,7 +84,7 @@
     fn run(&self, address: std::net::SocketAddr) {
         let connect = || {
             let stream = TcpStream::connect(address).ok()?;
-            stream.set_read_timeout(Some(LONG)).unwrap();
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
             Some(BufReader::new(stream))
         };
         let mut kept = connect();
@@ -97,7 +97,7 @@
                 continue;
             };
             let sent = stream.get_mut().write_all(request("order", 10_000).as_bytes());
-            match sent.ok().and_then(|()| read(stream)) {
+            match sent.ok().and_then(|()| read_message(stream)) {
                 Some(answer) if answer.status() == 200 => {
                     add(&self.served);
                     if answer.header("connection") == Some("close") {
@@ -167,7 +167,7 @@
             let new = start(&address.to_string());
             wait_for("a yes of the new one", || takes(&new));
             wait_for("a no of the old one", || !takes(&old));
-            std::thread::sleep(Duration::from_millis(rng.number() % 40));
+            std::thread::sleep(Duration::from_millis(rng.next_u64() % 40));
             ended_well(std::mem::replace(&mut old, new));
             let back = orders.counts()[1] - back;
             assert!(back <= 2, "{back} turned back in upgrade {n}");
@@ -178,7 +178,7 @@
     println!("{served} served, {back} turned back in {upgrades} upgrades");
     assert_eq!(other, 0);
     assert_eq!(twice(&all), Vec::<String>::new());
-    let done = backends.iter().map(Played::count).sum::<usize>() as u64;
+    let done = backends.iter().map(ScriptedServer::request_count).sum::<usize>() as u64;
     assert!((served..=served + back).contains(&done), "{done} done, {served} served, {back} turned back");
 }
 
@@ -272,7 +272,7 @@
 fn one_that_takes_over_asks_for_news_at_once() {
     let backends = [backend(), backend()];
     let (channel, _ended) = std::sync::mpsc::channel();
-    let lists = Played::new(move |_, _| Play::Silence(channel.clone()));
+    let lists = ScriptedServer::new(move |_, _| ScriptedReply::NeverRespond(channel.clone()));
     // Those that start together would take their time.
     let mut config = config(&[&backends[0], &backends[1]]);
     config["settings"]["registry-mode"] = json!("subscribe");
@@ -280,16 +280,16 @@
     let folder = folder("asks");
     let old = Proxy::at("127.0.0.1:0", &config, lists.address, &folder).unwrap();
     wait_for("a yes", || takes(&old));
-    let before = lists.count();
+    let before = lists.request_count();
     let new = Proxy::at(&old.address.to_string(), &config, lists.address, &folder).unwrap();
     wait_for("a yes of the new one", || takes(&new));
-    wait_for("a call for news", || lists.count() > before);
+    wait_for("a call for news", || lists.request_count() > before);
     assert!(before <= 1 && old.address == new.address);
 }
 
 #[test]
 fn who_stops_takes_nothing_more_while_it_gives_its_last_answers() {
-    let (held, release) = Played::held("done");
+    let (held, release) = ScriptedServer::with_held_response("done");
     let mut config = config(&[&held]);
     // So long is served after SIGTERM at the least: half of that and 0.7 s.
     for class in 0..3 {
@@ -307,11 +307,11 @@
     let mut stream = last.connect();
     std::thread::sleep(Duration::from_millis(1500));
     stream.get_mut().write_all(request("order", 2900).as_bytes()).unwrap();
-    wait_for("an attempt", || held.count() == 1);
+    wait_for("an attempt", || held.request_count() == 1);
     wait_for("a refusal", || TcpStream::connect(address).is_err());
     assert!(last.child.try_wait().unwrap().is_none(), "it has an answer to give yet");
     release.send(()).unwrap();
-    assert_eq!(read(&mut stream).expect("an answer").status(), 200);
+    assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
     wait_for("exit", || last.child.try_wait().unwrap().is_some());
     assert_eq!(last.child.wait().unwrap().code(), Some(0));
 }
--- a/crates/http/tests/kept_connections.rs
+++ b/crates/http/tests/kept_connections.rs
@@ -6,8 +6,8 @@
 use dewpier_http::body::ResponseBody;
 use dewpier_http::limits::Budget;
 use dewpier_http::payload::{Payload, PayloadBody};
-use dewpier_standins::LONG;
-use dewpier_standins::message::{answer, read, reset};
+use dewpier_standins::WAIT_TIMEOUT;
+use dewpier_standins::message::{format_response, read_message, reset_connection};
 use gannetproxy::engine::{Attempt, Clock, SendGate, Upstream, UpstreamResult};
 use gannetproxy::{BackendId, Outcome};
 use std::cell::Cell;
@@ -47,7 +47,7 @@
             let mut stream = BufReader::new(first.try_clone().unwrap());
             answer_request(&mut stream);
             record_served.send(1).unwrap();
-            triggered.recv_timeout(LONG).unwrap();
+            triggered.recv_timeout(WAIT_TIMEOUT).unwrap();
             let open = match fault {
                 ConnectionFault::SendBytes(text) => {
                     (&first).write_all(text.as_bytes()).map(|()| Some(stream))
@@ -55,7 +55,7 @@
                 ConnectionFault::CloseWrite => first.shutdown(Shutdown::Write).map(|()| Some(stream)),
                 ConnectionFault::Reset => {
                     drop(stream);
-                    reset(first);
+                    reset_connection(first);
                     Ok(None)
                 }
             };
@@ -81,8 +81,8 @@
 }
 
 fn answer_request(stream: &mut BufReader<TcpStream>) -> bool {
-    let received = read(stream).is_some();
-    received && stream.get_mut().write_all(answer("200 OK", "good").as_bytes()).is_ok()
+    let received = read_message(stream).is_some();
+    received && stream.get_mut().write_all(format_response("200 OK", "good").as_bytes()).is_ok()
 }
 
 async fn attempt(
@@ -129,8 +129,8 @@
         let backend = Backend::start(fault);
         let http = HttpUpstream {
             connections: Budget::new(4),
-            connect_timeout: LONG,
-            idle_close: LONG,
+            connect_timeout: WAIT_TIMEOUT,
+            idle_close: WAIT_TIMEOUT,
             probe_path: "/",
             reuse_policy: ReusePolicy::new(0.0),
             response_policy: ResponsePolicy::Platform,
@@ -144,7 +144,7 @@
             tokio::time::sleep(Duration::from_millis(60)).await;
             // Blocks the thread, so that the runtime notices nothing before the next attempt starts.
             backend.trigger.send(()).unwrap();
-            backend.done.recv_timeout(LONG).unwrap();
+            backend.done.recv_timeout(WAIT_TIMEOUT).unwrap();
             assert_eq!(attempt(&http, &endpoint).await, (Outcome::Served, "good".into()), "{fault:?}");
         });
         let served: Vec<usize> = backend.served.try_iter().collect();
--- a/crates/mysql/benches/reads.rs
+++ b/crates/mysql/benches/reads.rs
@@ -80,7 +80,7 @@
     println!("one of three replicas ten times slower (2 and 20 ms), 12 connections");
     let replicas: [MySqlServer; 3] = std::array::from_fn(|i| {
         let work = Duration::from_millis(if i == 0 { 20 } else { 2 });
-        MySqlServer::start(OWN, move |_| Reply::Late(work, Box::new(one("7"))))
+        MySqlServer::start(OWN, move |_| Reply::Delayed(work, Box::new(one("7"))))
     });
     let proxy = Proxy::before(&[&replicas[0], &replicas[1], &replicas[2]]);
     let turns = load(12, |_| {
--- a/crates/mysql/src/prepared.rs
+++ b/crates/mysql/src/prepared.rs
@@ -253,7 +253,7 @@
             let mut bytes = whole[..rng.below(whole.len() + 1)].to_vec();
             for _ in 0..rng.below(3) {
                 let at = rng.below(bytes.len().max(1));
-                bytes.get_mut(at).into_iter().for_each(|byte| *byte = rng.number() as u8);
+                bytes.get_mut(at).into_iter().for_each(|byte| *byte = rng.next_u64() as u8);
             }
             let _ = (statements.execute(&bytes), statements.reset(&bytes));
         }
--- a/crates/mysql/src/reply.rs
+++ b/crates/mysql/src/reply.rs
@@ -403,7 +403,7 @@
     fn answers_of_all_forms_end_with_their_last_packet_and_not_before() {
         let mut rng = Rng::from_env("REPLY_SEED", 23);
         for _ in 0..3000 {
-            let seed = rng.number();
+            let seed = rng.next_u64();
             let mut rng = Rng::new(seed);
             let deprecate_eof = rng.below(2) == 0;
             let (packets, ended, rows) = answer(&mut rng, deprecate_eof);
--- a/crates/mysql/tests/client_gone.rs
+++ b/crates/mysql/tests/client_gone.rs
@@ -57,11 +57,11 @@
     let stalls = || {
         MySqlServer::start(OWN, |asked| {
             let rows = Reply::Rows(vec!["1"], vec![]);
-            if asked.text == TEXT { Reply::Stall(0, Box::new(rows)) } else { rows }
+            if asked.text == TEXT { Reply::Stalled(0, Box::new(rows)) } else { rows }
         })
     };
     let servers = [stalls(), stalls()];
-    let counted = || servers.iter().map(|server| server.count(TEXT)).sum::<usize>();
+    let counted = || servers.iter().map(|server| server.count_statements(TEXT)).sum::<usize>();
     let proxy = Proxy::before(&[&servers[0], &servers[1]]);
     let way = Way::to(proxy.address);
     let address = way.address;
--- a/crates/mysql/tests/common/mod.rs
+++ b/crates/mysql/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use dewpier_mysql::auth::Kept;
 use dewpier_mysql::io::{Front, FrontSettings, MySql, Role};
 use dewpier_mysql::login::Credentials;
-use dewpier_standins::mysql::{Asked, MySqlServer, Reply};
+use dewpier_standins::mysql::{MySqlServer, ReceivedStatement, Reply};
 use gannetproxy::engine::{BackendListUpdate, Budget, Engine, EngineLimits, ListedBackend};
 use gannetproxy::{BackendEntry, BackendId, Class, Effect, Settings, Status};
 use mysql::prelude::Queryable;
@@ -185,7 +185,7 @@
 }
 
 /// What servers answer where a test wants nothing else.
-pub fn usual(asked: &Asked) -> Reply {
+pub fn usual(asked: &ReceivedStatement) -> Reply {
     let upper = asked.text.to_ascii_uppercase();
     let first = upper.split(' ').next().unwrap_or_default();
     match first {
--- a/crates/mysql/tests/faults.rs
+++ b/crates/mysql/tests/faults.rs
@@ -7,9 +7,9 @@
 mod common;
 
 use common::*;
+use dewpier_standins::faulty_relay::FaultyRelay;
 use dewpier_standins::mysql::MySqlServer;
 use dewpier_standins::rng::Rng;
-use dewpier_standins::spoiler::Spoiler;
 use mysql::prelude::Queryable;
 use std::collections::HashMap;
 
@@ -106,18 +106,18 @@
     let count = std::env::var("MYSQL_FAULTS").ok().and_then(|n| n.parse().ok()).unwrap_or(200);
     let servers: [MySqlServer; 3] = std::array::from_fn(|_| MySqlServer::start(OWN, usual));
     let spoilers: Vec<_> =
-        servers.iter().map(|server| Spoiler::start(server.address, rng.number(), 100, 14)).collect();
+        servers.iter().map(|server| FaultyRelay::start(server.address, rng.next_u64(), 100, 14)).collect();
     let proxy = Proxy::at(&spoilers.iter().map(|s| s.address).collect::<Vec<_>>());
     let told: Vec<Told> = std::thread::scope(|scope| {
         let clients: Vec<_> = (0..CLIENTS)
             .map(|number| {
-                let (proxy, rng) = (&proxy, Rng::new(rng.number()));
+                let (proxy, rng) = (&proxy, Rng::new(rng.next_u64()));
                 scope.spawn(move || play(proxy, number, count, rng))
             })
             .collect();
         clients.into_iter().map(|client| client.join().expect("its checks hold")).collect()
     });
-    let spoilt: usize = spoilers.iter().map(Spoiler::spoilt).sum();
+    let spoilt: usize = spoilers.iter().map(FaultyRelay::failed_connections).sum();
     let mut seen: HashMap<String, usize> = HashMap::new();
     for asked in servers.iter().flat_map(|s| s.statements()).filter(|asked| asked.text.starts_with("INSERT"))
     {
--- a/crates/mysql/tests/served.rs
+++ b/crates/mysql/tests/served.rs
@@ -74,11 +74,11 @@
         }
     }
     let write = "INSERT INTO t VALUES (2, NULL, 'text 2')";
-    assert_eq!(servers.iter().map(|s| s.count(write)).sum::<usize>(), 1 + 20);
+    assert_eq!(servers.iter().map(|s| s.count_statements(write)).sum::<usize>(), 1 + 20);
     // The connections that it was prepared on die: it is prepared on others.
     let mut client = proxy.client();
     let read = client.prep("SELECT id, name FROM t WHERE a = ?").unwrap();
-    servers.iter().for_each(MySqlServer::drop_connections);
+    servers.iter().for_each(MySqlServer::close_connections);
     assert_eq!(client.exec::<mysql::Row, _, _>(&read, (9,)).unwrap().len(), 300);
     // So it is where the session moves from one server to the other.
     for (drains, n) in [(0, 20), (1, 21)] {
@@ -86,7 +86,7 @@
         proxy.news((0..).zip(&servers).map(|(i, s)| listed(i, s.address, states[i as usize])).collect());
         wait_for("read at the other server", || {
             assert_eq!(client.exec::<mysql::Row, _, _>(&read, (n,)).unwrap().len(), 300);
-            servers[1 - drains].count(&format!("SELECT id, name FROM t WHERE a = {n}")) > 0
+            servers[1 - drains].count_statements(&format!("SELECT id, name FROM t WHERE a = {n}")) > 0
         });
     }
 }
@@ -119,7 +119,7 @@
     for (user, password) in [("planner", "ash"), ("planner", ""), ("nobody", CLIENT), ("maker", "ash")] {
         assert_eq!(error(client(proxy.address, user, password).map(drop)), (1045, "28000".into()));
     }
-    assert_eq!(server.connected(), 0);
+    assert_eq!(server.connection_count(), 0);
     // Whose newer hash is kept logs in by that.
     let mut maker = client(proxy.address, "maker", CLIENT).unwrap();
     assert_eq!(rows(&mut maker, "SELECT id, name FROM t").unwrap().len(), 300);
@@ -178,10 +178,10 @@
     // Silence is waited for, and costs a timer each.
     type End = fn(Reply) -> Reply;
     let ends: [(End, usize, usize); 4] = [
-        (|reply| Reply::Cut(0, Box::new(reply)), 20, 15),
-        (|reply| Reply::Cut(2000, Box::new(reply)), 20, 15),
-        (|reply| Reply::Stall(0, Box::new(reply)), 4, 1),
-        (|reply| Reply::Stall(2000, Box::new(reply)), 4, 1),
+        (|reply| Reply::Truncated(0, Box::new(reply)), 20, 15),
+        (|reply| Reply::Truncated(2000, Box::new(reply)), 20, 15),
+        (|reply| Reply::Stalled(0, Box::new(reply)), 4, 1),
+        (|reply| Reply::Stalled(2000, Box::new(reply)), 4, 1),
     ];
     for (end, rounds, least) in ends {
         let (servers, arms) = two_failing(TEXT, end);
@@ -231,7 +231,7 @@
             count.fetch_add(1, Ordering::SeqCst);
             let rows = (0..2000).map(|i| vec![Some(i.to_string()), Some("x".repeat(500))]).collect();
             let reply = Reply::Rows(vec!["id", "text"], rows);
-            if cuts.load(Ordering::SeqCst) { Reply::Cut(700_000, Box::new(reply)) } else { reply }
+            if cuts.load(Ordering::SeqCst) { Reply::Truncated(700_000, Box::new(reply)) } else { reply }
         }
     });
     let proxy = Proxy::holding(&[&server], 20_000);
@@ -263,9 +263,9 @@
 fn a_write_whose_answer_is_cut_is_sent_once_and_told_as_unknown() {
     const TEXT: &str = "INSERT INTO t (id) VALUES (1)";
     let ends: [fn(Reply) -> Reply; 3] = [
-        |reply| Reply::Cut(0, Box::new(reply)),
-        |reply| Reply::Cut(5, Box::new(reply)),
-        |reply| Reply::Stall(3, Box::new(reply)),
+        |reply| Reply::Truncated(0, Box::new(reply)),
+        |reply| Reply::Truncated(5, Box::new(reply)),
+        |reply| Reply::Stalled(3, Box::new(reply)),
     ];
     for end in ends {
         let (servers, arms) = two_failing(TEXT, end);
@@ -275,7 +275,7 @@
         let start = Instant::now();
         assert_eq!(error(client.query_drop(TEXT)).1, MAY_HAVE_RUN);
         assert!(start.elapsed() < Duration::from_secs(8), "{:?}", start.elapsed());
-        assert_eq!(servers.iter().map(|s| s.count(TEXT)).sum::<usize>(), 1);
+        assert_eq!(servers.iter().map(|s| s.count_statements(TEXT)).sum::<usize>(), 1);
         // The session goes on.
         assert_eq!(rows(&mut client, "SELECT id, name FROM t").unwrap().len(), 300);
     }
@@ -288,14 +288,14 @@
         false => usual(asked),
     });
     let (full, primary) = (MySqlServer::start(OWN, usual), MySqlServer::start(OWN, usual));
-    full.refuse(true);
+    full.set_refusing(true);
     let proxy = Proxy::before(&[&reading, &full, &primary]);
     let mut client = proxy.client();
     for i in 0..20 {
         client.query_drop(format!("INSERT INTO t (id) VALUES ({i})")).expect("the primary does it");
     }
     for i in 0..20 {
-        assert_eq!(primary.count(&format!("INSERT INTO t (id) VALUES ({i})")), 1);
+        assert_eq!(primary.count_statements(&format!("INSERT INTO t (id) VALUES ({i})")), 1);
     }
 }
 
@@ -312,7 +312,7 @@
     let servers = [server(), server()];
     let proxy = Proxy::before(&[&servers[0], &servers[1]]);
     assert_eq!(error(proxy.client().query_drop("CALL place_order(7)")).0, 1290);
-    assert_eq!(servers.iter().map(|s| s.count("CALL place_order(7)")).sum::<usize>(), 1);
+    assert_eq!(servers.iter().map(|s| s.count_statements("CALL place_order(7)")).sum::<usize>(), 1);
 }
 
 #[test]
@@ -334,10 +334,10 @@
 
     client.query_drop("BEGIN").unwrap();
     client.query_drop("INSERT INTO t VALUES (3)").unwrap();
-    servers.iter().for_each(MySqlServer::drop_connections);
+    servers.iter().for_each(MySqlServer::close_connections);
     // It can't have been committed: the server undoes it with the connection.
     assert_eq!(error(client.query_drop("INSERT INTO t VALUES (4)")).1, TRY_AGAIN);
-    let count = |text: &str| servers.iter().map(|s| s.count(text)).sum::<usize>();
+    let count = |text: &str| servers.iter().map(|s| s.count_statements(text)).sum::<usize>();
     assert_eq!((count("INSERT INTO t VALUES (3)"), count("INSERT INTO t VALUES (4)")), (1, 0));
     client.query_drop("INSERT INTO t VALUES (5)").unwrap();
     let last = all().into_iter().find(|asked| asked.text == "INSERT INTO t VALUES (5)").unwrap();
@@ -346,14 +346,14 @@
 
 #[test]
 fn a_commit_whose_answer_is_cut_is_unknown_and_is_not_sent_again() {
-    let (servers, arms) = two_failing("COMMIT", |reply| Reply::Cut(0, Box::new(reply)));
+    let (servers, arms) = two_failing("COMMIT", |reply| Reply::Truncated(0, Box::new(reply)));
     arm(&arms);
     let proxy = Proxy::before(&[&servers[0], &servers[1]]);
     let mut client = proxy.client();
     client.query_drop("BEGIN").unwrap();
     client.query_drop("INSERT INTO t VALUES (1)").unwrap();
     assert_eq!(error(client.query_drop("COMMIT")).1, MAY_HAVE_RUN);
-    assert_eq!(servers.iter().map(|s| s.count("COMMIT")).sum::<usize>(), 1);
+    assert_eq!(servers.iter().map(|s| s.count_statements("COMMIT")).sum::<usize>(), 1);
     client.query_drop("INSERT INTO t VALUES (2)").unwrap();
 }
 
@@ -372,10 +372,10 @@
     }
     let mut a = proxy.client();
     a.query_drop("SET @A = 8").unwrap();
-    server.drop_connections();
+    server.close_connections();
     assert!(a.query_drop("INSERT INTO t VALUES (1)").is_err());
     assert!(a.ping().is_err(), "it goes on as if nothing were lost");
-    assert_eq!(server.count("INSERT INTO t VALUES (1)"), 0);
+    assert_eq!(server.count_statements("INSERT INTO t VALUES (1)"), 0);
 }
 
 #[test]
@@ -396,7 +396,7 @@
     let proxy = Proxy::before(&[&servers[0], &servers[1]]);
     let mut held = proxy.client();
     held.query_drop("BEGIN").unwrap();
-    let holder = servers.iter().position(|s| s.count("BEGIN") == 1).unwrap();
+    let holder = servers.iter().position(|s| s.count_statements("BEGIN") == 1).unwrap();
     let list = |status| {
         let mut list: Vec<_> =
             (0..).zip(&servers).map(|(id, s)| listed(id, s.address, Status::InService)).collect();
@@ -411,7 +411,7 @@
         held.query_drop("INSERT INTO t VALUES (2)").unwrap();
     }
     assert_eq!(servers[holder].statements().len(), before);
-    wait_for("end of the connections to it", || servers[holder].connected() == 0);
+    wait_for("end of the connections to it", || servers[holder].connection_count() == 0);
 }
 
 #[test]
@@ -455,7 +455,7 @@
             std::thread::sleep(Duration::from_millis(60));
             server.kill();
             std::thread::sleep(Duration::from_millis(120));
-            server.revive();
+            server.restart();
         }
         over.store(true, Ordering::SeqCst);
     });
@@ -473,13 +473,13 @@
 #[test]
 fn a_stop_answers_what_was_taken() {
     let server = MySqlServer::start(OWN, |asked| match asked.text.starts_with("INSERT") {
-        true => Reply::Late(Duration::from_millis(600), Box::new(usual(asked))),
+        true => Reply::Delayed(Duration::from_millis(600), Box::new(usual(asked))),
         false => usual(asked),
     });
     let mut proxy = Proxy::before(&[&server]);
     let (mut busy, mut idle) = (proxy.client(), proxy.client());
     let running = std::thread::spawn(move || busy.query_drop("INSERT INTO t VALUES (1)"));
-    wait_for("statement", || server.count("INSERT INTO t VALUES (1)") == 1);
+    wait_for("statement", || server.count_statements("INSERT INTO t VALUES (1)") == 1);
     proxy.stop();
     assert!(running.join().unwrap().is_ok(), "it was taken");
     assert!(idle.ping().is_err());
--- a/crates/plan/src/slice.rs
+++ b/crates/plan/src/slice.rs
@@ -244,7 +244,7 @@
     fn slice_of_a_slice_is_the_same_slice_with_any_drains() {
         let mut rng = dewpier_standins::rng::Rng::from_env("SLICE_SEED", 5);
         for _ in 0..300 {
-            let seed = rng.number();
+            let seed = rng.next_u64();
             let mut rng = dewpier_standins::rng::Rng::new(seed);
             let mut nodes = fleet(1 + rng.below(120), 1 + rng.below(30));
             let drained_percent = rng.below(101);
--- a/crates/plan/tests/common/planner.rs
+++ b/crates/plan/tests/common/planner.rs
@@ -2,7 +2,7 @@
 
 use dewpier_plan::Plan;
 use dewpier_plan::io::{Planner, Security};
-use dewpier_standins::LONG;
+use dewpier_standins::WAIT_TIMEOUT;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,5 +22,5 @@
             serving.serve(listener, Security::plain()).await;
         });
     });
-    (planner, address.recv_timeout(LONG).unwrap())
+    (planner, address.recv_timeout(WAIT_TIMEOUT).unwrap())
 }
--- a/crates/plan/tests/follows.rs
+++ b/crates/plan/tests/follows.rs
@@ -152,7 +152,7 @@
     let seeds = std::env::var("PLAN_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(1500);
     let (mut changes, mut rejected) = (0, 0);
     for _ in 0..seeds {
-        let seed = rng.number();
+        let seed = rng.next_u64();
         let mut rng = Rng::new(seed);
         let ids: Vec<String> = (0..6).map(|i| format!("n{i}")).collect();
         let mut planners =
@@ -280,7 +280,7 @@
         let at = rng.below(bytes.len());
         match rng.below(3) {
             0 => bytes.truncate(at),
-            1 => bytes[at] = rng.number() as u8,
+            1 => bytes[at] = rng.next_u64() as u8,
             _ => drop(bytes.remove(at)),
         }
         let _ = wire::read_planner_message(&bytes);
--- a/crates/plan/tests/hostile.rs
+++ b/crates/plan/tests/hostile.rs
@@ -10,7 +10,7 @@
     AnnouncementVersion, Counts, Delta, Digest, Follower, ForwarderMessage, LeaseState, MAX_DIGEST_NODES,
     MessageRejection, Node, Plan, PlannerMessage, Version,
 };
-use dewpier_standins::{LONG, wait_for};
+use dewpier_standins::{WAIT_TIMEOUT, wait_for};
 use std::cell::RefCell;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -116,7 +116,7 @@
 
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream
 }
 
@@ -250,7 +250,7 @@
         let mut hellos = Vec::new();
         for (i, script) in scripts.into_iter().enumerate() {
             let (mut stream, _) = listener.accept().unwrap();
-            stream.set_read_timeout(Some(LONG)).unwrap();
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
             let mut length = [0; 4];
             stream.read_exact(&mut length).unwrap();
             let mut bytes = vec![0; u32::from_le_bytes(length) as usize];
--- a/crates/plan/tests/letters.rs
+++ b/crates/plan/tests/letters.rs
@@ -10,7 +10,7 @@
     AnnouncementVersion, ForwarderMessage, MAX_MESSAGES_PER_RELAY, MAX_RELAYED_MESSAGE_BYTES, Plan,
     PlannerMessage, RelayedMessage, Version,
 };
-use dewpier_standins::{LONG, wait_for};
+use dewpier_standins::{WAIT_TIMEOUT, wait_for};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -30,7 +30,7 @@
     /// Connects, sends a hello and subscribes to messages for `number`.
     fn start(planner: SocketAddr, number: u64) -> Self {
         let stream = TcpStream::connect(planner).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let mut forwarder = Self(stream);
         forwarder.send(&ForwarderMessage::Hello {
             name: format!("f{number}"),
--- a/crates/plan/tests/slices.rs
+++ b/crates/plan/tests/slices.rs
@@ -39,7 +39,7 @@
     let seeds = std::env::var("SLICES_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(300);
     let (mut deltas, mut small_deltas, mut resends) = (0, 0, 0);
     for _ in 0..seeds {
-        let seed = rng.number();
+        let seed = rng.next_u64();
         let mut rng = Rng::new(seed);
         let slice = Slice::new(&format!("f{}", rng.below(9)), 1 + rng.below(12));
         let mut publisher = Publisher::default();
--- a/crates/standins/src/backend.rs
+++ b/crates/standins/src/backend.rs
@@ -1,7 +1,7 @@
 //! Backends that take their time, die, come back, and remember what reached them and when.
 
-use crate::faulty::reset;
-use crate::message::{Message, answer, read};
+use crate::faulty::reset_stream;
+use crate::message::{Message, format_response, read_message};
 use crate::wait_for;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
@@ -14,29 +14,29 @@
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// When its first byte was there: a send counts from there where a drain is concerned.
-    pub at: Instant,
+    pub received_at: Instant,
     /// Its method.
     pub method: String,
     /// Its header `X-Order`, by which tests name what must not run twice.
-    pub order: Option<String>,
+    pub order_id: Option<String>,
     /// It was not answered as usual: by the node's fault, or that of the way.
-    pub bad: bool,
+    pub is_faulty: bool,
 }
 
 /// What becomes of requests on the way from one caller, and of their answers. Callers are told apart by what comes
 /// before the first `-` in `X-Order`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Path {
+pub enum PathFault {
     /// Requests wait until the way is mended.
-    Held,
+    RequestsHeld,
     /// Answers wait until the way is mended.
-    Unanswered,
+    ResponsesHeld,
     /// The connection is reset before a request has run.
-    ResetBefore,
+    ResetBeforeRequest,
     /// It is reset once the request has run.
-    ResetAfter,
+    ResetAfterRequest,
     /// Answers come byte by byte, each after so many milliseconds.
-    Trickles(u64),
+    SlowResponse(u64),
 }
 
 /// An answer that takes so many times what is usual is a bad one.
@@ -57,7 +57,7 @@
     failing: AtomicBool,
     /// Each of so many fails; 0 for none.
     one_in: AtomicUsize,
-    paths: Mutex<HashMap<String, Path>>,
+    paths: Mutex<HashMap<String, PathFault>>,
     count: AtomicUsize,
     arrivals: Mutex<Vec<Arrival>>,
     /// A copy of each open connection, by its number.
@@ -84,7 +84,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
         let backend = Self { address, name: name.into(), shared: Arc::default() };
-        backend.slow(work);
+        backend.set_response_time(work);
         backend.shared.usual.store(work.as_micros() as u64, Ordering::SeqCst);
         backend.listen(listener);
         backend
@@ -112,22 +112,22 @@
     }
 
     /// From now on an answer takes so long.
-    pub fn slow(&self, work: Duration) {
+    pub fn set_response_time(&self, work: Duration) {
         self.shared.work.store(work.as_micros() as u64, Ordering::SeqCst);
     }
 
     /// From now on it answers 500, or no longer.
-    pub fn fail(&self, failing: bool) {
+    pub fn set_failing(&self, failing: bool) {
         self.shared.failing.store(failing, Ordering::SeqCst);
     }
 
     /// From now on every so manieth request is answered 500; 0 for none.
-    pub fn fail_one_in(&self, count: usize) {
+    pub fn set_failure_interval(&self, count: usize) {
         self.shared.one_in.store(count, Ordering::SeqCst);
     }
 
     /// From now on the way from that caller is like this, or well.
-    pub fn path(&self, caller: &str, path: Option<Path>) {
+    pub fn set_path_fault(&self, caller: &str, path: Option<PathFault>) {
         let mut paths = lock(&self.shared.paths);
         match path {
             Some(path) => drop(paths.insert(caller.into(), path)),
@@ -147,7 +147,7 @@
     }
 
     /// Comes back at its old address. Panics where that is not free again within [`crate::LONG`].
-    pub fn revive(&self) {
+    pub fn restart(&self) {
         let mut bound = None;
         wait_for("free address", || {
             bound = TcpListener::bind(self.address).ok();
@@ -157,12 +157,12 @@
     }
 
     /// How many requests have reached it.
-    pub fn count(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.shared.count.load(Ordering::SeqCst)
     }
 
     /// How often it was connected to.
-    pub fn connected(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.shared.connected.load(Ordering::SeqCst)
     }
 
@@ -182,16 +182,16 @@
 fn next(stream: &mut BufReader<TcpStream>) -> Option<(Instant, Message)> {
     stream.fill_buf().ok()?;
     let at = Instant::now();
-    Some((at, read(stream)?))
+    Some((at, read_message(stream)?))
 }
 
 impl Shared {
-    fn path(&self, caller: &str) -> Option<Path> {
+    fn path(&self, caller: &str) -> Option<PathFault> {
         lock(&self.paths).get(caller).copied()
     }
 
     /// Waits until the way is another one than this.
-    fn wait(&self, caller: &str, path: Path) {
+    fn wait(&self, caller: &str, path: PathFault) {
         while self.path(caller) == Some(path) && self.alive.load(Ordering::SeqCst) {
             std::thread::sleep(LOOK);
         }
@@ -206,8 +206,8 @@
         let caller = order.as_deref().and_then(|o| o.split('-').next()).unwrap_or_default().to_string();
         let path = shared.path(&caller);
         match path {
-            Some(Path::Held) => shared.wait(&caller, Path::Held),
-            Some(Path::ResetBefore) => return reset(stream.get_ref()),
+            Some(PathFault::RequestsHeld) => shared.wait(&caller, PathFault::RequestsHeld),
+            Some(PathFault::ResetBeforeRequest) => return reset_stream(stream.get_ref()),
             _ => {}
         }
         let count = shared.count.fetch_add(1, Ordering::SeqCst) + 1;
@@ -215,25 +215,30 @@
         let failing = shared.failing.load(Ordering::SeqCst) || one_in > 0 && count.is_multiple_of(one_in);
         let work = shared.work.load(Ordering::SeqCst);
         let late = work > BAD_TIMES * shared.usual.load(Ordering::SeqCst).max(1);
-        let method = message.first.split(' ').next().unwrap_or_default().to_string();
+        let method = message.start_line.split(' ').next().unwrap_or_default().to_string();
         {
             let mut arrivals = lock(&shared.arrivals);
             if arrivals.len() < MOST_REMEMBERED {
-                arrivals.push(Arrival { at, method, order, bad: failing || late || path.is_some() });
+                arrivals.push(Arrival {
+                    received_at: at,
+                    method,
+                    order_id: order,
+                    is_faulty: failing || late || path.is_some(),
+                });
             }
         }
         if work > 0 {
             std::thread::sleep(Duration::from_micros(work));
         }
         match path {
-            Some(Path::Unanswered) => shared.wait(&caller, Path::Unanswered),
-            Some(Path::ResetAfter) => return reset(stream.get_ref()),
+            Some(PathFault::ResponsesHeld) => shared.wait(&caller, PathFault::ResponsesHeld),
+            Some(PathFault::ResetAfterRequest) => return reset_stream(stream.get_ref()),
             _ => {}
         }
         let status = if failing { "500 Internal Server Error" } else { "200 OK" };
-        let text = answer(status, name);
+        let text = format_response(status, name);
         let said = match path {
-            Some(Path::Trickles(each)) => text.bytes().try_for_each(|byte| {
+            Some(PathFault::SlowResponse(each)) => text.bytes().try_for_each(|byte| {
                 std::thread::sleep(Duration::from_millis(each));
                 stream.get_mut().write_all(&[byte])
             }),
--- a/crates/standins/src/bulk.rs
+++ b/crates/standins/src/bulk.rs
@@ -15,12 +15,12 @@
     static PATTERN_BYTES: OnceLock<Vec<u8>> = OnceLock::new();
     PATTERN_BYTES.get_or_init(|| {
         let mut rng = crate::rng::Rng::new(0xb01d);
-        (0..PATTERN).map(|_| rng.number() as u8).collect()
+        (0..PATTERN).map(|_| rng.next_u64() as u8).collect()
     })
 }
 
 /// Bytes of the body from `at` on, `most` of them at most.
-pub fn part(at: usize, most: usize) -> &'static [u8] {
+pub fn pattern_bytes(at: usize, most: usize) -> &'static [u8] {
     let from = at % PATTERN;
     &pattern()[from..PATTERN.min(from + most)]
 }
@@ -37,7 +37,7 @@
 }
 
 /// Writes a body of `size` bytes behind a head that lacks its framing and its end, and stops after `cut` of them.
-pub fn write(
+pub fn write_body(
     to: &mut impl Write,
     head: &str,
     framing: Framing,
@@ -53,7 +53,7 @@
     let end = cut.unwrap_or(size).min(size);
     let mut at = 0;
     while at < end {
-        let piece = part(at, PIECE.min(end - at));
+        let piece = pattern_bytes(at, PIECE.min(end - at));
         at += piece.len();
         if framing == Framing::Chunked {
             let mut chunk = format!("{:x}\r\n", piece.len()).into_bytes();
@@ -72,20 +72,25 @@
 
 /// How a body came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Came {
+pub struct ReceivedBody {
     /// So many bytes.
     pub size: usize,
     /// Each of them what it should be.
-    pub right: bool,
+    pub is_correct: bool,
     /// It came to its end, as its framing tells.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 /// Reads a body of a message with these headers, in pieces that `wait` is called between.
-pub fn read(from: &mut impl BufRead, headers: &[(String, String)], wait: impl FnMut(usize)) -> Came {
+pub fn read_body(
+    from: &mut impl BufRead,
+    headers: &[(String, String)],
+    wait: impl FnMut(usize),
+) -> ReceivedBody {
     let named = |name: &str| headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
-    let mut reader = Reader { from, came: Came { size: 0, right: true, whole: false }, wait };
-    reader.came.whole = match (named("transfer-encoding"), named("content-length")) {
+    let mut reader =
+        Reader { from, came: ReceivedBody { size: 0, is_correct: true, is_complete: false }, wait };
+    reader.came.is_complete = match (named("transfer-encoding"), named("content-length")) {
         (Some(_), _) => reader.chunks(),
         (None, Some(length)) => length.parse().is_ok_and(|length| reader.exactly(length) == Some(())),
         (None, None) => {
@@ -98,7 +103,7 @@
 
 struct Reader<'a, R, W> {
     from: &'a mut R,
-    came: Came,
+    came: ReceivedBody,
     wait: W,
 }
 
@@ -110,8 +115,8 @@
             let read = self.from.read(&mut space[..most]).ok().filter(|read| *read > 0)?;
             let mut at = 0;
             while at < read {
-                let expected = part(self.came.size, read - at);
-                self.came.right &= expected == &space[at..at + expected.len()];
+                let expected = pattern_bytes(self.came.size, read - at);
+                self.came.is_correct &= expected == &space[at..at + expected.len()];
                 at += expected.len();
                 self.came.size += expected.len();
             }
@@ -147,19 +152,19 @@
 
 /// A backend that reads bodies and gives answers as the query of a request says: `size`, `framing` and `cut` of the
 /// answer; with `early` it answers before it has read the body, and turns the request away.
-pub struct Bulk {
+pub struct BulkServer {
     /// Where it listens.
     pub address: SocketAddr,
     /// Bodies that came whole and right, and all others.
-    pub bodies: Arc<[AtomicUsize; 2]>,
+    pub body_counts: Arc<[AtomicUsize; 2]>,
 }
 
-impl Bulk {
+impl BulkServer {
     /// Starts one.
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let bulk = Self { address: listener.local_addr().expect("an address"), bodies: Arc::default() };
-        let bodies = bulk.bodies.clone();
+        let bulk = Self { address: listener.local_addr().expect("an address"), body_counts: Arc::default() };
+        let bodies = bulk.body_counts.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let bodies = bodies.clone();
@@ -173,7 +178,7 @@
 fn serve(mut stream: BufReader<TcpStream>, bodies: &[AtomicUsize; 2]) -> Option<()> {
     loop {
         let head = crate::message::read_head(&mut stream)?;
-        let query = head.first.split([' ', '?']).nth(2).unwrap_or_default().to_string();
+        let query = head.start_line.split([' ', '?']).nth(2).unwrap_or_default().to_string();
         let asked = |name: &str| {
             query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')).map(str::to_string)
         };
@@ -188,10 +193,10 @@
         }
         let framed = head.header("content-length").or(head.header("transfer-encoding")).is_some();
         if framed {
-            let came = read(&mut stream, &head.headers, |_| {});
-            let good = usize::from(!(came.whole && came.right));
+            let came = read_body(&mut stream, &head.headers, |_| {});
+            let good = usize::from(!(came.is_complete && came.is_correct));
             bodies[good].fetch_add(1, Ordering::SeqCst);
-            if !came.whole {
+            if !came.is_complete {
                 return None;
             }
         }
@@ -202,7 +207,7 @@
             _ => Framing::Length,
         };
         let (size, cut) = (number("size").unwrap_or(2), number("cut"));
-        write(stream.get_mut(), "HTTP/1.1 200 OK\r\n", framing, size, cut).ok()?;
+        write_body(stream.get_mut(), "HTTP/1.1 200 OK\r\n", framing, size, cut).ok()?;
         if framing == Framing::Close || cut.is_some() {
             return stream.get_mut().shutdown(Shutdown::Both).ok();
         }
