--- a/crates/standins/src/faulty.rs
+++ b/crates/standins/src/faulty.rs
@@ -1,7 +1,7 @@
 //! Backends that answer at once and fail a part of what they are asked, in every way in which a
 //! connection can fail, drawn from a seed.
 
-use crate::message::{Message, answer, read};
+use crate::message::{Message, format_response, read_message};
 use crate::rng::Rng;
 use socket2::SockRef;
 use std::collections::HashMap;
@@ -15,42 +15,42 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The connection is reset while nothing of the request has been read.
-    ResetBefore,
+    ResetBeforeRead,
     /// It is reset once all of it has been read.
-    ResetAfter,
+    ResetAfterRead,
     /// Half of the answer comes, then the connection ends.
-    Half,
+    PartialResponse,
     /// Nothing comes for [`SILENT`], then the connection ends.
-    Silent,
+    NoResponse,
     /// The answer is 500.
-    Error,
+    ServerError,
     /// The answer is 503, without a word on whether it has run.
-    Busy,
+    Unavailable,
     /// The right answer comes after [`SLOW`].
-    Slow,
+    DelayedResponse,
     /// What comes is no HTTP.
-    Garbage,
+    InvalidResponse,
     /// The right answer comes, and the connection is closed behind it without a word.
-    Closed,
+    CloseAfterResponse,
 }
 
 /// All of them.
-pub const FAULTS: [Fault; 9] = [
-    Fault::ResetBefore,
-    Fault::ResetAfter,
-    Fault::Half,
-    Fault::Silent,
-    Fault::Error,
-    Fault::Busy,
-    Fault::Slow,
-    Fault::Garbage,
-    Fault::Closed,
+pub const ALL_FAULTS: [Fault; 9] = [
+    Fault::ResetBeforeRead,
+    Fault::ResetAfterRead,
+    Fault::PartialResponse,
+    Fault::NoResponse,
+    Fault::ServerError,
+    Fault::Unavailable,
+    Fault::DelayedResponse,
+    Fault::InvalidResponse,
+    Fault::CloseAfterResponse,
 ];
 
 /// How long [`Fault::Silent`] lasts.
-pub const SILENT: Duration = Duration::from_secs(4);
+pub const NO_RESPONSE_DURATION: Duration = Duration::from_secs(4);
 /// How late [`Fault::Slow`] is.
-pub const SLOW: Duration = Duration::from_millis(400);
+pub const RESPONSE_DELAY: Duration = Duration::from_millis(400);
 
 struct Shared {
     /// Faults in a million requests.
@@ -77,13 +77,13 @@
 
 /// A stand-in that answers each request with its header `X-Id`, or fails it. Its thread ends with
 /// the process.
-pub struct Faulty {
+pub struct FaultyBackend {
     /// Where it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-impl Faulty {
+impl FaultyBackend {
     /// One that fails this part of its requests, in one of these ways each.
     pub fn start(seed: u64, part: f64, faults: &[Fault]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -101,7 +101,7 @@
             orders: Mutex::default(),
         });
         let faulty = Self { address, shared: shared.clone() };
-        faulty.fails(part);
+        faulty.set_failure_fraction(part);
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 shared.connected.fetch_add(1, Ordering::SeqCst);
@@ -113,39 +113,39 @@
     }
 
     /// From now on it fails this part.
-    pub fn fails(&self, part: f64) {
+    pub fn set_failure_fraction(&self, part: f64) {
         self.shared.part.store((part * 1e6) as u64, Ordering::SeqCst);
     }
 
     /// From now on it closes a connection that has stood idle for so long.
-    pub fn closes_after(&self, idle: Duration) {
+    pub fn set_idle_close_after(&self, idle: Duration) {
         self.shared.closes_after.store(idle.as_micros() as u64, Ordering::SeqCst);
     }
 
     /// From now on it keeps such a connection open, and resets it without a word and without running
     /// anything once a whole request has come on it: as does a server, or what stands between, that has
     /// forgotten the connection.
-    pub fn swallows_after(&self, idle: Duration) {
+    pub fn set_idle_reset_after(&self, idle: Duration) {
         self.shared.swallows_after.store(idle.as_micros() as u64, Ordering::SeqCst);
     }
 
     /// The reset comes so long after the request, as where the way is long or the machine busy.
-    pub fn swallows_for(&self, wait: Duration) {
+    pub fn set_reset_delay(&self, wait: Duration) {
         self.shared.swallows_for.store(wait.as_micros() as u64, Ordering::SeqCst);
     }
 
     /// How many attempts have reached it, read or not.
-    pub fn attempts(&self) -> usize {
+    pub fn attempt_count(&self) -> usize {
         self.shared.begun.load(Ordering::SeqCst) + self.shared.unread.load(Ordering::SeqCst)
     }
 
     /// How often it was connected to.
-    pub fn connected(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.shared.connected.load(Ordering::SeqCst)
     }
 
     /// How often each order has run.
-    pub fn orders(&self) -> HashMap<String, usize> {
+    pub fn executions_by_order(&self) -> HashMap<String, usize> {
         lock(&self.shared.orders).clone()
     }
 }
@@ -166,7 +166,7 @@
 }
 
 /// Ends a connection so that its other side sees a reset.
-pub(crate) fn reset(stream: &TcpStream) {
+pub(crate) fn reset_stream(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
@@ -186,34 +186,39 @@
         let _ = stream.get_ref().set_read_timeout(None);
         let swallows = after(&shared.swallows_after);
         if answered && !swallows.is_zero() && idle.elapsed() > swallows {
-            let _ = read(&mut stream);
+            let _ = read_message(&mut stream);
             std::thread::sleep(after(&shared.swallows_for));
             shared.unread.fetch_add(1, Ordering::SeqCst);
-            return reset(stream.get_ref());
+            return reset_stream(stream.get_ref());
         }
         let fault = shared.draw();
-        if fault == Some(Fault::ResetBefore) {
+        if fault == Some(Fault::ResetBeforeRead) {
             shared.unread.fetch_add(1, Ordering::SeqCst);
-            return reset(stream.get_ref());
+            return reset_stream(stream.get_ref());
         }
-        let Some(message) = read(&mut stream) else { return };
+        let Some(message) = read_message(&mut stream) else { return };
         shared.run(&message);
-        let right = answer("200 OK", message.header("x-id").unwrap_or_default());
+        let right = format_response("200 OK", message.header("x-id").unwrap_or_default());
         let said = match fault {
-            None | Some(Fault::Closed) => right,
-            Some(Fault::ResetBefore | Fault::ResetAfter) => return reset(stream.get_ref()),
-            Some(Fault::Half) => right[..right.len() / 2].to_string(),
-            Some(Fault::Silent) => return std::thread::sleep(SILENT),
-            Some(Fault::Error) => answer("500 Internal Server Error", "error"),
-            Some(Fault::Busy) => answer("503 Service Unavailable", "busy"),
-            Some(Fault::Garbage) => "\u{1}\u{2}nothing of the kind\r\n\r\n".to_string(),
-            Some(Fault::Slow) => {
-                std::thread::sleep(SLOW);
+            None | Some(Fault::CloseAfterResponse) => right,
+            Some(Fault::ResetBeforeRead | Fault::ResetAfterRead) => return reset_stream(stream.get_ref()),
+            Some(Fault::PartialResponse) => right[..right.len() / 2].to_string(),
+            Some(Fault::NoResponse) => return std::thread::sleep(NO_RESPONSE_DURATION),
+            Some(Fault::ServerError) => format_response("500 Internal Server Error", "error"),
+            Some(Fault::Unavailable) => format_response("503 Service Unavailable", "busy"),
+            Some(Fault::InvalidResponse) => "\u{1}\u{2}nothing of the kind\r\n\r\n".to_string(),
+            Some(Fault::DelayedResponse) => {
+                std::thread::sleep(RESPONSE_DELAY);
                 right
             }
         };
         let written = stream.get_mut().write_all(said.as_bytes());
-        if written.is_err() || matches!(fault, Some(Fault::Half | Fault::Garbage | Fault::Closed)) {
+        if written.is_err()
+            || matches!(
+                fault,
+                Some(Fault::PartialResponse | Fault::InvalidResponse | Fault::CloseAfterResponse)
+            )
+        {
             return;
         }
         answered = true;
--- a/crates/standins/src/spoiler.rs
+++ b/crates/standins/src/faulty_relay.rs
@@ -13,7 +13,7 @@
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
+pub enum MessageFault {
     /// The connection ends, for both.
     Cut,
     /// Nothing more comes for so many milliseconds; then it ends.
@@ -30,7 +30,7 @@
     message: usize,
     /// So many bytes of it go through; where that is more than it has, counted from its end.
     bytes: usize,
-    wrong: Wrong,
+    wrong: MessageFault,
 }
 
 #[derive(Default)]
@@ -40,7 +40,7 @@
 }
 
 /// Carries connections to a server for as long as it is kept.
-pub struct Spoiler {
+pub struct FaultyRelay {
     /// Where to connect instead.
     pub address: SocketAddr,
     shared: Arc<Shared>,
@@ -49,7 +49,7 @@
 /// Behind nothing, within a header, behind it, behind the first byte, somewhere, before the last byte, behind all.
 const PLACES: [usize; 9] = [0, 1, 3, 4, 5, 9, 60, usize::MAX - 1, usize::MAX];
 
-impl Spoiler {
+impl FaultyRelay {
     /// To that server. Of a hundred connections so many go wrong, in one of their first `messages`.
     pub fn start(to: SocketAddr, seed: u64, of_hundred: usize, messages: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -63,12 +63,12 @@
                     return;
                 }
                 let wrong = match rng.below(10) {
-                    0..=4 => Wrong::Cut,
-                    5..=6 => Wrong::Stall(50 + rng.below(250) as u64),
-                    _ => Wrong::Garble,
+                    0..=4 => MessageFault::Cut,
+                    5..=6 => MessageFault::Stall(50 + rng.below(250) as u64),
+                    _ => MessageFault::Garble,
                 };
                 // What clients say is not garbled: a statement may mean something else then, and be one.
-                let way = if wrong == Wrong::Garble { 1 } else { rng.below(2) };
+                let way = if wrong == MessageFault::Garble { 1 } else { rng.below(2) };
                 let place = Place { way, message: rng.below(messages), bytes: *rng.pick(&PLACES), wrong };
                 let place = (rng.below(100) < of_hundred).then_some(place);
                 let known = known.clone();
@@ -81,12 +81,12 @@
     }
 
     /// Connections that went wrong.
-    pub fn spoilt(&self) -> usize {
+    pub fn failed_connections(&self) -> usize {
         self.shared.spoilt.load(Ordering::SeqCst)
     }
 }
 
-impl Drop for Spoiler {
+impl Drop for FaultyRelay {
     fn drop(&mut self) {
         self.shared.over.store(true, Ordering::SeqCst);
         let _ = TcpStream::connect(self.address); // the listener wakes up to see that it is over
@@ -137,14 +137,14 @@
         shared.spoilt.fetch_add(1, Ordering::SeqCst);
         let through = if bytes <= read { bytes } else { read - (usize::MAX - bytes).min(read) };
         match wrong {
-            Wrong::Garble => {
+            MessageFault::Garble => {
                 buffer[bytes.min(read - 1).min(4)] ^= 0x15;
                 if let Err(error) = to.write_all(&buffer[..read]) {
                     break Err(error);
                 }
             }
-            Wrong::Cut => break to.write_all(&buffer[..through]),
-            Wrong::Stall(ms) => {
+            MessageFault::Cut => break to.write_all(&buffer[..through]),
+            MessageFault::Stall(ms) => {
                 let written = to.write_all(&buffer[..through]);
                 std::thread::sleep(Duration::from_millis(ms));
                 break written;
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -7,15 +7,15 @@
 pub mod backend;
 pub mod bulk;
 pub mod faulty;
+pub mod faulty_relay;
 pub mod load;
 pub mod mesh;
 pub mod message;
 pub mod mysql;
-pub mod played;
 pub mod relay;
 pub mod rng;
+pub mod scripted_server;
 pub mod shop;
-pub mod spoiler;
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -23,11 +23,11 @@
 use std::time::{Duration, Instant};
 
 /// Far beyond what any step takes, on a busy machine too.
-pub const LONG: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Addresses that nobody else takes while this process runs: a loopback address of its own, as a port that was free a
 /// moment ago may be given to anybody who asks for one.
-pub fn own_addresses(count: u16) -> Vec<SocketAddr> {
+pub fn reserve_addresses(count: u16) -> Vec<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     const FIRST_PORT: u16 = 7200;
     let pid = std::process::id();
@@ -43,13 +43,13 @@
 pub fn wait_for(what: &str, mut seen: impl FnMut() -> bool) {
     let start = Instant::now();
     while !seen() {
-        assert!(start.elapsed() < LONG, "no {what} in time");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "no {what} in time");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// Waits until it is told that a connection has ended.
 #[track_caller]
-pub fn heard(ended: &Receiver<()>) {
-    ended.recv_timeout(LONG).expect("the connection is ended");
+pub fn wait_for_close(ended: &Receiver<()>) {
+    ended.recv_timeout(WAIT_TIMEOUT).expect("the connection is ended");
 }
--- a/crates/standins/src/mesh.rs
+++ b/crates/standins/src/mesh.rs
@@ -1,7 +1,7 @@
 //! A network between processes that talk by datagrams: each way from one to another is led over a socket of its
 //! own, and loses, doubles, delays, reorders or cuts as it is told, by a seed.
 
-use crate::own_addresses;
+use crate::reserve_addresses;
 use crate::rng::Rng;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,27 +15,27 @@
 
 /// What a way does to datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
+pub struct LinkFaults {
     /// Nothing comes through.
     pub cut: bool,
     /// So many in a thousand are lost,
-    pub lost: u32,
+    pub lost_per_mille: u32,
     /// and so many come twice.
-    pub doubled: u32,
+    pub duplicated_per_mille: u32,
     /// Each takes up to so long, so that they overtake each other.
-    pub delay: Duration,
+    pub max_delay: Duration,
 }
 
 struct Shared {
     over: AtomicBool,
     /// From, to.
-    ways: Mutex<Vec<Vec<Way>>>,
+    ways: Mutex<Vec<Vec<LinkFaults>>>,
 }
 
 /// A network between that many processes, for as long as it is kept.
 pub struct Mesh {
     /// Where each process is to listen.
-    pub listen: Vec<SocketAddr>,
+    pub listen_addresses: Vec<SocketAddr>,
     inlets: Vec<Vec<SocketAddr>>,
     shared: Arc<Shared>,
 }
@@ -47,22 +47,22 @@
         let address = |socket: &UdpSocket| socket.local_addr().expect("an address");
         let sockets: Vec<Vec<UdpSocket>> = (0..count).map(|_| (0..count).map(|_| bind()).collect()).collect();
         // They stay free while a process is down.
-        let listen = own_addresses(count as u16);
+        let listen = reserve_addresses(count as u16);
         let inlets = sockets.iter().map(|row| row.iter().map(address).collect()).collect();
-        let ways = Mutex::new(vec![vec![Way::default(); count]; count]);
+        let ways = Mutex::new(vec![vec![LinkFaults::default(); count]; count]);
         let shared = Arc::new(Shared { over: AtomicBool::new(false), ways });
         let (known, to) = (shared.clone(), listen.clone());
         std::thread::spawn(move || carry(&sockets, &to, &known, seed));
-        Self { listen, inlets, shared }
+        Self { listen_addresses: listen, inlets, shared }
     }
 
     /// Where a process has to send to, for another.
-    pub fn inlet(&self, from: usize, to: usize) -> SocketAddr {
+    pub fn send_address(&self, from: usize, to: usize) -> SocketAddr {
         self.inlets[from][to]
     }
 
     /// From now on the ways from one to another are like that, where `which` says so.
-    pub fn set(&self, way: Way, which: impl Fn(usize, usize) -> bool) {
+    pub fn set_faults(&self, way: LinkFaults, which: impl Fn(usize, usize) -> bool) {
         let mut ways = self.shared.ways.lock().unwrap_or_else(PoisonError::into_inner);
         for (from, row) in ways.iter_mut().enumerate() {
             for (to, known) in row.iter_mut().enumerate().filter(|(to, _)| which(from, *to)) {
@@ -92,12 +92,12 @@
             for (to, socket) in row.iter().enumerate().filter(|(to, _)| *to != from) {
                 let way = ways[from][to];
                 while let Ok((length, _)) = socket.recv_from(&mut buffer) {
-                    let copies = if (rng.below(1000) as u32) < way.doubled { 2 } else { 1 };
-                    if way.cut || (rng.below(1000) as u32) < way.lost {
+                    let copies = if (rng.below(1000) as u32) < way.duplicated_per_mille { 2 } else { 1 };
+                    if way.cut || (rng.below(1000) as u32) < way.lost_per_mille {
                         continue;
                     }
                     for _ in 0..copies {
-                        let wait = rng.below(way.delay.as_micros() as usize + 1);
+                        let wait = rng.below(way.max_delay.as_micros() as usize + 1);
                         let at = Instant::now() + Duration::from_micros(wait as u64);
                         if under_way.len() < MOST_UNDER_WAY {
                             under_way.push((at, from, to, buffer[..length].to_vec()));
--- a/crates/standins/src/message.rs
+++ b/crates/standins/src/message.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// The request line or the status line.
-    pub first: String,
+    pub start_line: String,
     /// Names in lower case, and values.
     pub headers: Vec<(String, String)>,
     /// What its length says is its body.
@@ -22,12 +22,12 @@
 
     /// The status of an answer; 0 if it has none.
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 }
 
 /// The next message of a connection; None at its end, or where it breaks.
-pub fn read(stream: &mut BufReader<TcpStream>) -> Option<Message> {
+pub fn read_message(stream: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut message = read_head(stream)?;
     let length = message.header("content-length").map_or(Some(0), |l| l.parse().ok())?;
     message.body = vec![0; length];
@@ -45,8 +45,8 @@
         }
         let text = line.trim_end().to_string();
         line.clear();
-        if message.first.is_empty() {
-            message.first = text;
+        if message.start_line.is_empty() {
+            message.start_line = text;
         } else if let Some((name, value)) = text.split_once(": ") {
             message.headers.push((name.to_lowercase(), value.to_string()));
         } else if text.is_empty() {
@@ -57,19 +57,19 @@
 }
 
 /// An answer with a body.
-pub fn answer(status: &str, body: &str) -> String {
+pub fn format_response(status: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
 /// Sends a request and reads the answer.
 #[track_caller]
-pub fn ask(stream: &mut BufReader<TcpStream>, text: &str) -> Message {
+pub fn exchange(stream: &mut BufReader<TcpStream>, text: &str) -> Message {
     stream.get_mut().write_all(text.as_bytes()).expect("the connection takes a request");
-    read(stream).expect("an answer")
+    read_message(stream).expect("an answer")
 }
 
 /// Resets a connection, so that the other side sees an error and no end.
-pub fn reset(stream: TcpStream) {
+pub fn reset_connection(stream: TcpStream) {
     let socket = socket2::Socket::from(stream);
     let _ = socket.set_linger(Some(std::time::Duration::ZERO)); // it is closed either way
 }
--- a/crates/standins/src/mysql.rs
+++ b/crates/standins/src/mysql.rs
@@ -22,7 +22,7 @@
 
 /// What a statement finds.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ReceivedStatement {
     /// The number of its connection.
     pub connection: u32,
     /// The database that this is in.
@@ -45,21 +45,21 @@
     /// Rows of text.
     Rows(Vec<&'static str>, Vec<Vec<Option<String>>>),
     /// The answer, after so long.
-    Late(Duration, Box<Reply>),
+    Delayed(Duration, Box<Reply>),
     /// The first bytes of the answer, and the end of the connection.
-    Cut(usize, Box<Reply>),
+    Truncated(usize, Box<Reply>),
     /// The first bytes of the answer, and silence.
-    Stall(usize, Box<Reply>),
+    Stalled(usize, Box<Reply>),
 }
 
-type Script = dyn Fn(&Asked) -> Reply + Send + Sync;
+type Script = dyn Fn(&ReceivedStatement) -> Reply + Send + Sync;
 
 struct Shared {
     alive: AtomicBool,
     refusing: AtomicBool,
     password: Mutex<String>,
     script: Box<Script>,
-    statements: Mutex<Vec<Asked>>,
+    statements: Mutex<Vec<ReceivedStatement>>,
     connections: Mutex<HashMap<u32, TcpStream>>,
     numbers: AtomicU32,
 }
@@ -78,7 +78,10 @@
 impl MySqlServer {
     /// One that lets in whoever has this password, and answers as the script says. BEGIN, COMMIT, ROLLBACK and
     /// SET it does by itself, and asks the script then what to say.
-    pub fn start(password: &str, script: impl Fn(&Asked) -> Reply + Send + Sync + 'static) -> Self {
+    pub fn start(
+        password: &str,
+        script: impl Fn(&ReceivedStatement) -> Reply + Send + Sync + 'static,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
         let shared = Arc::new(Shared {
@@ -119,7 +122,7 @@
     }
 
     /// From now on newcomers are told that there are too many of them, or no longer.
-    pub fn refuse(&self, refusing: bool) {
+    pub fn set_refusing(&self, refusing: bool) {
         self.shared.refusing.store(refusing, Ordering::SeqCst);
     }
 
@@ -127,19 +130,19 @@
     pub fn kill(&self) {
         if self.shared.alive.swap(false, Ordering::SeqCst) {
             let _ = TcpStream::connect(self.address); // the listener wakes up, and goes
-            self.drop_connections();
+            self.close_connections();
         }
     }
 
     /// Its connections break.
-    pub fn drop_connections(&self) {
+    pub fn close_connections(&self) {
         for (_, stream) in lock(&self.shared.connections).drain() {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
     /// Comes back at its old address. Panics where that is not free again within [`crate::LONG`].
-    pub fn revive(&self) {
+    pub fn restart(&self) {
         let mut bound = None;
         wait_for("free address", || {
             bound = TcpListener::bind(self.address).ok();
@@ -149,17 +152,17 @@
     }
 
     /// Connections that are open now.
-    pub fn connected(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         lock(&self.shared.connections).len()
     }
 
     /// What has reached it, in order.
-    pub fn statements(&self) -> Vec<Asked> {
+    pub fn statements(&self) -> Vec<ReceivedStatement> {
         lock(&self.shared.statements).clone()
     }
 
     /// How often a text has reached it.
-    pub fn count(&self, text: &str) -> usize {
+    pub fn count_statements(&self, text: &str) -> usize {
         lock(&self.shared.statements).iter().filter(|asked| asked.text == text).count()
     }
 }
@@ -489,7 +492,7 @@
         if let Some(name) = upper.strip_prefix("USE ") {
             self.database = Some(name.to_ascii_lowercase());
         }
-        let asked = Asked {
+        let asked = ReceivedStatement {
             connection: self.number,
             database: self.database.clone(),
             text,
@@ -505,16 +508,16 @@
         let mut reply = (shared.script)(&asked);
         loop {
             match reply {
-                Reply::Late(time, then) => {
+                Reply::Delayed(time, then) => {
                     std::thread::sleep(time);
                     reply = *then;
                 }
-                Reply::Cut(bytes, then) => {
+                Reply::Truncated(bytes, then) => {
                     let whole = self.worded(&then, binary);
                     self.stream.write_all(&whole[..bytes.min(whole.len())])?;
                     return Err(bad("cut"));
                 }
-                Reply::Stall(bytes, then) => {
+                Reply::Stalled(bytes, then) => {
                     let whole = self.worded(&then, binary);
                     self.stream.write_all(&whole[..bytes.min(whole.len())])?;
                     return self.read().map(drop); // until the other side has enough of it
@@ -572,7 +575,7 @@
                 let end = if new { self.ok(0xfe, 0, 0) } else { eof };
                 self.frame(&mut out, &end);
             }
-            Reply::Late(_, then) | Reply::Cut(_, then) | Reply::Stall(_, then) => {
+            Reply::Delayed(_, then) | Reply::Truncated(_, then) | Reply::Stalled(_, then) => {
                 return self.worded(then, binary);
             }
         }
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -33,11 +33,11 @@
 impl Relay {
     /// To that address, which need not listen yet.
     pub fn start(to: SocketAddr) -> Self {
-        Self::dealing(vec![to])
+        Self::round_robin(vec![to])
     }
 
     /// To these, one connection after the other; where there are none connections are closed.
-    pub fn dealing(to: Vec<SocketAddr>) -> Self {
+    pub fn round_robin(to: Vec<SocketAddr>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
         let shared = Arc::new(Shared { to: Mutex::new(to), ..Shared::default() });
@@ -61,12 +61,12 @@
     }
 
     /// From now on connections go there.
-    pub fn deal(&self, to: Vec<SocketAddr>) {
+    pub fn set_targets(&self, to: Vec<SocketAddr>) {
         *self.shared.to.lock().unwrap_or_else(PoisonError::into_inner) = to;
     }
 
     /// Holds back what those who connect say, and what they are told.
-    pub fn cut(&self, said: bool, told: bool) {
+    pub fn set_blocked(&self, said: bool, told: bool) {
         self.shared.cut[0].store(said, Ordering::SeqCst);
         self.shared.cut[1].store(told, Ordering::SeqCst);
     }
--- a/crates/standins/src/rng.rs
+++ b/crates/standins/src/rng.rs
@@ -19,7 +19,7 @@
     }
 
     /// The next number.
-    pub fn number(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -29,7 +29,7 @@
 
     /// A number below `end`, which is not 0.
     pub fn below(&mut self, end: usize) -> usize {
-        (self.number() % end.max(1) as u64) as usize
+        (self.next_u64() % end.max(1) as u64) as usize
     }
 
     /// One of these.
--- a/crates/standins/src/shop.rs
+++ b/crates/standins/src/shop.rs
@@ -1,8 +1,8 @@
 //! Clients of a shop in a closed loop, half of what they ask safe and half of it orders, and an
 //! exact account of what became of each.
 
-use crate::faulty::Faulty;
-use crate::message::{Message, read};
+use crate::faulty::FaultyBackend;
+use crate::message::{Message, read_message};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,93 +14,93 @@
 
 /// What became of the requests of one method.
 #[derive(Clone, Debug, Default)]
-pub struct Account {
+pub struct RequestCounts {
     /// The right answer came.
-    pub served: u64,
+    pub succeeded: u64,
     /// Answered 429 or 503.
-    pub refused: u64,
+    pub rejected: u64,
     /// Those of them that said after how many seconds to come again.
-    pub told_when: u64,
+    pub with_retry_after: u64,
     /// Answered with another error.
     pub failed: u64,
     /// No answer, or half of one.
-    pub lost: u64,
+    pub unanswered: u64,
     /// A good status, and not the right body.
-    pub wrong: u64,
+    pub invalid: u64,
     /// Sent once more, as their connection was closed between two requests without a word of an answer.
-    pub crossed: u64,
+    pub resent: u64,
     /// How long the refused and failed ones waited.
-    pub waited: Vec<Duration>,
+    pub error_times: Vec<Duration>,
     /// How long the served ones took.
-    pub took: Vec<Duration>,
+    pub success_times: Vec<Duration>,
 }
 
-impl Account {
+impl RequestCounts {
     /// All requests.
-    pub fn all(&self) -> u64 {
-        self.served + self.refused + self.failed + self.lost + self.wrong
+    pub fn total(&self) -> u64 {
+        self.succeeded + self.rejected + self.failed + self.unanswered + self.invalid
     }
 
     /// The part that was served, from 0 to 1.
-    pub fn part_served(&self) -> f64 {
-        self.served as f64 / self.all().max(1) as f64
+    pub fn success_fraction(&self) -> f64 {
+        self.succeeded as f64 / self.total().max(1) as f64
     }
 
-    fn take(&mut self, answer: Option<Message>, id: &str, took: Duration) {
+    fn record(&mut self, answer: Option<Message>, id: &str, took: Duration) {
         let Some(answer) = answer else {
-            self.lost += 1;
+            self.unanswered += 1;
             return;
         };
         match answer.status() {
             200 if answer.body == id.as_bytes() => {
-                self.served += 1;
-                self.took.push(took);
+                self.succeeded += 1;
+                self.success_times.push(took);
             }
             429 | 503 => {
-                self.refused += 1;
+                self.rejected += 1;
                 let seconds = answer.header("retry-after").and_then(|s| s.parse::<u64>().ok());
-                self.told_when += u64::from(seconds.is_some());
-                self.waited.push(took);
+                self.with_retry_after += u64::from(seconds.is_some());
+                self.error_times.push(took);
             }
             500.. => {
                 self.failed += 1;
-                self.waited.push(took);
+                self.error_times.push(took);
             }
-            _ => self.wrong += 1,
+            _ => self.invalid += 1,
         }
     }
 
     fn add(&mut self, other: Self) {
-        self.served += other.served;
-        self.refused += other.refused;
-        self.told_when += other.told_when;
+        self.succeeded += other.succeeded;
+        self.rejected += other.rejected;
+        self.with_retry_after += other.with_retry_after;
         self.failed += other.failed;
-        self.lost += other.lost;
-        self.wrong += other.wrong;
-        self.crossed += other.crossed;
-        self.waited.extend(other.waited);
-        self.took.extend(other.took);
+        self.unanswered += other.unanswered;
+        self.invalid += other.invalid;
+        self.resent += other.resent;
+        self.error_times.extend(other.error_times);
+        self.success_times.extend(other.success_times);
     }
 }
 
 /// What became of all requests of a play.
 #[derive(Clone, Debug, Default)]
-pub struct Accounts {
+pub struct RunCounts {
     /// Safe requests.
-    pub safe: Account,
+    pub safe: RequestCounts,
     /// Orders.
-    pub orders: Account,
+    pub orders: RequestCounts,
     /// How long the play took.
-    pub span: Duration,
+    pub duration: Duration,
 }
 
 /// So many clients ask for `requests` altogether, every second one an order of its own name, each
 /// client one request after the other. With `pause` they wait so long between two.
-pub fn play(address: SocketAddr, clients: usize, requests: u64, pause: Duration) -> Accounts {
+pub fn run_clients(address: SocketAddr, clients: usize, requests: u64, pause: Duration) -> RunCounts {
     let next = AtomicU64::new(0);
     let start = Instant::now();
     let client = || {
-        let mut accounts = Accounts::default();
+        let mut accounts = RunCounts::default();
         let mut kept = None;
         loop {
             let number = next.fetch_add(1, Ordering::SeqCst);
@@ -123,7 +123,7 @@
                 if closed {
                     return None;
                 }
-                let answer = read(&mut stream);
+                let answer = read_message(&mut stream);
                 let closes =
                     answer.as_ref().is_none_or(|a| a.header("connection").is_some_and(|c| c == "close"));
                 Some((answer, (!closes).then_some(stream)))
@@ -131,17 +131,17 @@
             let account = if number.is_multiple_of(2) { &mut accounts.safe } else { &mut accounts.orders };
             let on_kept = kept.take().and_then(|stream| {
                 let asked = ask(stream);
-                account.crossed += u64::from(asked.is_none());
+                account.resent += u64::from(asked.is_none());
                 asked
             });
             let answered = on_kept.or_else(|| ask(connect(address)?));
             let (answer, still) = answered.unwrap_or_default();
             kept = still;
-            account.take(answer, &id, asked.elapsed());
+            account.record(answer, &id, asked.elapsed());
             std::thread::sleep(pause);
         }
     };
-    let mut all = Accounts::default();
+    let mut all = RunCounts::default();
     std::thread::scope(|scope| {
         let started: Vec<_> = (0..clients).map(|_| scope.spawn(client)).collect();
         for one in started.into_iter().filter_map(|c| c.join().ok()) {
@@ -149,7 +149,7 @@
             all.orders.add(one.orders);
         }
     });
-    all.span = start.elapsed();
+    all.duration = start.elapsed();
     all
 }
 
@@ -161,9 +161,9 @@
 }
 
 /// Orders that have run more than once, over all these backends.
-pub fn twice(backends: &[Faulty]) -> Vec<String> {
+pub fn duplicate_orders(backends: &[FaultyBackend]) -> Vec<String> {
     let mut runs: HashMap<String, usize> = HashMap::new();
-    for (order, count) in backends.iter().flat_map(|b| b.orders()) {
+    for (order, count) in backends.iter().flat_map(|b| b.executions_by_order()) {
         *runs.entry(order).or_default() += count;
     }
     runs.into_iter().filter(|(_, count)| *count > 1).map(|(order, _)| order).collect()
--- a/crates/trials/src/planners.rs
+++ b/crates/trials/src/planners.rs
@@ -3,8 +3,8 @@
 
 use crate::schedule::Ends;
 use crate::served::{Served, folder, replace, watched};
-use dewpier_standins::own_addresses;
 use dewpier_standins::relay::Relay;
+use dewpier_standins::reserve_addresses;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -44,7 +44,7 @@
 impl Planners {
     /// Starts so many for these proxies, and waits until they agree.
     pub fn start(count: usize, proxies: usize, file: &Path) -> Self {
-        let mut listen = own_addresses(2 * count as u16);
+        let mut listen = reserve_addresses(2 * count as u16);
         let talk = listen.split_off(count);
         let ways = |to: &[SocketAddr]| -> Vec<Relay> { to.iter().map(|to| Relay::start(*to)).collect() };
         let between: Vec<Vec<Relay>> = (0..count).map(|_| ways(&talk)).collect();
@@ -132,7 +132,7 @@
         let of_proxies = proxies.iter().filter_map(|p| self.from_proxies.get(*p));
         let of_planners = planners.iter().filter_map(|p| self.between.get(*p));
         for ways in of_proxies.chain(of_planners) {
-            to.iter().filter_map(|to| ways.get(*to)).for_each(|way| way.cut(said, told));
+            to.iter().filter_map(|to| ways.get(*to)).for_each(|way| way.set_blocked(said, told));
         }
     }
 
--- a/crates/trials/src/served.rs
+++ b/crates/trials/src/served.rs
@@ -1,8 +1,8 @@
 //! The program as its commands start it, with an inventory that the test rewrites.
 
 use dewpier_standins::backend::Backend;
-use dewpier_standins::load::Load;
-use dewpier_standins::{LONG, wait_for};
+use dewpier_standins::load::LoadGenerator;
+use dewpier_standins::{WAIT_TIMEOUT, wait_for};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -106,7 +106,7 @@
             if served.address.port() != 0 {
                 return served;
             }
-            assert!(start.elapsed() < LONG, "its address stays in use: {:?}", served.log());
+            assert!(start.elapsed() < WAIT_TIMEOUT, "its address stays in use: {:?}", served.log());
             std::thread::sleep(Duration::from_millis(100));
         }
     }
@@ -170,7 +170,7 @@
             if let Some(found) = found {
                 return found;
             }
-            assert!(start.elapsed() < LONG, "no '{words}' in {:?}", self.log());
+            assert!(start.elapsed() < WAIT_TIMEOUT, "no '{words}' in {:?}", self.log());
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -178,7 +178,7 @@
     /// A connection to it.
     pub fn connect(&self) -> BufReader<TcpStream> {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         BufReader::new(stream)
     }
 
@@ -236,14 +236,14 @@
 const GRACE: Duration = Duration::from_millis(500);
 
 /// Clients that read, and order in every fourth request, each order with a name of its own.
-pub fn orders(address: SocketAddr, name: &'static str, clients: usize, pause: Duration) -> Load {
+pub fn orders(address: SocketAddr, name: &'static str, clients: usize, pause: Duration) -> LoadGenerator {
     let script = move |client: usize, n: u64| {
         let order =
             if n.is_multiple_of(4) { format!("X-Order: {name}-{client}-{n}\r\n") } else { String::new() };
         let method = if order.is_empty() { "GET" } else { "POST" };
         format!("{method} /orders HTTP/1.1\r\nHost: shop\r\n{order}Content-Length: 0\r\n\r\n")
     };
-    Load::start(address, clients, pause, Arc::new(script))
+    LoadGenerator::start(address, clients, pause, Arc::new(script))
 }
 
 /// How many requests began there after the grace.
@@ -253,5 +253,5 @@
 
 /// How many began later than that after it was told.
 pub fn late_by(backend: &Backend, since: Instant, grace: Duration) -> usize {
-    backend.arrivals().iter().filter(|a| a.at > since + grace).count()
+    backend.arrivals().iter().filter(|a| a.received_at > since + grace).count()
 }
--- a/crates/trials/src/stage.rs
+++ b/crates/trials/src/stage.rs
@@ -6,9 +6,9 @@
 use crate::schedule::{self, Fault, Schedule, Size, Step};
 use crate::served::{Served, drained, folder, replace, table, watched};
 use crate::watch::Watch;
-use dewpier_standins::backend::{Backend, Path as Way};
+use dewpier_standins::backend::{Backend, PathFault};
 use dewpier_standins::mesh::{self, Mesh};
-use dewpier_standins::message::read;
+use dewpier_standins::message::read_message;
 use dewpier_standins::wait_for;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -195,7 +195,7 @@
         wait_for("talk of all with all", || {
             (0..size.proxies).all(|p| stage.figure(p, "partners_answering") == Some(size.proxies as u64 - 1))
         });
-        wait_for("traffic at all nodes", || stage.nodes.iter().all(|n| n.count() >= 10));
+        wait_for("traffic at all nodes", || stage.nodes.iter().all(|n| n.request_count() >= 10));
         wait_for("what is usual to be known", || {
             let asked = lock(&stage.asked);
             let of = |proxy: usize| asked.iter().filter(|a| a.proxy == proxy && a.status.is_some()).count();
@@ -360,23 +360,23 @@
         let disturbed = |proxy, from| Disturbed { proxy, from, until: Duration::MAX, answers: false };
         match fault {
             Fault::Node { node, does } => match does {
-                schedule::Node::Hangs => self.nodes[*node].slow(NEVER),
-                schedule::Node::Slow => self.nodes[*node].slow(SLOW),
-                schedule::Node::Fails => self.nodes[*node].fail(true),
-                schedule::Node::OneInTen => self.nodes[*node].fail_one_in(10),
+                schedule::Node::Hangs => self.nodes[*node].set_response_time(NEVER),
+                schedule::Node::Slow => self.nodes[*node].set_response_time(SLOW),
+                schedule::Node::Fails => self.nodes[*node].set_failing(true),
+                schedule::Node::OneInTen => self.nodes[*node].set_failure_interval(10),
                 schedule::Node::Gone => self.nodes[*node].kill(),
             },
             Fault::Path { proxy, node, does } => {
-                self.nodes[*node].path(&format!("p{proxy}"), Some(way(*does)));
+                self.nodes[*node].set_path_fault(&format!("p{proxy}"), Some(way(*does)));
             }
             Fault::Talk { from, to, lost, doubled, delay_ms } => {
-                let way = mesh::Way {
+                let way = mesh::LinkFaults {
                     cut: *lost >= 1000,
-                    lost: *lost,
-                    doubled: *doubled,
-                    delay: Duration::from_millis(*delay_ms),
+                    lost_per_mille: *lost,
+                    duplicated_per_mille: *doubled,
+                    max_delay: Duration::from_millis(*delay_ms),
                 };
-                self.mesh.set(way, |a, b| from.contains(&a) && to.contains(&b));
+                self.mesh.set_faults(way, |a, b| from.contains(&a) && to.contains(&b));
             }
             Fault::Still { proxy } => {
                 record.disturbed.push(disturbed(*proxy, now));
@@ -420,14 +420,15 @@
         let (record, offset) = (&mut play.record, play.offset);
         match fault {
             Fault::Node { node, does } => match does {
-                schedule::Node::Hangs | schedule::Node::Slow => self.nodes[*node].slow(WORK),
-                schedule::Node::Fails => self.nodes[*node].fail(false),
-                schedule::Node::OneInTen => self.nodes[*node].fail_one_in(0),
-                schedule::Node::Gone => self.nodes[*node].revive(),
+                schedule::Node::Hangs | schedule::Node::Slow => self.nodes[*node].set_response_time(WORK),
+                schedule::Node::Fails => self.nodes[*node].set_failing(false),
+                schedule::Node::OneInTen => self.nodes[*node].set_failure_interval(0),
+                schedule::Node::Gone => self.nodes[*node].restart(),
             },
-            Fault::Path { proxy, node, .. } => self.nodes[*node].path(&format!("p{proxy}"), None),
+            Fault::Path { proxy, node, .. } => self.nodes[*node].set_path_fault(&format!("p{proxy}"), None),
             Fault::Talk { from, to, .. } => {
-                self.mesh.set(mesh::Way::default(), |a, b| from.contains(&a) && to.contains(&b));
+                self.mesh
+                    .set_faults(mesh::LinkFaults::default(), |a, b| from.contains(&a) && to.contains(&b));
             }
             Fault::Still { proxy } => self.signal(*proxy, "-CONT"),
             Fault::Killed { proxy } => self.run(*proxy),
@@ -497,12 +498,12 @@
         }
         for (node, backend) in self.nodes.iter().enumerate() {
             for a in backend.arrivals() {
-                let Some(order) = a.order else { continue };
+                let Some(order) = a.order_id else { continue };
                 let proxy = order.strip_prefix('p').and_then(|o| o.split('-').next()?.parse().ok());
                 let Some(proxy) = proxy else { continue };
-                if a.at >= self.start + offset {
-                    let (at, once) = (since(a.at), a.method == "POST");
-                    record.arrivals.push(Arrival { node, at, proxy, order, once, bad: a.bad });
+                if a.received_at >= self.start + offset {
+                    let (at, once) = (since(a.received_at), a.method == "POST");
+                    record.arrivals.push(Arrival { node, at, proxy, order, once, bad: a.is_faulty });
                 }
             }
         }
@@ -519,13 +520,13 @@
     }
 }
 
-fn way(does: schedule::Path) -> Way {
+fn way(does: schedule::Path) -> PathFault {
     match does {
-        schedule::Path::Held => Way::Held,
-        schedule::Path::Unanswered => Way::Unanswered,
-        schedule::Path::ResetBefore => Way::ResetBefore,
-        schedule::Path::ResetAfter => Way::ResetAfter,
-        schedule::Path::Trickles => Way::Trickles(20),
+        schedule::Path::Held => PathFault::RequestsHeld,
+        schedule::Path::Unanswered => PathFault::ResponsesHeld,
+        schedule::Path::ResetBefore => PathFault::ResetBeforeRequest,
+        schedule::Path::ResetAfter => PathFault::ResetAfterRequest,
+        schedule::Path::Trickles => PathFault::SlowResponse(20),
     }
 }
 
@@ -547,11 +548,11 @@
     let by_planners = settings.by_planners;
     let peer = |to| match by_planners {
         true => format!("{{ name = \"proxy-{to}\" }}"),
-        false => format!("{{ name = \"proxy-{to}\", address = \"{}\" }}", mesh.inlet(me, to)),
+        false => format!("{{ name = \"proxy-{to}\", address = \"{}\" }}", mesh.send_address(me, to)),
     };
     let carrier = match by_planners {
         true => "carrier = \"planners\"".into(),
-        false => format!("listen = \"{}\"", mesh.listen[me]),
+        false => format!("listen = \"{}\"", mesh.listen_addresses[me]),
     };
     let peers: Vec<String> = (0..size.proxies + settings.empty).filter(|to| *to != me).map(peer).collect();
     let class = |name: &str, effect: &str, method: &str| {
@@ -620,7 +621,7 @@
             let Some(mut stream) = kept[i].take() else { continue };
             let left = (at + PATIENCE).saturating_sub(start.elapsed()).max(Duration::from_millis(1));
             let _ = stream.get_ref().set_read_timeout(Some(left));
-            let answer = read(&mut stream);
+            let answer = read_message(&mut stream);
             let status = answer.as_ref().map(|a| a.status());
             let ended = start.elapsed();
             lock(asked).push(Asked { proxy: number, order, at, ended, status });
