--- a/crates/mysql/src/prepared.rs
+++ b/crates/mysql/src/prepared.rs
@@ -285,7 +285,7 @@
             let mut bytes = complete[..rng.below(complete.len() + 1)].to_vec();
             for _ in 0..rng.below(3) {
                 let index = rng.below(bytes.len().max(1));
-                bytes.get_mut(index).into_iter().for_each(|byte| *byte = rng.number() as u8);
+                bytes.get_mut(index).into_iter().for_each(|byte| *byte = rng.next_u64() as u8);
             }
             let _ = (statements.build_execute(&bytes), statements.handle_reset(&bytes));
         }
--- a/crates/mysql/src/reply.rs
+++ b/crates/mysql/src/reply.rs
@@ -437,7 +437,7 @@
     fn result_sets_end_exactly_at_their_last_packet() {
         let mut rng = Rng::from_env("REPLY_SEED", 23);
         for _ in 0..3000 {
-            let seed = rng.number();
+            let seed = rng.next_u64();
             let mut rng = Rng::new(seed);
             let deprecate_eof = rng.below(2) == 0;
             let (packets, end, row_count) = random_response(&mut rng, deprecate_eof);
