--- a/crates/mysql/tests/common/mod.rs
+++ b/crates/mysql/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The proxy on a thread of its own, between stand-in servers and real client libraries.
+//! Runs the proxy on its own thread, between mock servers and real client libraries.
 #![allow(dead_code)]
 
 use dewpier_mysql::auth::PasswordHash;
@@ -14,19 +14,22 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// The password of clients, and that of the proxy at servers.
-pub const CLIENT: &str = "oak";
-pub const OWN: &str = "elm";
-pub const GRACE: Duration = Duration::from_millis(500);
+/// Password of the clients.
+pub const CLIENT_PASSWORD: &str = "oak";
+/// Password of the proxy at the servers.
+pub const SERVER_PASSWORD: &str = "elm";
+/// Drain grace of the proxy.
+pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
 pub struct Proxy {
     pub address: SocketAddr,
-    news: mpsc::UnboundedSender<BackendListUpdate>,
+    list_updates: mpsc::UnboundedSender<BackendListUpdate>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-pub fn listed(id: u32, address: SocketAddr, status: Status) -> ListedBackend {
+/// An entry of the list of servers.
+pub fn listed_backend(id: u32, address: SocketAddr, status: Status) -> ListedBackend {
     ListedBackend { entry: BackendEntry { id: BackendId(id), status, ..BackendEntry::default() }, address }
 }
 
@@ -35,33 +38,38 @@
 }
 
 impl Proxy {
-    /// Before these servers, whose ids are their places.
-    pub fn before(servers: &[&MySqlServer]) -> Self {
-        Self::holding(servers, 1 << 20)
+    /// Starts a proxy for these servers, whose ids are their indexes.
+    pub fn start(servers: &[&MySqlServer]) -> Self {
+        Self::with_buffer_limit(servers, 1 << 20)
     }
 
-    pub fn holding(servers: &[&MySqlServer], held: usize) -> Self {
-        Self::start(&addresses(servers), None, held)
+    /// Starts a proxy that buffers at most `max_buffered_bytes` of a response.
+    pub fn with_buffer_limit(servers: &[&MySqlServer], max_buffered_bytes: usize) -> Self {
+        Self::start_with(&addresses(servers), None, max_buffered_bytes)
     }
 
-    /// Before what listens there.
-    pub fn at(addresses: &[SocketAddr]) -> Self {
-        Self::start(addresses, None, 1 << 20)
+    /// Starts a proxy for the servers at these addresses.
+    pub fn at_addresses(addresses: &[SocketAddr]) -> Self {
+        Self::start_with(addresses, None, 1 << 20)
     }
 
-    /// Before a primary, and replicas that read.
-    pub fn reading(primary: &MySqlServer, replicas: &[&MySqlServer]) -> Self {
-        Self::start(&[primary.address], Some(&addresses(replicas)), 1 << 20)
+    /// Starts a proxy for a primary and replicas.
+    pub fn with_replicas(primary: &MySqlServer, replicas: &[&MySqlServer]) -> Self {
+        Self::start_with(&[primary.address], Some(&addresses(replicas)), 1 << 20)
     }
 
-    fn start(servers: &[SocketAddr], replicas: Option<&[SocketAddr]>, held: usize) -> Self {
+    fn start_with(
+        servers: &[SocketAddr],
+        replicas: Option<&[SocketAddr]>,
+        max_buffered_bytes: usize,
+    ) -> Self {
         let list = |servers: &[SocketAddr]| -> Vec<ListedBackend> {
-            (0..).zip(servers).map(|(id, address)| listed(id, *address, Status::InService)).collect()
+            (0..).zip(servers).map(|(id, address)| listed_backend(id, *address, Status::InService)).collect()
         };
         let (list, replicas) = (list(servers), replicas.map(list));
         let (ready, address) = std::sync::mpsc::channel();
         let (stop, stopped) = oneshot::channel::<()>();
-        let (news, mut told) = mpsc::unbounded_channel();
+        let (list_updates, mut received_updates) = mpsc::unbounded_channel();
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             tokio::task::LocalSet::new().block_on(&runtime, async move {
@@ -82,17 +90,20 @@
                     role,
                     connection_budget: Budget::new(200),
                     response_budget: Budget::new(64 << 20),
-                    max_buffered_bytes: held,
+                    max_buffered_bytes,
                     max_packet_bytes: 64 << 20,
                     connect_timeout: Duration::from_secs(2),
                     server_idle_timeout: Duration::from_secs(60),
-                    credentials: Rc::new(Credentials { user: "dewpier".into(), password: OWN.into() }),
+                    credentials: Rc::new(Credentials {
+                        user: "dewpier".into(),
+                        password: SERVER_PASSWORD.into(),
+                    }),
                 };
-                let bounds = EngineLimits { drain_grace: GRACE, max_open_requests: 1000 };
-                let engine = Engine::start(settings.clone(), bounds, 7, upstream(Role::Primary));
+                let limits = EngineLimits { drain_grace: DRAIN_GRACE, max_open_requests: 1000 };
+                let engine = Engine::start(settings.clone(), limits, 7, upstream(Role::Primary));
                 engine.update_list(BackendListUpdate::Remembered(list));
                 let replicas = replicas.map(|list| {
-                    let engine = Engine::start(settings, bounds, 8, upstream(Role::Replica));
+                    let engine = Engine::start(settings, limits, 8, upstream(Role::Replica));
                     engine.update_list(BackendListUpdate::Remembered(list));
                     engine
                 });
@@ -105,42 +116,45 @@
                     deadlines: [3.0, 3.0],
                 };
                 let users = [
-                    ("planner".to_string(), PasswordHash::native(CLIENT)),
-                    ("maker".to_string(), PasswordHash::sha2(CLIENT)),
+                    ("planner".to_string(), PasswordHash::native(CLIENT_PASSWORD)),
+                    ("maker".to_string(), PasswordHash::sha2(CLIENT_PASSWORD)),
                 ]
                 .into();
                 let front = Front::new(engine.clone(), replicas, users, front);
                 let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
                 ready.send(listener.local_addr().unwrap()).unwrap();
-                let listing = async move {
-                    while let Some(news) = told.recv().await {
-                        engine.update_list(news);
+                let updating = async move {
+                    while let Some(update) = received_updates.recv().await {
+                        engine.update_list(update);
                     }
                     std::future::pending::<()>().await;
                 };
                 tokio::select! {
                     () = front.run(listener, async { stopped.await.unwrap_or_default() }) => {}
-                    () = listing => {}
+                    () = updating => {}
                 }
             });
         });
-        let address = address.recv().expect("it listens");
-        Self { address, news, stop: Some(stop), thread: Some(thread) }
+        let address = address.recv().expect("the proxy listens");
+        Self { address, list_updates, stop: Some(stop), thread: Some(thread) }
     }
 
-    /// News of its list.
-    pub fn news(&self, list: Vec<ListedBackend>) {
-        self.news.send(BackendListUpdate::Full(list)).expect("it runs");
+    /// Sends a new list of servers to the proxy.
+    pub fn update_list(&self, list: Vec<ListedBackend>) {
+        self.list_updates.send(BackendListUpdate::Full(list)).expect("the proxy runs");
     }
 
-    /// Asks it to stop, and waits until it has.
+    /// Stops the proxy and waits until it has ended.
     pub fn stop(&mut self) {
         drop(self.stop.take());
-        self.thread.take().into_iter().for_each(|thread| thread.join().expect("it ends well"));
+        self.thread
+            .take()
+            .into_iter()
+            .for_each(|thread| thread.join().expect("the proxy ends without panic"));
     }
 
-    pub fn client(&self) -> mysql::Conn {
-        client(self.address, "planner", CLIENT).expect("it is let in")
+    pub fn connect(&self) -> mysql::Conn {
+        connect_client(self.address, "planner", CLIENT_PASSWORD).expect("the login succeeds")
     }
 }
 
@@ -152,8 +166,8 @@
     }
 }
 
-/// A client of the library, that asks for nothing by itself.
-pub fn client(address: SocketAddr, user: &str, password: &str) -> mysql::Result<mysql::Conn> {
+/// Connects a client that sends no statements by itself.
+pub fn connect_client(address: SocketAddr, user: &str, password: &str) -> mysql::Result<mysql::Conn> {
     let options = mysql::OptsBuilder::new()
         .ip_or_hostname(Some("127.0.0.1"))
         .tcp_port(address.port())
@@ -166,44 +180,47 @@
     mysql::Conn::new(options)
 }
 
-/// Rows of text, nulls as such.
-pub fn rows(client: &mut mysql::Conn, text: &str) -> mysql::Result<Vec<Vec<Option<String>>>> {
+/// Runs a statement and returns the rows as text, with None for NULL.
+pub fn query_rows(client: &mut mysql::Conn, text: &str) -> mysql::Result<Vec<Vec<Option<String>>>> {
     let rows: Vec<mysql::Row> = client.query(text)?;
     Ok(rows.into_iter().map(|row| (0..row.len()).map(|i| row.get(i).expect("a column")).collect()).collect())
 }
 
-/// The number and the SQLSTATE of an error of the server.
-pub fn error(result: mysql::Result<impl std::fmt::Debug>) -> (u16, String) {
+/// The code and the SQLSTATE of an expected server error.
+pub fn server_error(result: mysql::Result<impl std::fmt::Debug>) -> (u16, String) {
     match result {
         Err(mysql::Error::MySqlError(error)) => (error.code, error.state),
         other => panic!("{other:?}"),
     }
 }
 
-pub fn one(text: &str) -> Reply {
+/// A reply of one row with one column.
+pub fn single_value(text: &str) -> Reply {
     Reply::Rows(vec!["a"], vec![vec![Some(text.into())]])
 }
 
-/// What servers answer where a test wants nothing else.
-pub fn usual(asked: &ReceivedStatement) -> Reply {
-    let upper = asked.text.to_ascii_uppercase();
-    let first = upper.split(' ').next().unwrap_or_default();
-    match first {
+/// The reply of servers unless a test scripts another.
+pub fn default_reply(statement: &ReceivedStatement) -> Reply {
+    let upper = statement.text.to_ascii_uppercase();
+    let keyword = upper.split(' ').next().unwrap_or_default();
+    match keyword {
         "SELECT" if upper.contains("NOTHING") => Reply::Rows(vec!["a", "b"], Vec::new()),
-        "SELECT" if upper.contains("DATABASE") => one(asked.database.as_deref().unwrap_or("none")),
+        "SELECT" if upper.contains("DATABASE") => {
+            single_value(statement.database.as_deref().unwrap_or("none"))
+        }
         "SELECT" if upper.contains('@') => {
             let name = upper.trim_start_matches("SELECT ").trim().to_string();
-            one(asked.variables.get(&name).map_or("unset", |value| value))
+            single_value(statement.variables.get(&name).map_or("unset", |value| value))
         }
         "SELECT" if upper.contains("WRONG") => {
             Reply::Error(1146, "42S02", "Table 'wrong' doesn't exist".into())
         }
-        "SELECT" if upper.contains("LAST_INSERT_ID") => one(&asked.connection.to_string()),
+        "SELECT" if upper.contains("LAST_INSERT_ID") => single_value(&statement.connection.to_string()),
         "SELECT" => Reply::Rows(
             vec!["id", "name"],
             (0..300).map(|i| vec![Some(i.to_string()), (i % 7 != 0).then(|| "x".repeat(i))]).collect(),
         ),
-        "INSERT" if upper.contains("AUTO") => Reply::Ok(1, u64::from(asked.connection)),
-        _ => Reply::Ok(u64::from(first == "INSERT"), 0),
+        "INSERT" if upper.contains("AUTO") => Reply::Ok(1, u64::from(statement.connection)),
+        _ => Reply::Ok(u64::from(keyword == "INSERT"), 0),
     }
 }
--- a/crates/mysql/tests/served.rs
+++ b/crates/mysql/tests/served.rs
@@ -1,5 +1,5 @@
-//! Real client libraries before stand-in servers, straight and through the proxy; and the failures of servers, with
-//! what reached each of them counted there.
+//! Real client libraries with mock servers, directly and through the proxy, and with failing servers that count the
+//! statements they receive.
 
 mod common;
 
@@ -16,11 +16,11 @@
 const SQLSTATE_RESOLUTION_UNKNOWN: &str = "08007";
 
 #[test]
-fn a_client_hears_the_same_straight_and_through_the_proxy() {
-    let server = MySqlServer::start(OWN, usual);
-    let proxy = Proxy::before(&[&server]);
-    let told = |mut client: mysql::Conn| {
-        let mut told = Vec::new();
+fn client_gets_same_results_directly_and_through_proxy() {
+    let server = MySqlServer::start(SERVER_PASSWORD, default_reply);
+    let proxy = Proxy::start(&[&server]);
+    let results = |mut client: mysql::Conn| {
+        let mut output = Vec::new();
         for text in [
             "SELECT id, name FROM t",
             "SELECT a, b FROM nothing",
@@ -34,73 +34,78 @@
             "SELECT id, name FROM t",
             "COMMIT",
         ] {
-            told.push(format!("{:?}", rows(&mut client, text)));
-            told.push(format!("{} {}", client.affected_rows(), client.last_insert_id()));
+            output.push(format!("{:?}", query_rows(&mut client, text)));
+            output.push(format!("{} {}", client.affected_rows(), client.last_insert_id()));
         }
-        client.ping().expect("it answers");
-        told.push(format!("{:?}", client.select_db("nowhere")));
-        client.select_db("plans").expect("it is there");
-        told.push(format!("{:?}", rows(&mut client, "SELECT DATABASE()")));
-        told
+        client.ping().expect("the ping succeeds");
+        output.push(format!("{:?}", client.select_db("nowhere")));
+        client.select_db("plans").expect("the database exists");
+        output.push(format!("{:?}", query_rows(&mut client, "SELECT DATABASE()")));
+        output
     };
-    let straight = told(client(server.address, "dewpier", OWN).unwrap());
-    assert!(straight[0].contains("299") && straight[6].contains("1146"), "{straight:?}");
-    assert_eq!(told(proxy.client()), straight);
+    let direct = results(connect_client(server.address, "dewpier", SERVER_PASSWORD).unwrap());
+    assert!(direct[0].contains("299") && direct[6].contains("1146"), "{direct:?}");
+    assert_eq!(results(proxy.connect()), direct);
 }
 
 #[test]
-fn prepared_statements_are_the_same_and_follow_their_session() {
-    let servers = [MySqlServer::start(OWN, usual), MySqlServer::start(OWN, usual)];
-    let proxy = Proxy::before(&[&servers[0], &servers[1]]);
-    let told = |client: &mut mysql::Conn| {
-        let mut told = Vec::new();
+fn prepared_statements_work_on_every_connection_of_their_session() {
+    let servers = [
+        MySqlServer::start(SERVER_PASSWORD, default_reply),
+        MySqlServer::start(SERVER_PASSWORD, default_reply),
+    ];
+    let proxy = Proxy::start(&[&servers[0], &servers[1]]);
+    let results = |client: &mut mysql::Conn| {
+        let mut output = Vec::new();
         let read = client.prep("SELECT id, name FROM t WHERE a = ? AND b = ?").unwrap();
         let write = client.prep("INSERT INTO t VALUES (?, ?, ?)").unwrap();
-        told.push(format!("{:?}", client.prep("SELECT a FROM wrong").map(drop)));
+        output.push(format!("{:?}", client.prep("SELECT a FROM wrong").map(drop)));
         for i in 0..3 {
             let rows: Vec<mysql::Row> = client.exec(&read, (i, "x")).unwrap();
-            told.push(format!("{:?}", rows.iter().map(|row| row.clone().unwrap()).collect::<Vec<_>>()));
+            output.push(format!("{:?}", rows.iter().map(|row| row.clone().unwrap()).collect::<Vec<_>>()));
             client.exec_drop(&write, (i, None::<u8>, format!("text {i}"))).unwrap();
-            told.push(client.affected_rows().to_string());
+            output.push(client.affected_rows().to_string());
         }
         client.close(read).unwrap();
-        told
+        output
     };
-    let straight = told(&mut client(servers[0].address, "dewpier", OWN).unwrap());
-    let mut clients: Vec<_> = (0..4).map(|_| proxy.client()).collect();
+    let direct = results(&mut connect_client(servers[0].address, "dewpier", SERVER_PASSWORD).unwrap());
+    let mut clients: Vec<_> = (0..4).map(|_| proxy.connect()).collect();
     for _ in 0..5 {
         for client in &mut clients {
-            assert_eq!(told(client), straight);
+            assert_eq!(results(client), direct);
         }
     }
     let write = "INSERT INTO t VALUES (2, NULL, 'text 2')";
     assert_eq!(servers.iter().map(|s| s.count_statements(write)).sum::<usize>(), 1 + 20);
-    // The connections that it was prepared on die: it is prepared on others.
-    let mut client = proxy.client();
+    // After its connections are lost the statement is prepared on others.
+    let mut client = proxy.connect();
     let read = client.prep("SELECT id, name FROM t WHERE a = ?").unwrap();
     servers.iter().for_each(MySqlServer::close_connections);
     assert_eq!(client.exec::<mysql::Row, _, _>(&read, (9,)).unwrap().len(), 300);
-    // So it is where the session moves from one server to the other.
-    for (drains, n) in [(0, 20), (1, 21)] {
-        let states = [0, 1].map(|i| if i == drains { Status::Draining } else { Status::InService });
-        proxy.news((0..).zip(&servers).map(|(i, s)| listed(i, s.address, states[i as usize])).collect());
+    // The same holds if the session moves to the other server.
+    for (draining, n) in [(0, 20), (1, 21)] {
+        let statuses = [0, 1].map(|i| if i == draining { Status::Draining } else { Status::InService });
+        proxy.update_list(
+            (0..).zip(&servers).map(|(i, s)| listed_backend(i, s.address, statuses[i as usize])).collect(),
+        );
         wait_for("read at the other server", || {
             assert_eq!(client.exec::<mysql::Row, _, _>(&read, (n,)).unwrap().len(), 300);
-            servers[1 - drains].count_statements(&format!("SELECT id, name FROM t WHERE a = {n}")) > 0
+            servers[1 - draining].count_statements(&format!("SELECT id, name FROM t WHERE a = {n}")) > 0
         });
     }
 }
 
 #[tokio::test]
-async fn another_library_is_served_as_well() {
+async fn mysql_async_client_reads_and_writes() {
     use mysql_async::prelude::Queryable;
-    let server = MySqlServer::start(OWN, usual);
-    let proxy = Proxy::before(&[&server]);
+    let server = MySqlServer::start(SERVER_PASSWORD, default_reply);
+    let proxy = Proxy::start(&[&server]);
     let options = mysql_async::OptsBuilder::default()
         .ip_or_hostname("127.0.0.1")
         .tcp_port(proxy.address.port())
         .user(Some("planner"))
-        .pass(Some(CLIENT))
+        .pass(Some(CLIENT_PASSWORD))
         .prefer_socket(false)
         .max_allowed_packet(Some(1 << 20))
         .wait_timeout(Some(100));
@@ -113,24 +118,30 @@
 }
 
 #[test]
-fn who_does_not_prove_its_password_is_told_so() {
-    let server = MySqlServer::start(OWN, usual);
-    let proxy = Proxy::before(&[&server]);
-    for (user, password) in [("planner", "ash"), ("planner", ""), ("nobody", CLIENT), ("maker", "ash")] {
-        assert_eq!(error(client(proxy.address, user, password).map(drop)), (1045, "28000".into()));
+fn wrong_password_is_rejected_with_access_denied() {
+    let server = MySqlServer::start(SERVER_PASSWORD, default_reply);
+    let proxy = Proxy::start(&[&server]);
+    for (user, password) in
+        [("planner", "ash"), ("planner", ""), ("nobody", CLIENT_PASSWORD), ("maker", "ash")]
+    {
+        assert_eq!(
+            server_error(connect_client(proxy.address, user, password).map(drop)),
+            (1045, "28000".into())
+        );
     }
     assert_eq!(server.connection_count(), 0);
-    // Whose newer hash is kept logs in by that.
-    let mut maker = client(proxy.address, "maker", CLIENT).unwrap();
-    assert_eq!(rows(&mut maker, "SELECT id, name FROM t").unwrap().len(), 300);
+    // A user with a SHA-256 hash logs in with caching_sha2_password.
+    let mut maker = connect_client(proxy.address, "maker", CLIENT_PASSWORD).unwrap();
+    assert_eq!(query_rows(&mut maker, "SELECT id, name FROM t").unwrap().len(), 300);
 }
 
 #[test]
-fn reads_go_to_replicas_and_writes_to_the_primary_and_a_session_reads_what_it_wrote() {
-    let servers: [MySqlServer; 3] = std::array::from_fn(|_| MySqlServer::start(OWN, usual));
+fn reads_use_replicas_except_after_own_writes_and_in_transactions() {
+    let servers: [MySqlServer; 3] =
+        std::array::from_fn(|_| MySqlServer::start(SERVER_PASSWORD, default_reply));
     let [primary, replicas @ ..] = &servers;
-    let proxy = Proxy::reading(primary, &[&replicas[0], &replicas[1]]);
-    let mut client = proxy.client();
+    let proxy = Proxy::with_replicas(primary, &[&replicas[0], &replicas[1]]);
+    let mut client = proxy.connect();
     for _ in 0..20 {
         client.query_drop("SELECT id, name FROM t").unwrap();
     }
@@ -141,158 +152,167 @@
     client.query_drop("SELECT id, name FROM u").unwrap();
     client.query_drop("COMMIT").unwrap();
     assert_eq!(primary.statements().len(), 5);
-    let read: usize = replicas.iter().map(|r| r.statements().len()).sum();
-    assert_eq!(read, 20);
-    // After a while replicas are taken to have it.
+    let replica_reads: usize = replicas.iter().map(|r| r.statements().len()).sum();
+    assert_eq!(replica_reads, 20);
+    // Reads return to the replicas after the window.
     wait_for("read at a replica", || {
         client.query_drop("SELECT id, name FROM t").unwrap();
-        replicas.iter().map(|r| r.statements().len()).sum::<usize>() > read
+        replicas.iter().map(|r| r.statements().len()).sum::<usize>() > replica_reads
     });
 }
 
-/// A server whose next answer to such a text ends by `end`.
-fn failing(text: &'static str, end: fn(Reply) -> Reply) -> (MySqlServer, Arc<AtomicBool>) {
+/// A server that, once armed, applies `failure` to its next reply to this statement.
+fn failing_server(text: &'static str, failure: fn(Reply) -> Reply) -> (MySqlServer, Arc<AtomicBool>) {
     let armed = Arc::new(AtomicBool::new(false));
-    let arm = armed.clone();
-    let server = MySqlServer::start(OWN, move |asked| {
-        let fails = asked.text == text && arm.swap(false, Ordering::SeqCst);
-        let reply = usual(asked);
-        if fails { end(reply) } else { reply }
+    let armed_flag = armed.clone();
+    let server = MySqlServer::start(SERVER_PASSWORD, move |statement| {
+        let must_fail = statement.text == text && armed_flag.swap(false, Ordering::SeqCst);
+        let reply = default_reply(statement);
+        if must_fail { failure(reply) } else { reply }
     });
     (server, armed)
 }
 
-/// Both servers fail once after they are armed: whichever is asked first has then.
-fn two_failing(text: &'static str, end: fn(Reply) -> Reply) -> ([MySqlServer; 2], [Arc<AtomicBool>; 2]) {
-    let ((a, arm_a), (b, arm_b)) = (failing(text, end), failing(text, end));
-    ([a, b], [arm_a, arm_b])
+/// Two servers that both fail once after they are armed.
+fn two_failing_servers(
+    text: &'static str,
+    failure: fn(Reply) -> Reply,
+) -> ([MySqlServer; 2], [Arc<AtomicBool>; 2]) {
+    let ((a, armed_a), (b, armed_b)) = (failing_server(text, failure), failing_server(text, failure));
+    ([a, b], [armed_a, armed_b])
 }
 
-fn arm(arms: &[Arc<AtomicBool>; 2]) {
-    arms.iter().for_each(|arm| arm.store(true, Ordering::SeqCst));
+fn arm_all(armed: &[Arc<AtomicBool>; 2]) {
+    armed.iter().for_each(|flag| flag.store(true, Ordering::SeqCst));
 }
 
 #[test]
-fn a_read_whose_server_stops_halfway_is_asked_again_and_comes_whole() {
+fn read_is_retried_if_server_fails_within_response() {
     const TEXT: &str = "SELECT id, name FROM t";
-    // Silence is waited for, and costs a timer each.
-    type End = fn(Reply) -> Reply;
-    let ends: [(End, usize, usize); 4] = [
+    // Fewer rounds for a stalled response, as each waits for a timer.
+    type Failure = fn(Reply) -> Reply;
+    let failures: [(Failure, usize, usize); 4] = [
         (|reply| Reply::Truncated(0, Box::new(reply)), 20, 15),
         (|reply| Reply::Truncated(2000, Box::new(reply)), 20, 15),
         (|reply| Reply::Stalled(0, Box::new(reply)), 4, 1),
         (|reply| Reply::Stalled(2000, Box::new(reply)), 4, 1),
     ];
-    for (end, rounds, least) in ends {
-        let (servers, arms) = two_failing(TEXT, end);
-        let proxy = Proxy::before(&[&servers[0], &servers[1]]);
-        let over = AtomicBool::new(false);
+    for (failure, rounds, min_complete) in failures {
+        let (servers, armed) = two_failing_servers(TEXT, failure);
+        let proxy = Proxy::start(&[&servers[0], &servers[1]]);
+        let finished = AtomicBool::new(false);
         std::thread::scope(|scope| {
-            // A rate to measure what is unanswered by.
+            // Background load, from which the proxy learns the rate of responses.
             for _ in 0..4 {
                 scope.spawn(|| {
-                    let mut client = proxy.client();
-                    while !over.load(Ordering::SeqCst) {
-                        assert_eq!(rows(&mut client, "SELECT id, name FROM other").unwrap().len(), 300);
+                    let mut client = proxy.connect();
+                    while !finished.load(Ordering::SeqCst) {
+                        assert_eq!(query_rows(&mut client, "SELECT id, name FROM other").unwrap().len(), 300);
                     }
                 });
             }
-            let mut client = proxy.client();
-            let whole = (0..rounds).filter(|round| {
-                arms[round % 2].store(true, Ordering::SeqCst);
-                let mut whole = true;
-                // It is whole, or said to be none: never a part.
-                while arms[round % 2].load(Ordering::SeqCst) {
-                    match rows(&mut client, TEXT) {
+            let mut client = proxy.connect();
+            let complete_rounds = (0..rounds).filter(|round| {
+                armed[round % 2].store(true, Ordering::SeqCst);
+                let mut is_complete = true;
+                // The result is complete or an error, but never partial.
+                while armed[round % 2].load(Ordering::SeqCst) {
+                    match query_rows(&mut client, TEXT) {
                         Ok(rows) => assert_eq!(rows.len(), 300),
                         failed => {
-                            assert_eq!(error(failed).1, SQLSTATE_SERIALIZATION_FAILURE);
-                            whole = false;
+                            assert_eq!(server_error(failed).1, SQLSTATE_SERIALIZATION_FAILURE);
+                            is_complete = false;
                         }
                     }
                 }
-                whole
+                is_complete
             });
-            let whole = whole.count();
-            over.store(true, Ordering::SeqCst);
-            assert!(whole >= least, "{whole} of {rounds}");
+            let complete_rounds = complete_rounds.count();
+            finished.store(true, Ordering::SeqCst);
+            assert!(complete_rounds >= min_complete, "{complete_rounds} of {rounds}");
         });
     }
 }
 
 #[test]
-fn a_long_answer_is_passed_on_as_it_comes_and_one_that_breaks_off_is_told_from_a_whole_one() {
+fn long_response_is_streamed_and_ends_in_error_if_it_breaks_off() {
     const LONG: &str = "SELECT long FROM t";
-    let (cut, passed) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-    let (cuts, count) = (cut.clone(), passed.clone());
-    let server = MySqlServer::start(OWN, move |asked| match asked.text == LONG {
-        false => usual(asked),
+    let (cut, run_count) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    let (cut_flag, counter) = (cut.clone(), run_count.clone());
+    let server = MySqlServer::start(SERVER_PASSWORD, move |statement| match statement.text == LONG {
+        false => default_reply(statement),
         true => {
-            count.fetch_add(1, Ordering::SeqCst);
+            counter.fetch_add(1, Ordering::SeqCst);
             let rows = (0..2000).map(|i| vec![Some(i.to_string()), Some("x".repeat(500))]).collect();
             let reply = Reply::Rows(vec!["id", "text"], rows);
-            if cuts.load(Ordering::SeqCst) { Reply::Truncated(700_000, Box::new(reply)) } else { reply }
+            if cut_flag.load(Ordering::SeqCst) { Reply::Truncated(700_000, Box::new(reply)) } else { reply }
         }
     });
-    let proxy = Proxy::holding(&[&server], 20_000);
-    let mut client = proxy.client();
-    let whole = rows(&mut client, LONG).unwrap();
-    assert_eq!((whole.len(), whole[1999][0].as_deref()), (2000, Some("1999")));
+    let proxy = Proxy::with_buffer_limit(&[&server], 20_000);
+    let mut client = proxy.connect();
+    let rows = query_rows(&mut client, LONG).unwrap();
+    assert_eq!((rows.len(), rows[1999][0].as_deref()), (2000, Some("1999")));
     cut.store(true, Ordering::SeqCst);
-    let mut seen = 0;
+    let mut received_rows = 0;
     let broken = client.query_iter(LONG).unwrap().find_map(|row| match row {
         Ok(_) => {
-            seen += 1;
+            received_rows += 1;
             None
         }
         Err(error) => Some(error),
     });
-    assert_eq!(error(broken.map_or(Ok(()), Err)), (1158, "08S01".into()));
-    assert!((1000..2000).contains(&seen), "{seen}");
-    assert_eq!(passed.load(Ordering::SeqCst), 2, "what has begun to go out is not asked again");
+    assert_eq!(server_error(broken.map_or(Ok(()), Err)), (1158, "08S01".into()));
+    assert!((1000..2000).contains(&received_rows), "{received_rows}");
+    assert_eq!(run_count.load(Ordering::SeqCst), 2, "a response that was sent in part is not retried");
     cut.store(false, Ordering::SeqCst);
-    assert_eq!(rows(&mut client, LONG).unwrap().len(), 2000, "the session goes on");
-    // A client that leaves in the middle holds nothing up.
-    let mut leaves = proxy.client();
-    drop(leaves.query_iter(LONG).unwrap().next());
-    drop(leaves);
-    assert_eq!(rows(&mut client, LONG).unwrap().len(), 2000);
+    assert_eq!(query_rows(&mut client, LONG).unwrap().len(), 2000, "the session continues");
+    // A client that disconnects during a response does not block others.
+    let mut leaving = proxy.connect();
+    drop(leaving.query_iter(LONG).unwrap().next());
+    drop(leaving);
+    assert_eq!(query_rows(&mut client, LONG).unwrap().len(), 2000);
 }
 
 #[test]
-fn a_write_whose_answer_is_cut_is_sent_once_and_told_as_unknown() {
+fn write_with_cut_response_is_sent_once_and_reported_as_unknown() {
     const TEXT: &str = "INSERT INTO t (id) VALUES (1)";
-    let ends: [fn(Reply) -> Reply; 3] = [
+    let failures: [fn(Reply) -> Reply; 3] = [
         |reply| Reply::Truncated(0, Box::new(reply)),
         |reply| Reply::Truncated(5, Box::new(reply)),
         |reply| Reply::Stalled(3, Box::new(reply)),
     ];
-    for end in ends {
-        let (servers, arms) = two_failing(TEXT, end);
-        arm(&arms);
-        let proxy = Proxy::before(&[&servers[0], &servers[1]]);
-        let mut client = proxy.client();
+    for failure in failures {
+        let (servers, armed) = two_failing_servers(TEXT, failure);
+        arm_all(&armed);
+        let proxy = Proxy::start(&[&servers[0], &servers[1]]);
+        let mut client = proxy.connect();
         let start = Instant::now();
-        assert_eq!(error(client.query_drop(TEXT)).1, SQLSTATE_RESOLUTION_UNKNOWN);
+        assert_eq!(server_error(client.query_drop(TEXT)).1, SQLSTATE_RESOLUTION_UNKNOWN);
         assert!(start.elapsed() < Duration::from_secs(8), "{:?}", start.elapsed());
         assert_eq!(servers.iter().map(|s| s.count_statements(TEXT)).sum::<usize>(), 1);
-        // The session goes on.
-        assert_eq!(rows(&mut client, "SELECT id, name FROM t").unwrap().len(), 300);
+        // The session continues.
+        assert_eq!(query_rows(&mut client, "SELECT id, name FROM t").unwrap().len(), 300);
     }
 }
 
 #[test]
-fn a_server_that_says_it_ran_nothing_is_passed_over_for_writes_too() {
-    let reading = MySqlServer::start(OWN, |asked| match asked.text.starts_with("INSERT") {
-        true => Reply::Error(1290, "HY000", "The MySQL server is running with the --read-only option".into()),
-        false => usual(asked),
-    });
-    let (full, primary) = (MySqlServer::start(OWN, usual), MySqlServer::start(OWN, usual));
+fn write_is_retried_if_server_rejects_it_before_execution() {
+    let read_only =
+        MySqlServer::start(SERVER_PASSWORD, |statement| match statement.text.starts_with("INSERT") {
+            true => {
+                Reply::Error(1290, "HY000", "The MySQL server is running with the --read-only option".into())
+            }
+            false => default_reply(statement),
+        });
+    let (full, primary) = (
+        MySqlServer::start(SERVER_PASSWORD, default_reply),
+        MySqlServer::start(SERVER_PASSWORD, default_reply),
+    );
     full.set_refusing(true);
-    let proxy = Proxy::before(&[&reading, &full, &primary]);
-    let mut client = proxy.client();
+    let proxy = Proxy::start(&[&read_only, &full, &primary]);
+    let mut client = proxy.connect();
     for i in 0..20 {
-        client.query_drop(format!("INSERT INTO t (id) VALUES ({i})")).expect("the primary does it");
+        client.query_drop(format!("INSERT INTO t (id) VALUES ({i})")).expect("the primary runs the write");
     }
     for i in 0..20 {
         assert_eq!(primary.count_statements(&format!("INSERT INTO t (id) VALUES ({i})")), 1);
@@ -300,152 +320,169 @@
 }
 
 #[test]
-fn a_procedure_that_meets_a_read_only_server_halfway_is_not_called_again() {
+fn procedure_call_is_not_retried_after_read_only_error() {
     let server = || {
-        MySqlServer::start(OWN, |asked| match asked.text.starts_with("CALL") {
+        MySqlServer::start(SERVER_PASSWORD, |statement| match statement.text.starts_with("CALL") {
             true => {
                 Reply::Error(1290, "HY000", "The MySQL server is running with the --read-only option".into())
             }
-            false => usual(asked),
+            false => default_reply(statement),
         })
     };
     let servers = [server(), server()];
-    let proxy = Proxy::before(&[&servers[0], &servers[1]]);
-    assert_eq!(error(proxy.client().query_drop("CALL place_order(7)")).0, 1290);
+    let proxy = Proxy::start(&[&servers[0], &servers[1]]);
+    assert_eq!(server_error(proxy.connect().query_drop("CALL place_order(7)")).0, 1290);
     assert_eq!(servers.iter().map(|s| s.count_statements("CALL place_order(7)")).sum::<usize>(), 1);
 }
 
 #[test]
-fn a_transaction_stays_on_its_connection_and_ends_truly_when_that_dies() {
-    let servers = [MySqlServer::start(OWN, usual), MySqlServer::start(OWN, usual)];
-    let proxy = Proxy::before(&[&servers[0], &servers[1]]);
-    let mut client = proxy.client();
-    let all = || servers.iter().flat_map(|s| s.statements()).collect::<Vec<_>>();
+fn transaction_stays_on_its_connection_and_is_rolled_back_if_that_is_lost() {
+    let servers = [
+        MySqlServer::start(SERVER_PASSWORD, default_reply),
+        MySqlServer::start(SERVER_PASSWORD, default_reply),
+    ];
+    let proxy = Proxy::start(&[&servers[0], &servers[1]]);
+    let mut client = proxy.connect();
+    let all_statements = || servers.iter().flat_map(|s| s.statements()).collect::<Vec<_>>();
     for text in
         ["BEGIN", "INSERT INTO t VALUES (1)", "SELECT id, name FROM t", "INSERT INTO t VALUES (2)", "COMMIT"]
     {
         client.query_drop(text).unwrap();
     }
-    let first = all();
-    assert_eq!(first.len(), 5);
-    assert!(first.iter().all(|asked| asked.connection == first[0].connection));
-    let ran = |server: &MySqlServer| server.statements().len();
-    assert!(ran(&servers[0]) == 0 || ran(&servers[1]) == 0, "one server has all of it");
+    let transaction = all_statements();
+    assert_eq!(transaction.len(), 5);
+    assert!(transaction.iter().all(|statement| statement.connection == transaction[0].connection));
+    let statement_count = |server: &MySqlServer| server.statements().len();
+    assert!(
+        statement_count(&servers[0]) == 0 || statement_count(&servers[1]) == 0,
+        "one server has the whole transaction"
+    );
 
     client.query_drop("BEGIN").unwrap();
     client.query_drop("INSERT INTO t VALUES (3)").unwrap();
     servers.iter().for_each(MySqlServer::close_connections);
-    // It can't have been committed: the server undoes it with the connection.
-    assert_eq!(error(client.query_drop("INSERT INTO t VALUES (4)")).1, SQLSTATE_SERIALIZATION_FAILURE);
+    // The transaction is not committed: the server rolls it back with the connection.
+    assert_eq!(server_error(client.query_drop("INSERT INTO t VALUES (4)")).1, SQLSTATE_SERIALIZATION_FAILURE);
     let count = |text: &str| servers.iter().map(|s| s.count_statements(text)).sum::<usize>();
     assert_eq!((count("INSERT INTO t VALUES (3)"), count("INSERT INTO t VALUES (4)")), (1, 0));
     client.query_drop("INSERT INTO t VALUES (5)").unwrap();
-    let last = all().into_iter().find(|asked| asked.text == "INSERT INTO t VALUES (5)").unwrap();
-    assert!(!last.in_transaction, "it is outside of what is gone");
+    let last =
+        all_statements().into_iter().find(|statement| statement.text == "INSERT INTO t VALUES (5)").unwrap();
+    assert!(!last.in_transaction, "the statement is outside of the lost transaction");
 }
 
 #[test]
-fn a_commit_whose_answer_is_cut_is_unknown_and_is_not_sent_again() {
-    let (servers, arms) = two_failing("COMMIT", |reply| Reply::Truncated(0, Box::new(reply)));
-    arm(&arms);
-    let proxy = Proxy::before(&[&servers[0], &servers[1]]);
-    let mut client = proxy.client();
+fn commit_with_cut_response_is_reported_as_unknown_and_not_retried() {
+    let (servers, armed) = two_failing_servers("COMMIT", |reply| Reply::Truncated(0, Box::new(reply)));
+    arm_all(&armed);
+    let proxy = Proxy::start(&[&servers[0], &servers[1]]);
+    let mut client = proxy.connect();
     client.query_drop("BEGIN").unwrap();
     client.query_drop("INSERT INTO t VALUES (1)").unwrap();
-    assert_eq!(error(client.query_drop("COMMIT")).1, SQLSTATE_RESOLUTION_UNKNOWN);
+    assert_eq!(server_error(client.query_drop("COMMIT")).1, SQLSTATE_RESOLUTION_UNKNOWN);
     assert_eq!(servers.iter().map(|s| s.count_statements("COMMIT")).sum::<usize>(), 1);
     client.query_drop("INSERT INTO t VALUES (2)").unwrap();
 }
 
 #[test]
-fn state_of_a_session_is_its_own_and_its_loss_ends_it() {
-    let server = MySqlServer::start(OWN, usual);
-    let proxy = Proxy::before(&[&server]);
-    let (mut a, mut b) = (proxy.client(), proxy.client());
-    let value = |client: &mut mysql::Conn| rows(client, "SELECT @A").map(|rows| rows[0][0].clone().unwrap());
+fn session_state_is_private_and_its_loss_closes_the_session() {
+    let server = MySqlServer::start(SERVER_PASSWORD, default_reply);
+    let proxy = Proxy::start(&[&server]);
+    let (mut a, mut b) = (proxy.connect(), proxy.connect());
+    let value =
+        |client: &mut mysql::Conn| query_rows(client, "SELECT @A").map(|rows| rows[0][0].clone().unwrap());
     a.query_drop("SET @A = 7").unwrap();
     assert_eq!((value(&mut a).unwrap(), value(&mut b).unwrap()), ("7".into(), "unset".into()));
     drop(a);
     for _ in 0..5 {
-        let mut next = proxy.client();
+        let mut next = proxy.connect();
         assert_eq!(value(&mut next).unwrap(), "unset");
     }
-    let mut a = proxy.client();
+    let mut a = proxy.connect();
     a.query_drop("SET @A = 8").unwrap();
     server.close_connections();
     assert!(a.query_drop("INSERT INTO t VALUES (1)").is_err());
-    assert!(a.ping().is_err(), "it goes on as if nothing were lost");
+    assert!(a.ping().is_err(), "the session continues without its state");
     assert_eq!(server.count_statements("INSERT INTO t VALUES (1)"), 0);
 }
 
 #[test]
-fn a_generated_id_is_asked_for_where_it_was_made() {
-    let servers = [MySqlServer::start(OWN, usual), MySqlServer::start(OWN, usual)];
-    let proxy = Proxy::before(&[&servers[0], &servers[1]]);
-    let mut clients: Vec<_> = (0..8).map(|_| proxy.client()).collect();
+fn last_insert_id_is_read_on_the_connection_of_the_insert() {
+    let servers = [
+        MySqlServer::start(SERVER_PASSWORD, default_reply),
+        MySqlServer::start(SERVER_PASSWORD, default_reply),
+    ];
+    let proxy = Proxy::start(&[&servers[0], &servers[1]]);
+    let mut clients: Vec<_> = (0..8).map(|_| proxy.connect()).collect();
     for client in &mut clients {
         client.query_drop("INSERT INTO auto (a) VALUES (1)").unwrap();
-        let made = client.last_insert_id().to_string();
-        assert_eq!(rows(client, "SELECT LAST_INSERT_ID()").unwrap(), [[Some(made)]]);
+        let generated_id = client.last_insert_id().to_string();
+        assert_eq!(query_rows(client, "SELECT LAST_INSERT_ID()").unwrap(), [[Some(generated_id)]]);
     }
 }
 
 #[test]
-fn nothing_new_reaches_a_server_that_drains_and_its_transactions_end() {
-    let servers = [MySqlServer::start(OWN, usual), MySqlServer::start(OWN, usual)];
-    let proxy = Proxy::before(&[&servers[0], &servers[1]]);
-    let mut held = proxy.client();
-    held.query_drop("BEGIN").unwrap();
-    let holder = servers.iter().position(|s| s.count_statements("BEGIN") == 1).unwrap();
+fn draining_server_gets_no_statements_after_grace_and_loses_its_connections() {
+    let servers = [
+        MySqlServer::start(SERVER_PASSWORD, default_reply),
+        MySqlServer::start(SERVER_PASSWORD, default_reply),
+    ];
+    let proxy = Proxy::start(&[&servers[0], &servers[1]]);
+    let mut pinned = proxy.connect();
+    pinned.query_drop("BEGIN").unwrap();
+    let draining = servers.iter().position(|s| s.count_statements("BEGIN") == 1).unwrap();
     let list = |status| {
         let mut list: Vec<_> =
-            (0..).zip(&servers).map(|(id, s)| listed(id, s.address, Status::InService)).collect();
-        list[holder].entry.status = status;
+            (0..).zip(&servers).map(|(id, s)| listed_backend(id, s.address, Status::InService)).collect();
+        list[draining].entry.status = status;
         list
     };
-    proxy.news(list(Status::Draining));
-    std::thread::sleep(GRACE + Duration::from_millis(100));
-    let before = servers[holder].statements().len();
-    assert_eq!(error(held.query_drop("INSERT INTO t VALUES (1)")).1, SQLSTATE_SERIALIZATION_FAILURE);
+    proxy.update_list(list(Status::Draining));
+    std::thread::sleep(DRAIN_GRACE + Duration::from_millis(100));
+    let count_before = servers[draining].statements().len();
+    assert_eq!(server_error(pinned.query_drop("INSERT INTO t VALUES (1)")).1, SQLSTATE_SERIALIZATION_FAILURE);
     for _ in 0..30 {
-        held.query_drop("INSERT INTO t VALUES (2)").unwrap();
+        pinned.query_drop("INSERT INTO t VALUES (2)").unwrap();
     }
-    assert_eq!(servers[holder].statements().len(), before);
-    wait_for("end of the connections to it", || servers[holder].connection_count() == 0);
+    assert_eq!(servers[draining].statements().len(), count_before);
+    wait_for("end of the connections to it", || servers[draining].connection_count() == 0);
 }
 
 #[test]
-fn many_clients_write_while_servers_die_and_no_write_is_seen_twice() {
-    let servers: [MySqlServer; 3] = std::array::from_fn(|_| MySqlServer::start(OWN, usual));
-    let proxy = Proxy::before(&[&servers[0], &servers[1], &servers[2]]);
-    let over = AtomicBool::new(false);
-    let (served, told) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
+fn no_write_runs_twice_while_servers_restart() {
+    let servers: [MySqlServer; 3] =
+        std::array::from_fn(|_| MySqlServer::start(SERVER_PASSWORD, default_reply));
+    let proxy = Proxy::start(&[&servers[0], &servers[1], &servers[2]]);
+    let finished = AtomicBool::new(false);
+    let (served_count, outcomes) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for client_number in 0..8 {
-            let (over, served, told, proxy) = (&over, &served, &told, &proxy);
+            let (finished, served_count, outcomes, proxy) = (&finished, &served_count, &outcomes, &proxy);
             scope.spawn(move || {
-                let mut client = proxy.client();
+                let mut client = proxy.connect();
                 for i in 0.. {
-                    if over.load(Ordering::SeqCst) {
+                    if finished.load(Ordering::SeqCst) {
                         break;
                     }
                     let text = format!("INSERT INTO t VALUES ({client_number}, {i})");
                     match client.query_drop(&text) {
                         Ok(()) => {
-                            served.fetch_add(1, Ordering::SeqCst);
-                            told.lock().unwrap().push((text, true));
+                            served_count.fetch_add(1, Ordering::SeqCst);
+                            outcomes.lock().unwrap().push((text, true));
                         }
-                        // It is one of the two, and never the end of the connection.
+                        // Any other error, or the end of the connection, is a failure.
                         Err(mysql::Error::MySqlError(e))
                             if e.state == SQLSTATE_RESOLUTION_UNKNOWN
                                 || e.state == SQLSTATE_SERIALIZATION_FAILURE =>
                         {
-                            told.lock().unwrap().push((text, false));
+                            outcomes.lock().unwrap().push((text, false));
                         }
                         Err(error) => panic!("{error}"),
                     }
                     assert_eq!(
-                        rows(&mut client, "SELECT id, name FROM t").map(|rows| rows.len()).unwrap_or(300),
+                        query_rows(&mut client, "SELECT id, name FROM t")
+                            .map(|rows| rows.len())
+                            .unwrap_or(300),
                         300
                     );
                 }
@@ -458,31 +495,37 @@
             std::thread::sleep(Duration::from_millis(120));
             server.restart();
         }
-        over.store(true, Ordering::SeqCst);
+        finished.store(true, Ordering::SeqCst);
     });
-    let mut seen = std::collections::HashMap::new();
-    for asked in servers.iter().flat_map(|s| s.statements()).filter(|asked| asked.text.starts_with("INSERT"))
+    let mut run_counts = std::collections::HashMap::new();
+    for statement in
+        servers.iter().flat_map(|s| s.statements()).filter(|statement| statement.text.starts_with("INSERT"))
     {
-        *seen.entry(asked.text).or_insert(0) += 1;
+        *run_counts.entry(statement.text).or_insert(0) += 1;
     }
-    assert!(seen.values().all(|times| *times == 1), "{:?}", seen.iter().find(|(_, times)| **times > 1));
-    let told = told.into_inner().unwrap();
-    assert!(told.iter().filter(|(_, served)| *served).all(|(text, _)| seen.contains_key(text)));
-    assert!(served.into_inner() > 100, "hardly anything is served");
+    assert!(
+        run_counts.values().all(|count| *count == 1),
+        "{:?}",
+        run_counts.iter().find(|(_, count)| **count > 1)
+    );
+    let outcomes = outcomes.into_inner().unwrap();
+    assert!(outcomes.iter().filter(|(_, served)| *served).all(|(text, _)| run_counts.contains_key(text)));
+    assert!(served_count.into_inner() > 100, "too few writes succeeded");
 }
 
 #[test]
-fn a_stop_answers_what_was_taken() {
-    let server = MySqlServer::start(OWN, |asked| match asked.text.starts_with("INSERT") {
-        true => Reply::Delayed(Duration::from_millis(600), Box::new(usual(asked))),
-        false => usual(asked),
-    });
-    let mut proxy = Proxy::before(&[&server]);
-    let (mut busy, mut idle) = (proxy.client(), proxy.client());
+fn stop_completes_open_requests() {
+    let server =
+        MySqlServer::start(SERVER_PASSWORD, |statement| match statement.text.starts_with("INSERT") {
+            true => Reply::Delayed(Duration::from_millis(600), Box::new(default_reply(statement))),
+            false => default_reply(statement),
+        });
+    let mut proxy = Proxy::start(&[&server]);
+    let (mut busy, mut idle) = (proxy.connect(), proxy.connect());
     let running = std::thread::spawn(move || busy.query_drop("INSERT INTO t VALUES (1)"));
     wait_for("statement", || server.count_statements("INSERT INTO t VALUES (1)") == 1);
     proxy.stop();
-    assert!(running.join().unwrap().is_ok(), "it was taken");
+    assert!(running.join().unwrap().is_ok(), "the statement was accepted before the stop");
     assert!(idle.ping().is_err());
-    assert!(client(proxy.address, "planner", CLIENT).is_err());
+    assert!(connect_client(proxy.address, "planner", CLIENT_PASSWORD).is_err());
 }
