--- a/crates/dewpier/src/command.rs
+++ b/crates/dewpier/src/command.rs
@@ -376,10 +376,10 @@
 
 /// Prints notes on a valid inventory: ignored parts, and an incomplete last line.
 fn print_notes(file: &Path, list: &Inventory) {
-    if !list.aside.is_empty() {
-        eprintln!("{}: note: passed over: {}", file.display(), list.aside.join(", "));
+    if !list.ignored_fields.is_empty() {
+        eprintln!("{}: note: passed over: {}", file.display(), list.ignored_fields.join(", "));
     }
-    if !list.ended {
+    if !list.has_complete_end {
         let note = "note: the last line is not complete: a proxy would take it as half written";
         eprintln!("{}:{}: {note} (unless complete_end = false)", file.display(), list.end);
     }
--- a/crates/dewpier/src/lists/resolve.rs
+++ b/crates/dewpier/src/lists/resolve.rs
@@ -1,7 +1,7 @@
 //! Resolves the host names of an inventory to addresses. Names are looked up only if the configuration allows host
 //! names, and only when a list is read: a changed DNS entry takes effect with the next change of the inventory.
 
-use dewpier_inventory::{Backend, Host, Place};
+use dewpier_inventory::{Backend, Host, Position};
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -25,7 +25,7 @@
     )]
     HostNameNotAllowed {
         /// The node's position in the file.
-        at: Place,
+        at: Position,
         /// The node's id.
         id: String,
         /// The host name.
@@ -35,7 +35,7 @@
     #[error("{at}: expected a host name that can be looked up, found {name}: {why}")]
     NotFound {
         /// The node's position in the file.
-        at: Place,
+        at: Position,
         /// The host name.
         name: String,
         /// The error of the lookup.
@@ -45,13 +45,13 @@
     #[error("{at}: expected one node an address, found '{id}' and '{other}' ({other_at}) both at {address}")]
     DuplicateAddress {
         /// The node's position in the file.
-        at: Place,
+        at: Position,
         /// The node's id.
         id: String,
         /// The other node's id.
         other: String,
         /// The other node's position in the file.
-        other_at: Place,
+        other_at: Position,
         /// The address of both.
         address: SocketAddr,
     },
--- a/crates/dewpier/src/lists/watched.rs
+++ b/crates/dewpier/src/lists/watched.rs
@@ -3,7 +3,7 @@
 use super::resolve::{ResolvedBackends, resolve_backends};
 use crate::config::Inventory;
 use crate::error::ServeError;
-use dewpier_inventory::io::{Source, Update};
+use dewpier_inventory::io::{InventoryWatcher, Update};
 use std::io;
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
@@ -24,7 +24,7 @@
 /// An inventory file under watch.
 pub struct WatchedInventory {
     events: mpsc::Receiver<WatchEvent>,
-    source: Source,
+    source: InventoryWatcher,
     last_check: Option<Instant>,
     file_name: String,
 }
@@ -36,14 +36,14 @@
         let Inventory { file, options, rules, poll_interval, resolve_names } = inventory;
         // Lookups block only the reading thread.
         let resolver = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let source = Source::start(&file, options, rules, poll_interval, move |update| {
+        let source = InventoryWatcher::start(&file, options, rules, poll_interval, move |update| {
             let event = match update {
                 Update::Accepted(list) => {
                     let resolved = resolver.block_on(resolve_backends(&list.backends, resolve_names));
                     WatchEvent::List(Ok(resolved.map_err(|error| error.to_string())?))
                 }
                 Update::Rejected(reason) => WatchEvent::List(Err(reason)),
-                Update::Looked(started) => WatchEvent::Checked(started),
+                Update::Checked(started) => WatchEvent::Checked(started),
                 Update::Notice(text) => {
                     eprintln!("dewpier: {text}");
                     return Ok(());
@@ -67,7 +67,7 @@
 
     /// Requests a check whether the file has changed.
     pub fn request_check(&self) {
-        self.source.look();
+        self.source.request_check();
     }
 
     /// When the last check began that found nothing newer than the list that [`WatchedInventory::next_list`]
--- a/crates/dewpier/src/members.rs
+++ b/crates/dewpier/src/members.rs
@@ -139,7 +139,8 @@
 
     fn apply_list(members: &mut Members, text: &str, now: Time) -> Vec<ListedBackend> {
         let inventory = dewpier_inventory::read(text.as_bytes(), "n.csv", &Options::default()).unwrap();
-        let backends: Vec<_> = inventory.backends.iter().map(|b| (b, b.address.socket().unwrap())).collect();
+        let backends: Vec<_> =
+            inventory.backends.iter().map(|b| (b, b.address.socket_address().unwrap())).collect();
         match members.update_nodes(&backends, &HashMap::new(), now) {
             BackendListUpdate::Full(list) => list,
             other => panic!("{other:?}"),
@@ -190,7 +191,8 @@
             &Options::default(),
         );
         let inventory = inventory.unwrap();
-        let backends: Vec<_> = inventory.backends.iter().map(|b| (b, b.address.socket().unwrap())).collect();
+        let backends: Vec<_> =
+            inventory.backends.iter().map(|b| (b, b.address.socket_address().unwrap())).collect();
         let ages = HashMap::from([("b".to_string(), 3.0)]);
         let BackendListUpdate::Full(list) = members.update_nodes(&backends, &ages, 10.0) else { panic!() };
         assert_eq!([list[0].entry.started, list[1].entry.started], [None, Some(7.0)]);
--- a/crates/inventory/benches/read.rs
+++ b/crates/inventory/benches/read.rs
@@ -6,14 +6,14 @@
 #[path = "../tests/common/counting.rs"]
 mod counting;
 
-use counting::{Counting, MOST, NOW};
+use counting::{CountingAllocator, IN_USE_BYTES, PEAK_BYTES};
 use dewpier_inventory::{Format, Options};
 use std::hint::black_box;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 const ROWS: usize = 100_000;
 const RUNS: usize = 15;
@@ -66,10 +66,11 @@
             }
             black_box(rows);
         });
-        let before = NOW.load(Ordering::Relaxed);
-        MOST.store(before, Ordering::Relaxed);
+        let before = IN_USE_BYTES.load(Ordering::Relaxed);
+        PEAK_BYTES.store(before, Ordering::Relaxed);
         let list = dewpier_inventory::read(text.as_bytes(), "nodes.csv", &options).expect("read whole");
-        let (held, most) = (NOW.load(Ordering::Relaxed) - before, MOST.load(Ordering::Relaxed) - before);
+        let (held, most) =
+            (IN_USE_BYTES.load(Ordering::Relaxed) - before, PEAK_BYTES.load(Ordering::Relaxed) - before);
         drop(list);
         let (kind, ms) = (if quoted { "quoted" } else { "bare" }, |d: Duration| d.as_secs_f64() * 1000.0);
         println!(
--- a/crates/inventory/src/address.rs
+++ b/crates/inventory/src/address.rs
@@ -28,7 +28,7 @@
 
 impl Address {
     /// As a socket address, if no name has to be looked up.
-    pub fn socket(&self) -> Option<SocketAddr> {
+    pub fn socket_address(&self) -> Option<SocketAddr> {
         match self.host {
             Host::Ip(ip) => Some(SocketAddr::new(ip, self.port)),
             Host::Name(_) => None,
--- a/crates/inventory/src/collect.rs
+++ b/crates/inventory/src/collect.rs
@@ -1,8 +1,8 @@
 //! Gathers the nodes of a file, and sees that no two clash.
 
+use crate::error::{Fault, FaultKind, Problem, RawPosition};
 use crate::fields::Fields;
-use crate::refusal::{Fault, Problem, Spot, Wrong};
-use crate::{Backend, Options, Place};
+use crate::{Backend, Options, Position};
 use hashbrown::{DefaultHashBuilder, HashTable};
 use std::hash::BuildHasher;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 pub(crate) struct Collector<'o> {
     options: &'o Options,
     nodes: Vec<Backend>,
-    spots: Vec<[Spot; 2]>,
+    spots: Vec<[RawPosition; 2]>,
     hasher: DefaultHashBuilder,
     ids: HashTable<u32>,
     addresses: HashTable<u32>,
@@ -39,7 +39,7 @@
     /// Makes room for so many nodes, if so many may be: growing step by step would hash and move
     /// all of them over and over.
     pub fn reserve(&mut self, nodes: usize) {
-        let nodes = nodes.min(self.options.max_rows);
+        let nodes = nodes.min(self.options.max_nodes);
         self.nodes.reserve(nodes);
         self.spots.reserve(nodes);
         self.ids.reserve(nodes, |_| 0);
@@ -48,9 +48,9 @@
 
     /// Checks and takes in a node. One that has no id is named by its address.
     pub fn add(&mut self, fields: &Fields<'_>) -> Result<(), Fault> {
-        let most = self.options.max_rows;
-        if self.nodes.len() >= most {
-            let problem = Problem::TooMuch { what: "nodes", most, found: "more".into() };
+        let max = self.options.max_nodes;
+        if self.nodes.len() >= max {
+            let problem = Problem::LimitExceeded { what: "nodes", max, found: "more".into() };
             return Err(Fault::new(fields.at, problem));
         }
         let address = fields.address(self.options.default_port)?;
@@ -64,27 +64,27 @@
             cell: fields.cell.map_or(Ok(0), |raw| raw.cell())?,
             weight: fields.weight.map_or(Ok(1.0), |raw| raw.weight(fields.comma))?,
             state: fields.state.map_or(Ok(Default::default()), |raw| raw.state())?,
-            at: Place { line: fields.at.0, column: fields.at.1 },
+            at: Position { line: fields.at.0, column: fields.at.1 },
             id,
             address,
         };
         self.keep(backend, id_at, address_at)
     }
 
-    fn keep(&mut self, new: Backend, id_at: Spot, address_at: Spot) -> Result<(), Fault> {
-        let place = self.nodes.len() as u32; // max_rows is bounded by memory long before this
+    fn keep(&mut self, new: Backend, id_at: RawPosition, address_at: RawPosition) -> Result<(), Fault> {
+        let place = self.nodes.len() as u32; // max_nodes is bounded by memory long before this
         let Self { nodes, spots, hasher, ids, addresses, .. } = self;
         let hash = hasher.hash_one(new.id.as_str());
         if let Some(&other) = ids.find(hash, |&i| nodes[i as usize].id == new.id) {
             let first = spots[other as usize][0];
-            return Err(Fault { at: id_at, what: Wrong::Twice { what: "id", value: new.id, first } });
+            return Err(Fault { at: id_at, what: FaultKind::Duplicate { what: "id", value: new.id, first } });
         }
         ids.insert_unique(hash, place, |&i| hasher.hash_one(nodes[i as usize].id.as_str()));
         let hash = hasher.hash_one(&new.address);
         if let Some(&other) = addresses.find(hash, |&i| nodes[i as usize].address == new.address) {
             let (first, other) = (spots[other as usize][1], nodes[other as usize].id.clone());
             let address = new.address.to_string();
-            let what = Wrong::SharedAddress { address, id: new.id, other, first };
+            let what = FaultKind::DuplicateAddress { address, id: new.id, other, first };
             return Err(Fault { at: address_at, what });
         }
         addresses.insert_unique(hash, place, |&i| hasher.hash_one(&nodes[i as usize].address));
@@ -105,13 +105,17 @@
     }
 
     /// The nodes by id, with their places as the format tells them.
-    pub fn finish(self, place: impl Fn(Spot) -> Place, empty: (Spot, &str)) -> Result<Vec<Backend>, Fault> {
+    pub fn finish(
+        self,
+        place: impl Fn(RawPosition) -> Position,
+        empty: (RawPosition, &str),
+    ) -> Result<Vec<Backend>, Fault> {
         let mut nodes = self.nodes;
         if nodes.is_empty() {
             return Err(Fault::new(empty.0, Problem::Empty { found: empty.1.to_string() }));
         }
         for node in &mut nodes {
-            node.at = place(Spot(node.at.line, node.at.column));
+            node.at = place(RawPosition(node.at.line, node.at.column));
         }
         nodes.sort_unstable_by(|a: &Backend, b| a.id.cmp(&b.id));
         Ok(nodes)
@@ -127,7 +131,7 @@
     fn one_address_in_two_forms_is_one() {
         let options = Options::default();
         let mut collector = Collector::new(&options);
-        let raw = |text| Some(Raw { text, at: Spot(1, 1) });
+        let raw = |text| Some(Raw { text, at: RawPosition(1, 1) });
         let node = |id, address| Fields { id: raw(id), address: raw(address), ..Fields::default() };
         collector.add(&node("a", "[::1]:80")).unwrap();
         assert!(collector.add(&node("b", "[0:0::1]:80")).is_err());
--- a/crates/inventory/src/encoding.rs
+++ b/crates/inventory/src/encoding.rs
@@ -1,6 +1,6 @@
 //! From bytes to text, in an encoding that the file itself or its operator names.
 
-use crate::refusal::{Place, Problem, Refusal};
+use crate::error::{InventoryError, Position, Problem};
 use std::borrow::Cow;
 use std::fmt;
 use std::str::FromStr;
@@ -96,9 +96,12 @@
 }
 
 /// The text, without a byte order mark, and the encoding that it was in. NUL is never text.
-pub(crate) fn decode(bytes: &[u8], named: Option<Encoding>) -> Result<(Cow<'_, str>, Encoding), Refusal> {
-    let refuse = |before: &str, offset, expected, found: String, hint| Refusal {
-        at: Place::of(before, before.len()),
+pub(crate) fn decode(
+    bytes: &[u8],
+    named: Option<Encoding>,
+) -> Result<(Cow<'_, str>, Encoding), InventoryError> {
+    let refuse = |before: &str, offset, expected, found: String, hint| InventoryError {
+        at: Position::of_offset(before, before.len()),
         problem: Problem::Encoding { offset, expected, found, hint },
     };
     if let [0xff, 0xfe, 0, 0, ..] | [0, 0, 0xfe, 0xff, ..] = bytes {
--- a/crates/inventory/src/refusal.rs
+++ b/crates/inventory/src/error.rs
@@ -5,22 +5,22 @@
 
 /// A place in a file, as editors count: from 1, in characters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Position {
     /// The line.
     pub line: u32,
     /// The column.
     pub column: u32,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Position {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}", self.line, self.column)
     }
 }
 
-impl Place {
+impl Position {
     /// The place of a byte offset in a text.
-    pub(crate) fn of(text: &str, offset: usize) -> Self {
+    pub(crate) fn of_offset(text: &str, offset: usize) -> Self {
         let mut offset = offset.min(text.len());
         while !text.is_char_boundary(offset) {
             offset -= 1;
@@ -36,9 +36,9 @@
 /// Why a file is refused whole.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{at}: {problem}")]
-pub struct Refusal {
+pub struct InventoryError {
     /// Where.
-    pub at: Place,
+    pub at: Position,
     /// What is wrong there.
     pub problem: Problem,
 }
@@ -58,29 +58,29 @@
     },
     /// Two things that must differ are the same.
     #[error("{what} '{value}' is here twice, first at {first}: expected it once")]
-    Twice {
+    Duplicate {
         /// What it is.
         what: &'static str,
         /// The value that both have.
         value: String,
         /// Where it stands first.
-        first: Place,
+        first: Position,
     },
     /// Two places say different things of one.
     #[error("{what}: expected {expected} as at {first}, found {found}")]
-    Clash {
+    Conflict {
         /// What they speak of.
         what: String,
         /// What is said first,
         expected: String,
         /// and where.
-        first: Place,
+        first: Position,
         /// What is said here.
         found: String,
     },
     /// An address of two nodes.
     #[error("address {address} of '{id}' is that of '{other}' at {first}: expected one node an address")]
-    SharedAddress {
+    DuplicateAddress {
         /// The address.
         address: String,
         /// The node here.
@@ -88,7 +88,7 @@
         /// The other node.
         other: String,
         /// Where that is.
-        first: Place,
+        first: Position,
     },
     /// Bytes that are no text in the encoding.
     #[error("byte offset {offset}: expected {expected}, found {found}{hint}")]
@@ -109,12 +109,12 @@
         found: String,
     },
     /// Too much of something.
-    #[error("expected at most {most} {what}, found {found}")]
-    TooMuch {
+    #[error("expected at most {max} {what}, found {found}")]
+    LimitExceeded {
         /// Of what.
         what: &'static str,
         /// The bound.
-        most: usize,
+        max: usize,
         /// What was found, exactly or at least.
         found: String,
     },
@@ -141,33 +141,33 @@
 }
 
 /// A place as a format keeps it while it reads: its meaning is the format's own, which turns it
-/// into a [`Place`] only when something is wrong there.
+/// into a [`Position`] only when something is wrong there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Spot(pub u32, pub u32);
+pub(crate) struct RawPosition(pub u32, pub u32);
 
 /// A refusal whose places are still spots.
 #[derive(Debug)]
 pub(crate) struct Fault {
-    pub at: Spot,
-    pub what: Wrong,
+    pub at: RawPosition,
+    pub what: FaultKind,
 }
 
 /// What is wrong, with the other place it speaks of, if there is one.
 #[derive(Debug)]
-pub(crate) enum Wrong {
+pub(crate) enum FaultKind {
     Plain(Problem),
-    Twice { what: &'static str, value: String, first: Spot },
-    Clash { what: String, expected: String, first: Spot, found: String },
-    SharedAddress { address: String, id: String, other: String, first: Spot },
+    Duplicate { what: &'static str, value: String, first: RawPosition },
+    Conflict { what: String, expected: String, first: RawPosition, found: String },
+    DuplicateAddress { address: String, id: String, other: String, first: RawPosition },
 }
 
 impl Fault {
-    pub fn new(at: Spot, problem: Problem) -> Self {
-        Self { at, what: Wrong::Plain(problem) }
+    pub fn new(at: RawPosition, problem: Problem) -> Self {
+        Self { at, what: FaultKind::Plain(problem) }
     }
 
     pub fn value(
-        at: Spot,
+        at: RawPosition,
         what: impl Into<String>,
         expected: impl Into<String>,
         found: impl Into<String>,
@@ -177,17 +177,19 @@
     }
 
     /// The refusal, with the format's way to tell places.
-    pub fn placed(self, place: impl Fn(Spot) -> Place) -> Refusal {
+    pub fn placed(self, place: impl Fn(RawPosition) -> Position) -> InventoryError {
         let problem = match self.what {
-            Wrong::Plain(problem) => problem,
-            Wrong::Twice { what, value, first } => Problem::Twice { what, value, first: place(first) },
-            Wrong::Clash { what, expected, first, found } => {
-                Problem::Clash { what, expected, first: place(first), found }
+            FaultKind::Plain(problem) => problem,
+            FaultKind::Duplicate { what, value, first } => {
+                Problem::Duplicate { what, value, first: place(first) }
             }
-            Wrong::SharedAddress { address, id, other, first } => {
-                Problem::SharedAddress { address, id, other, first: place(first) }
+            FaultKind::Conflict { what, expected, first, found } => {
+                Problem::Conflict { what, expected, first: place(first), found }
+            }
+            FaultKind::DuplicateAddress { address, id, other, first } => {
+                Problem::DuplicateAddress { address, id, other, first: place(first) }
             }
         };
-        Refusal { at: place(self.at), problem }
+        InventoryError { at: place(self.at), problem }
     }
 }
--- a/crates/inventory/src/fields.rs
+++ b/crates/inventory/src/fields.rs
@@ -2,7 +2,7 @@
 
 use crate::State;
 use crate::address::{self, Address};
-use crate::refusal::{Fault, Spot, shown};
+use crate::error::{Fault, RawPosition, shown};
 
 /// The longest id or zone, in bytes.
 const MOST_TEXT: usize = 253;
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Raw<'a> {
     pub text: &'a str,
-    pub at: Spot,
+    pub at: RawPosition,
 }
 
 impl Raw<'_> {
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Fields<'a> {
     /// Where the node is named, for what is missing.
-    pub at: Spot,
+    pub at: RawPosition,
     pub id: Option<Raw<'a>>,
     /// Host and perhaps port.
     pub address: Option<Raw<'a>>,
@@ -107,7 +107,7 @@
                 if let Some(host) = host.filter(|h| !h.text.trim().eq_ignore_ascii_case(text)) {
                     let what = "host".to_string();
                     let (expected, first, found) = (shown(text), address.at, shown(host.text));
-                    let what = crate::refusal::Wrong::Clash { what, expected, first, found };
+                    let what = crate::error::FaultKind::Conflict { what, expected, first, found };
                     return Err(Fault { at: host.at, what });
                 }
                 (Raw { text, at: address.at }, port.map(|text| Raw { text, at: address.at }))
@@ -126,7 +126,7 @@
         {
             let (what, found) = ("port".to_string(), shown(outer.text));
             let (expected, first) = (shown(inner.text), inner.at);
-            let what = crate::refusal::Wrong::Clash { what, expected, first, found };
+            let what = crate::error::FaultKind::Conflict { what, expected, first, found };
             return Err(Fault { at: outer.at, what });
         }
         ports = ports.or(self.port);
@@ -151,7 +151,7 @@
     use super::*;
 
     fn raw(text: &str) -> Raw<'_> {
-        Raw { text, at: Spot(1, 1) }
+        Raw { text, at: RawPosition(1, 1) }
     }
 
     #[test]
--- a/crates/inventory/src/formats/ansible/groups.rs
+++ b/crates/inventory/src/formats/ansible/groups.rs
@@ -4,14 +4,14 @@
 
 use super::range;
 use super::vars::Vars;
-use crate::refusal::{Fault, Spot, Wrong, shown};
+use crate::error::{Fault, FaultKind, RawPosition, shown};
 use crate::yaml::{Key, Node};
 use std::collections::HashMap;
 
 /// A group.
 pub(super) struct Group<'a> {
     pub name: &'a str,
-    at: Spot,
+    at: RawPosition,
     vars: Vars<'a>,
     children: Vec<usize>,
     parents: Vec<usize>,
@@ -22,10 +22,10 @@
 /// A host, wherever and however often it is named.
 pub(super) struct Host<'a> {
     pub name: String,
-    pub at: Spot,
+    pub at: RawPosition,
     pub vars: Vars<'a>,
     /// The port in its name, and where.
-    pub port: Option<(&'a str, Spot)>,
+    pub port: Option<(&'a str, RawPosition)>,
     groups: Vec<usize>,
 }
 
@@ -40,11 +40,11 @@
 
 impl<'a> Groups<'a> {
     /// Reads the groups of a document, `most` hosts at the most.
-    pub fn read(root: &'a Node, most: usize) -> Result<Self, Fault> {
+    pub fn read(root: &'a Node, max_hosts: usize) -> Result<Self, Fault> {
         let mut groups = Self::default();
         groups.group("all", root.at);
         for (key, node) in root.map("inventory")? {
-            groups.take(key, node, None, most)?;
+            groups.take(key, node, None, max_hosts)?;
         }
         // Groups that are nobody's children are those of `all`.
         for group in 1..groups.groups.len() {
@@ -56,7 +56,7 @@
         Ok(groups)
     }
 
-    fn group(&mut self, name: &'a str, at: Spot) -> usize {
+    fn group(&mut self, name: &'a str, at: RawPosition) -> usize {
         if let Some(&known) = self.by_name.get(name) {
             return known;
         }
@@ -80,7 +80,7 @@
         key: &'a Key,
         node: &'a Node,
         parent: Option<usize>,
-        most: usize,
+        max_hosts: usize,
     ) -> Result<(), Fault> {
         let name = key.scalar.certain(key.at, "group name")?;
         if name == "plugin" && parent.is_none() && node.scalar().is_some() {
@@ -93,7 +93,7 @@
         }
         for (part, node) in node.map("group")? {
             match part.scalar.text.as_str() {
-                "hosts" => self.take_hosts(group, node, most)?,
+                "hosts" => self.take_hosts(group, node, max_hosts)?,
                 "vars" => {
                     for (name, node) in node.map("vars")? {
                         self.groups[group].vars.set(name, node)?;
@@ -104,7 +104,7 @@
                 }
                 "children" => {
                     for (child, node) in node.map("children")? {
-                        self.take(child, node, Some(group), most)?;
+                        self.take(child, node, Some(group), max_hosts)?;
                     }
                 }
                 // Ansible passes these over with a warning, and the hosts in them are lost.
@@ -121,17 +121,21 @@
         Ok(())
     }
 
-    fn take_hosts(&mut self, group: usize, node: &'a Node, most: usize) -> Result<(), Fault> {
+    fn take_hosts(&mut self, group: usize, node: &'a Node, max_hosts: usize) -> Result<(), Fault> {
         for (key, vars) in node.map("hosts")? {
             let pattern = key.scalar.certain(key.at, "host name")?;
-            let expanded = range::expand(pattern, most);
+            let expanded = range::expand(pattern, max_hosts);
             let (names, port) =
                 expanded.map_err(|expected| Fault::value(key.at, "host name", expected, shown(pattern)))?;
             for name in names {
                 let host = match self.hosts_by_name.get(&name) {
                     Some(&known) => known,
-                    None if self.hosts.len() >= most => {
-                        let problem = crate::Problem::TooMuch { what: "nodes", most, found: "more".into() };
+                    None if self.hosts.len() >= max_hosts => {
+                        let problem = crate::Problem::LimitExceeded {
+                            what: "nodes",
+                            max: max_hosts,
+                            found: "more".into(),
+                        };
                         return Err(Fault::new(key.at, problem));
                     }
                     None => {
@@ -149,7 +153,7 @@
                             (format!("port of {}", host.name), shown(first), shown(port));
                         return Err(Fault {
                             at: key.at,
-                            what: Wrong::Clash { what, expected, first: at, found },
+                            what: FaultKind::Conflict { what, expected, first: at, found },
                         });
                     }
                     _ => host.port = host.port.or(port.map(|port| (port, key.at))),
--- a/crates/inventory/src/formats/ansible/mod.rs
+++ b/crates/inventory/src/formats/ansible/mod.rs
@@ -6,15 +6,15 @@
 
 use super::{value, weight};
 use crate::collect::Collector;
+use crate::error::{Fault, RawPosition, shown};
 use crate::fields::{Fields, Raw};
-use crate::refusal::{Fault, Spot, shown};
 use crate::yaml::Node;
-use crate::{Backend, Options, Place};
+use crate::{Backend, Options, Position};
 use groups::Groups;
 use std::collections::HashMap;
 
 pub(super) fn read(root: &Node, options: &Options) -> Result<(Vec<Backend>, Vec<String>), Fault> {
-    let groups = Groups::read(root, options.max_rows)?;
+    let groups = Groups::read(root, options.max_nodes)?;
     let wanted = options.group.as_deref().unwrap_or("all");
     let Some(within) = groups.within(wanted) else {
         let names: Vec<&str> = groups.names().take(8).collect();
@@ -43,6 +43,6 @@
             ..Fields::default()
         })?;
     }
-    let place = |spot: Spot| Place { line: spot.0, column: spot.1 };
+    let place = |spot: RawPosition| Position { line: spot.0, column: spot.1 };
     Ok((collector.finish(place, (root.at, "no host"))?, Vec::new()))
 }
--- a/crates/inventory/src/formats/ansible/range.rs
+++ b/crates/inventory/src/formats/ansible/range.rs
@@ -37,7 +37,7 @@
 }
 
 /// The host names of a pattern, at most `most` of them, and the port that it ends in, if any.
-pub(super) fn expand(text: &str, most: usize) -> Result<(Vec<String>, Option<&str>), Expected> {
+pub(super) fn expand(text: &str, max_hosts: usize) -> Result<(Vec<String>, Option<&str>), Expected> {
     let mut parts = Vec::new();
     let mut rest = text;
     let mut port = None;
@@ -62,7 +62,7 @@
             _ => range(&inner[..close])?,
         };
         total = total.saturating_mul(part.len());
-        if total > most {
+        if total > max_hosts {
             return Err("a range with no more hosts than an inventory may list");
         }
         parts.push(part);
--- a/crates/inventory/src/formats/ansible/vars.rs
+++ b/crates/inventory/src/formats/ansible/vars.rs
@@ -1,7 +1,7 @@
 //! The variables of an inventory that say something of a node. All others are passed over, as
 //! they may hold anything.
 
-use crate::refusal::{Fault, Wrong};
+use crate::error::{Fault, FaultKind};
 use crate::yaml::{Key, Node};
 
 /// Their names. Those of dewpier's own come before the general ones, which may be meant for
@@ -44,7 +44,7 @@
         {
             let what = format!("{} of {host}", NAMES[place]);
             let (expected, first, found) = (known.described(), known.at, node.described());
-            return Err(Fault { at: node.at, what: Wrong::Clash { what, expected, first, found } });
+            return Err(Fault { at: node.at, what: FaultKind::Conflict { what, expected, first, found } });
         }
         self.0[place] = Some(node);
         Ok(())
--- a/crates/inventory/src/formats/csv.rs
+++ b/crates/inventory/src/formats/csv.rs
@@ -1,11 +1,11 @@
 //! Tables as spreadsheets write them: RFC 4180, with commas, semicolons or tabs. The `csv` crate
 //! splits the rows; as it forgives lost quotes and bare carriage returns, these are looked for first.
 
-use super::Aside;
+use super::IgnoredFields;
 use crate::collect::Collector;
+use crate::error::{Fault, Problem, RawPosition, shown};
 use crate::fields::{Fields, Raw};
-use crate::refusal::{Fault, Problem, Spot, shown};
-use crate::{Backend, Options, Place, Refusal};
+use crate::{Backend, InventoryError, Options, Position};
 use ::csv::{ByteRecord, ReaderBuilder, StringRecord, Trim};
 
 const SEPARATORS: [u8; 3] = [b',', b';', b'\t'];
@@ -121,7 +121,7 @@
     }
 
     /// Where a value of a row begins: a spot is the row's offset and the value's number.
-    fn place(&self, spot: Spot) -> Place {
+    fn place(&self, spot: RawPosition) -> Position {
         let bytes = self.text.as_bytes();
         let mut at = spot.0 as usize;
         // The reader says where it began to look, which may be at empty lines.
@@ -139,35 +139,35 @@
             }
             at += 1;
         }
-        Place::of(self.text, at)
+        Position::of_offset(self.text, at)
     }
 
     fn columns(
         &self,
         header: &StringRecord,
-        spot: impl Fn(usize) -> Spot,
+        spot: impl Fn(usize) -> RawPosition,
     ) -> Result<(Columns, Vec<String>), Fault> {
-        let mut aside = Aside::default();
+        let mut ignored_fields = IgnoredFields::default();
         let mut found: [Option<(usize, usize)>; 8] = [None; 8];
         for (i, name) in header.iter().enumerate() {
             let Some((field, rank)) = role(name) else {
                 if !name.trim().is_empty() && !COMMENTS.contains(&plain(name).as_str()) {
-                    aside.add(name.trim());
+                    ignored_fields.add(name.trim());
                 }
                 continue;
             };
             match found[field] {
                 Some((first, known)) if known == rank => {
                     let (what, value) = ("column", name.trim().to_string());
-                    let what = crate::refusal::Wrong::Twice { what, value, first: spot(first) };
+                    let what = crate::error::FaultKind::Duplicate { what, value, first: spot(first) };
                     return Err(Fault { at: spot(i), what });
                 }
                 Some((other, known)) if known < rank => {
                     let _ = other; // the better name holds, and this one is passed over
-                    aside.add(name.trim());
+                    ignored_fields.add(name.trim());
                 }
                 Some((other, _)) => {
-                    aside.add(header.get(other).unwrap_or_default().trim());
+                    ignored_fields.add(header.get(other).unwrap_or_default().trim());
                     found[field] = Some((i, rank));
                 }
                 None => found[field] = Some((i, rank)),
@@ -179,23 +179,23 @@
                 "a column 'address', or 'host' and 'port', separated by commas, semicolons or tabs";
             return Err(Fault::value(spot(0), "header", expected, shown(&names.join(" | "))));
         }
-        Ok((Columns(found.map(|f| f.map(|(column, _)| column))), aside.0))
+        Ok((Columns(found.map(|f| f.map(|(column, _)| column))), ignored_fields.0))
     }
 }
 
-pub(super) fn read(text: &str, options: &Options) -> Result<(Vec<Backend>, Vec<String>), Refusal> {
+pub(super) fn read(text: &str, options: &Options) -> Result<(Vec<Backend>, Vec<String>), InventoryError> {
     let table = Table::new(text);
     if let Err((at, expected, found)) = table.check_quotes() {
         let problem = Problem::Syntax { expected: expected.into(), found: found.into() };
-        return Err(Refusal { at: Place::of(text, at), problem });
+        return Err(InventoryError { at: Position::of_offset(text, at), problem });
     }
     let mut start = 0;
     for end in memchr::memchr_iter(b'\n', text.as_bytes()).chain([text.len()]) {
         if end - start > MOST_LINE {
-            let (what, most, found) = ("bytes in a line", MOST_LINE, (end - start).to_string());
-            return Err(Refusal {
-                at: Place::of(text, start),
-                problem: Problem::TooMuch { what, most, found },
+            let (what, max, found) = ("bytes in a line", MOST_LINE, (end - start).to_string());
+            return Err(InventoryError {
+                at: Position::of_offset(text, start),
+                problem: Problem::LimitExceeded { what, max, found },
             });
         }
         start = end + 1;
@@ -215,32 +215,32 @@
         let at = table.start as u64 + record.position().map_or(0, |p| p.byte());
         u32::try_from(at).unwrap_or(u32::MAX)
     };
-    let syntax = |at: Spot, expected: &str, found: String| {
+    let syntax = |at: RawPosition, expected: &str, found: String| {
         Fault::new(at, Problem::Syntax { expected: expected.into(), found })
     };
     // Bytes, as all of the text is known to be UTF-8 and most of it is never looked at.
     let mut record = ByteRecord::new();
     let mut next = |record: &mut ByteRecord| {
         let more = reader.read_byte_record(record);
-        more.map_err(|error| syntax(Spot(0, 0), "CSV", error.to_string()))
+        more.map_err(|error| syntax(RawPosition(0, 0), "CSV", error.to_string()))
     };
     if !next(&mut record)? {
-        return Err(Fault::new(Spot(0, 0), Problem::Empty { found: "an empty file".into() }));
+        return Err(Fault::new(RawPosition(0, 0), Problem::Empty { found: "an empty file".into() }));
     }
     let width = record.len();
     if width > MOST_COLUMNS {
-        let (what, most, found) = ("columns", MOST_COLUMNS, width.to_string());
-        return Err(Fault::new(Spot(offset(&record), 0), Problem::TooMuch { what, most, found }));
+        let (what, max, found) = ("columns", MOST_COLUMNS, width.to_string());
+        return Err(Fault::new(RawPosition(offset(&record), 0), Problem::LimitExceeded { what, max, found }));
     }
     let header = offset(&record);
     let names = StringRecord::from_byte_record(record.clone());
-    let names = names.map_err(|error| syntax(Spot(header, 0), "text", error.to_string()))?;
-    let (columns, aside) = table.columns(&names, |i| Spot(header, i as u32))?;
+    let names = names.map_err(|error| syntax(RawPosition(header, 0), "text", error.to_string()))?;
+    let (columns, ignored_fields) = table.columns(&names, |i| RawPosition(header, i as u32))?;
     let mut collector = Collector::new(options);
     collector.reserve(memchr::memchr_iter(b'\n', body).count());
     while next(&mut record)? {
         let start = offset(&record);
-        let at = Spot(start, 0);
+        let at = RawPosition(start, 0);
         if record.len() != width {
             let found = format!("{} in this row", record.len());
             return Err(syntax(at, &format!("{width} values, as the header has"), found));
@@ -253,14 +253,14 @@
             let Some(column) = columns.0[i] else {
                 return Ok(None);
             };
-            let at = Spot(start, column as u32);
+            let at = RawPosition(start, column as u32);
             let text = record.get(column).map(std::str::from_utf8).transpose();
             let text = text.map_err(|error| syntax(at, "text", error.to_string()))?;
             Ok(text.filter(|text| !text.trim().is_empty()).map(|text| Raw { text, at }))
         };
         let id = field(0)?;
         if let (Some(column), None) = (columns.0[0], id) {
-            let at = Spot(start, column as u32);
+            let at = RawPosition(start, column as u32);
             return Err(Fault::value(at, "id", "a name, as the other rows have", "nothing"));
         }
         collector.add(&Fields {
@@ -277,15 +277,15 @@
         })?;
     }
     let mut lines = Lines { table, line: 1, at: 0 };
-    let mut places =
-        collector.finish(|spot| Place { line: spot.0, column: 1 }, (Spot(header, 0), "a header alone"))?;
+    let mut places = collector
+        .finish(|spot| Position { line: spot.0, column: 1 }, (RawPosition(header, 0), "a header alone"))?;
     // Rows are by id now; their lines are counted in one walk, in the order of the file.
     let mut order: Vec<usize> = (0..places.len()).collect();
     order.sort_unstable_by_key(|&i| places[i].at.line);
     for i in order {
         places[i].at.line = lines.line_of(places[i].at.line as usize);
     }
-    Ok((places, aside))
+    Ok((places, ignored_fields))
 }
 
 /// Counts lines up to ever later offsets.
--- a/crates/inventory/src/formats/file_sd.rs
+++ b/crates/inventory/src/formats/file_sd.rs
@@ -1,18 +1,18 @@
 //! Prometheus target groups: `targets`, each a host and a port, and `labels` that hold for all of
 //! a group. The id of a node is its target, or the label `id` of a group with one target.
 
-use super::{Aside, set, value};
+use super::{IgnoredFields, set, value};
 use crate::collect::Collector;
+use crate::error::{Fault, RawPosition};
 use crate::fields::Fields;
-use crate::refusal::{Fault, Spot};
 use crate::yaml::{Kind, Node};
-use crate::{Backend, Options, Place};
+use crate::{Backend, Options, Position};
 
 pub(super) fn read(root: &Node, options: &Options) -> Result<(Vec<Backend>, Vec<String>), Fault> {
     let Kind::List(groups) = &root.kind else {
         return Err(Fault::value(root.at, "inventory", "a list of target groups", root.described()));
     };
-    let mut aside = Aside::default();
+    let mut ignored_fields = IgnoredFields::default();
     let mut collector = Collector::new(options);
     for group in groups {
         let mut shared = Fields::default();
@@ -27,7 +27,7 @@
                         let known =
                             !matches!(name, "address" | "host" | "port") && set(&mut shared, name, node)?;
                         if !known {
-                            aside.add(name);
+                            ignored_fields.add(name);
                         }
                     }
                 }
@@ -36,7 +36,7 @@
                         key.at,
                         "target group",
                         "targets and labels",
-                        crate::refusal::shown(name),
+                        crate::error::shown(name),
                     ));
                 }
             }
@@ -57,6 +57,6 @@
             collector.add(&Fields { at: target.at, address, ..shared })?;
         }
     }
-    let place = |spot: Spot| Place { line: spot.0, column: spot.1 };
-    Ok((collector.finish(place, (root.at, "no target"))?, aside.0))
+    let place = |spot: RawPosition| Position { line: spot.0, column: spot.1 };
+    Ok((collector.finish(place, (root.at, "no target"))?, ignored_fields.0))
 }
--- a/crates/inventory/src/formats/list.rs
+++ b/crates/inventory/src/formats/list.rs
@@ -1,11 +1,11 @@
 //! A plain list of nodes: mappings with the fields of a node, or addresses.
 
-use super::{Aside, set, value};
+use super::{IgnoredFields, set, value};
 use crate::collect::Collector;
+use crate::error::{Fault, RawPosition};
 use crate::fields::Fields;
-use crate::refusal::{Fault, Spot};
 use crate::yaml::{Kind, Node};
-use crate::{Backend, Options, Place};
+use crate::{Backend, Options, Position};
 use std::rc::Rc;
 
 /// The names under which a list may stand.
@@ -18,11 +18,11 @@
 }
 
 pub(super) fn read(root: &Node, options: &Options) -> Result<(Vec<Backend>, Vec<String>), Fault> {
-    let mut aside = Aside::default();
+    let mut ignored_fields = IgnoredFields::default();
     let list = match &root.kind {
         Kind::Map(entries) => {
             for (key, _) in entries.iter().filter(|(key, _)| !NAMES.contains(&key.scalar.text.as_str())) {
-                aside.add(&key.scalar.text);
+                ignored_fields.add(&key.scalar.text);
             }
             under(root).map(|node| &**node)
         }
@@ -45,7 +45,7 @@
                         name => name,
                     };
                     if !set(&mut fields, name, node)? {
-                        aside.add(name);
+                        ignored_fields.add(name);
                     }
                 }
             }
@@ -54,6 +54,6 @@
         }
         collector.add(&fields)?;
     }
-    let place = |spot: Spot| Place { line: spot.0, column: spot.1 };
-    Ok((collector.finish(place, (root.at, "an empty list"))?, aside.0))
+    let place = |spot: RawPosition| Position { line: spot.0, column: spot.1 };
+    Ok((collector.finish(place, (root.at, "an empty list"))?, ignored_fields.0))
 }
--- a/crates/inventory/src/formats/mod.rs
+++ b/crates/inventory/src/formats/mod.rs
@@ -5,10 +5,10 @@
 mod file_sd;
 mod list;
 
+use crate::error::{Fault, Problem, RawPosition};
 use crate::fields::{Fields, Raw};
-use crate::refusal::{Fault, Problem, Spot};
 use crate::yaml::{self, Node};
-use crate::{Inventory, Options, Place, Refusal, encoding};
+use crate::{Inventory, InventoryError, Options, Position, encoding};
 use std::fmt;
 use std::str::FromStr;
 
@@ -60,14 +60,14 @@
 /// Reads a file whole, or says why not. One that is over its bound need not be given whole: a byte
 /// more than may be is enough. `name` is the file's name, whose ending tells CSV from
 /// YAML where the options don't.
-pub fn read(bytes: &[u8], name: &str, options: &Options) -> Result<Inventory, Refusal> {
+pub fn read(bytes: &[u8], name: &str, options: &Options) -> Result<Inventory, InventoryError> {
     if bytes.len() > options.max_bytes {
-        let (what, most, found) = ("bytes", options.max_bytes, format!("{} or more", bytes.len()));
-        return Err(Refusal { at: START, problem: Problem::TooMuch { what, most, found } });
+        let (what, max, found) = ("bytes", options.max_bytes, format!("{} or more", bytes.len()));
+        return Err(InventoryError { at: START, problem: Problem::LimitExceeded { what, max, found } });
     }
     let (text, encoding) = encoding::decode(bytes, options.encoding)?;
-    let ended = text.is_empty() || text.ends_with('\n');
-    let end = Place::of(&text, text.len());
+    let has_complete_end = text.is_empty() || text.ends_with('\n');
+    let end = Position::of_offset(&text, text.len());
     let tabular = match options.format {
         Some(format) => format == Format::Csv,
         None => looks_tabular(name, &text),
@@ -80,32 +80,39 @@
         _ => Ok(()),
     };
     if tabular {
-        only_ansible(Format::Csv).map_err(|problem| Refusal { at: START, problem })?;
-        let (backends, aside) = csv::read(&text, options)?;
-        return Ok(Inventory { format: Format::Csv, encoding, backends, ended, end, aside });
+        only_ansible(Format::Csv).map_err(|problem| InventoryError { at: START, problem })?;
+        let (backends, ignored_fields) = csv::read(&text, options)?;
+        return Ok(Inventory {
+            format: Format::Csv,
+            encoding,
+            backends,
+            has_complete_end,
+            end,
+            ignored_fields,
+        });
     }
-    let most = options.max_rows.saturating_mul(VALUES_PER_ROW);
-    let place = |spot: Spot| Place { line: spot.0, column: spot.1 };
-    let parsed = yaml::parse(&text, most).and_then(|root| {
+    let max_values = options.max_nodes.saturating_mul(VALUES_PER_ROW);
+    let place = |spot: RawPosition| Position { line: spot.0, column: spot.1 };
+    let parsed = yaml::parse(&text, max_values).and_then(|root| {
         let Some(root) = root.filter(|root| !root.is_null()) else {
-            return Err(Fault::new(Spot(1, 1), Problem::Empty { found: "an empty document".into() }));
+            return Err(Fault::new(RawPosition(1, 1), Problem::Empty { found: "an empty document".into() }));
         };
         let format = options.format.unwrap_or_else(|| shape(&root));
-        only_ansible(format).map_err(|problem| Fault::new(Spot(1, 1), problem))?;
-        let (backends, aside) = match format {
+        only_ansible(format).map_err(|problem| Fault::new(RawPosition(1, 1), problem))?;
+        let (backends, ignored_fields) = match format {
             Format::Ansible => ansible::read(&root, options)?,
             Format::FileSd => file_sd::read(&root, options)?,
             Format::List | Format::Csv => list::read(&root, options)?,
         };
-        Ok((format, backends, aside))
+        Ok((format, backends, ignored_fields))
     });
-    let (format, backends, aside) = parsed.map_err(|fault| fault.placed(place))?;
+    let (format, backends, ignored_fields) = parsed.map_err(|fault| fault.placed(place))?;
     // A closed bracket around all of it shows the end as well as the end of a line does.
-    let ended = ended || text.starts_with(['[', '{']) && text.ends_with([']', '}']);
-    Ok(Inventory { format, encoding, backends, ended, end, aside })
+    let has_complete_end = has_complete_end || text.starts_with(['[', '{']) && text.ends_with([']', '}']);
+    Ok(Inventory { format, encoding, backends, has_complete_end, end, ignored_fields })
 }
 
-const START: Place = Place { line: 1, column: 1 };
+const START: Position = Position { line: 1, column: 1 };
 
 fn looks_tabular(name: &str, text: &str) -> bool {
     let ending = name.rsplit('.').next().unwrap_or_default().to_ascii_lowercase();
@@ -164,14 +171,14 @@
 
 /// Names that were passed over, each once, in the order in which they came.
 #[derive(Default)]
-struct Aside(Vec<String>);
+struct IgnoredFields(Vec<String>);
 
 /// So many of them are told of.
-const MOST_ASIDE: usize = 64;
+const MAX_IGNORED_FIELDS: usize = 64;
 
-impl Aside {
+impl IgnoredFields {
     fn add(&mut self, name: &str) {
-        if self.0.len() < MOST_ASIDE && !self.0.iter().any(|known| known == name) {
+        if self.0.len() < MAX_IGNORED_FIELDS && !self.0.iter().any(|known| known == name) {
             self.0.push(name.to_string());
         }
     }
--- a/crates/inventory/src/io/file.rs
+++ b/crates/inventory/src/io/file.rs
@@ -1,7 +1,7 @@
 //! Reading a file that others may be writing.
 
-use crate::reload::Stamp;
-use crate::{Inventory, Options, Refusal};
+use crate::reload::FileStamp;
+use crate::{Inventory, InventoryError, Options};
 use std::fs::{self, File, Metadata};
 use std::io::{self, Read};
 use std::os::unix::fs::MetadataExt;
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 /// What is put behind a file's name for that of the operator's confirmation.
-pub const CONFIRMATION: &str = ".confirm";
+pub const CONFIRMATION_SUFFIX: &str = ".confirm";
 /// The largest confirmation that is read.
 const MOST_CONFIRMATION: u64 = 4096;
 
@@ -26,11 +26,11 @@
     },
     /// It can't be used.
     #[error("{path}:{refusal}")]
-    Refused {
+    Invalid {
         /// The file.
         path: String,
         /// Where and why.
-        refusal: Refusal,
+        refusal: InventoryError,
     },
 }
 
@@ -39,7 +39,7 @@
     let shown = path.display().to_string();
     let bytes =
         bytes(path, options.max_bytes).map_err(|error| ReadError::Io { path: shown.clone(), error })?;
-    crate::read(&bytes, &shown, options).map_err(|refusal| ReadError::Refused { path: shown, refusal })
+    crate::read(&bytes, &shown, options).map_err(|refusal| ReadError::Invalid { path: shown, refusal })
 }
 
 /// All bytes of a file, or one more than may be: it is refused for it then.
@@ -56,7 +56,7 @@
 /// Where the confirmation of a file stands.
 pub(super) fn confirmation(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
-    name.push(CONFIRMATION);
+    name.push(CONFIRMATION_SUFFIX);
     name.into()
 }
 
@@ -68,16 +68,16 @@
 }
 
 /// What stands at a path; links are followed.
-pub(super) fn stamp(path: &Path) -> Option<Stamp> {
+pub(super) fn stamp(path: &Path) -> Option<FileStamp> {
     let nanos = |seconds: i64, nanos: i64| i128::from(seconds) * 1_000_000_000 + i128::from(nanos);
     let modified = |m: &Metadata| nanos(m.mtime(), m.mtime_nsec());
     let m = fs::metadata(path).ok()?;
     let beside = fs::metadata(confirmation(path)).ok();
-    Some(Stamp {
-        file: (m.dev(), m.ino()),
-        size: m.size(),
-        modified: modified(&m),
-        changed: nanos(m.ctime(), m.ctime_nsec()),
+    Some(FileStamp {
+        device_and_inode: (m.dev(), m.ino()),
+        size_bytes: m.size(),
+        modified_nanos: modified(&m),
+        status_changed_nanos: nanos(m.ctime(), m.ctime_nsec()),
         confirmation: beside.map(|b| (b.ino(), modified(&b))),
     })
 }
--- a/crates/inventory/src/io/mod.rs
+++ b/crates/inventory/src/io/mod.rs
@@ -3,5 +3,5 @@
 mod file;
 mod watch;
 
-pub use file::{CONFIRMATION, ReadError, read_file};
-pub use watch::{Source, Update, confirm};
+pub use file::{CONFIRMATION_SUFFIX, ReadError, read_file};
+pub use watch::{InventoryWatcher, Update, confirm};
--- a/crates/inventory/src/io/watch.rs
+++ b/crates/inventory/src/io/watch.rs
@@ -2,7 +2,7 @@
 //! holds up what is being served.
 
 use super::file::{self, bytes, confirmed, stamp};
-use crate::reload::{Input, Output, Rejection, Reload, Rules};
+use crate::reload::{Input, Output, Rejection, ReloadRules, Reloader};
 use crate::{Inventory, Options};
 use notify::{RecursiveMode, Watcher};
 use std::path::{Path, PathBuf};
@@ -22,7 +22,7 @@
     /// Something that an operator should know, in one line.
     Notice(String),
     /// A look that was asked for and began then found nothing that was not told before.
-    Looked(Instant),
+    Checked(Instant),
 }
 
 /// What the thread is told.
@@ -34,7 +34,7 @@
 
 /// A file that is watched until this is dropped.
 #[derive(Debug)]
-pub struct Source {
+pub struct InventoryWatcher {
     words: SyncSender<Word>,
     stopped: Arc<AtomicBool>,
 }
@@ -43,7 +43,7 @@
 /// that follow, so that those beyond it are dropped.
 const MOST_WORDS: usize = 4;
 
-impl Source {
+impl InventoryWatcher {
     /// Watches `path`. It is looked at whenever the system tells of a change, and every `poll` in
     /// any case, as some file systems never tell. `update` is called from the thread, first with
     /// the list or the reason why there is none. Where it says that a list can't be used, the one
@@ -51,13 +51,13 @@
     pub fn start(
         path: &Path,
         options: Options,
-        rules: Rules,
+        rules: ReloadRules,
         poll: Duration,
         mut update: impl FnMut(Update) -> Result<(), String> + Send + 'static,
     ) -> std::io::Result<Self> {
         let (words, heard) = sync_channel(MOST_WORDS);
         let stopped = Arc::new(AtomicBool::new(false));
-        let ended = stopped.clone();
+        let stop_flag = stopped.clone();
         let (path, from_system) = (path.to_path_buf(), words.clone());
         std::thread::Builder::new().name("inventory".into()).spawn(move || {
             let touched = move || match from_system.try_send(Word::Touched) {
@@ -67,22 +67,22 @@
             let _watcher = watch(&path, touched, &mut update);
             let name = path.display().to_string();
             let mut shell =
-                Shell { reload: Reload::new(&name, options, rules), path, name, start: Instant::now() };
-            let mut next = shell.run(Input::AtOnce, &mut update);
+                Shell { reload: Reloader::new(&name, options, rules), path, name, start: Instant::now() };
+            let mut next = shell.run(Input::ReadRequested, &mut update);
             loop {
                 let wait = next.map_or(poll, |at| at.saturating_sub(shell.start.elapsed()).min(poll));
                 let heard = heard.recv_timeout(wait);
-                if ended.load(Ordering::Relaxed) {
+                if stop_flag.load(Ordering::Relaxed) {
                     return;
                 }
                 next = match heard {
-                    Ok(Word::Touched) => shell.run(Input::Touched, &mut update),
-                    Ok(Word::AtOnce) => shell.run(Input::AtOnce, &mut update),
+                    Ok(Word::Touched) => shell.run(Input::ChangeReported, &mut update),
+                    Ok(Word::AtOnce) => shell.run(Input::ReadRequested, &mut update),
                     Ok(Word::Look) => shell.look(&mut update),
                     Err(RecvTimeoutError::Disconnected) => return,
                     Err(RecvTimeoutError::Timeout) => {
                         let seen = stamp(&shell.path);
-                        shell.run(Input::Looked(seen), &mut update)
+                        shell.run(Input::Checked(seen), &mut update)
                     }
                 };
             }
@@ -97,15 +97,15 @@
     }
 }
 
-impl Source {
-    /// Has the file looked at now. [`Update::Looked`] follows where it is as it was judged last, and else
+impl InventoryWatcher {
+    /// Has the file looked at now. [`Update::Checked`] follows where it is as it was judged last, and else
     /// what comes of it once it has settled.
-    pub fn look(&self) {
+    pub fn request_check(&self) {
         let _ = self.words.try_send(Word::Look); // one that waits is as good
     }
 }
 
-impl Drop for Source {
+impl Drop for InventoryWatcher {
     fn drop(&mut self) {
         // The thread is not waited for: it may be held up by a file system that does not answer.
         self.stopped.store(true, Ordering::Relaxed);
@@ -158,7 +158,7 @@
 }
 
 struct Shell {
-    reload: Reload,
+    reload: Reloader,
     path: PathBuf,
     name: String,
     start: Instant,
@@ -177,31 +177,36 @@
         self.reload.handle(self.start.elapsed(), input, &mut outputs);
         while let Some(output) = outputs.pop() {
             match output {
-                Output::LookAt(at) if at <= self.start.elapsed() => {
+                Output::CheckAt(at) if at <= self.start.elapsed() => {
                     let seen = stamp(&self.path);
-                    self.reload.handle(self.start.elapsed(), Input::Looked(seen), &mut outputs);
+                    self.reload.handle(self.start.elapsed(), Input::Checked(seen), &mut outputs);
                 }
-                Output::LookAt(at) => next = Some(next.map_or(at, |next: Duration| next.min(at))),
-                Output::Read => {
-                    let before = stamp(&self.path);
+                Output::CheckAt(at) => next = Some(next.map_or(at, |next: Duration| next.min(at))),
+                Output::ReadFile => {
+                    let stamp_before = stamp(&self.path);
                     let read = bytes(&self.path, self.reload.max_bytes()).map_err(|error| error.to_string());
-                    let said = confirmed(&self.path);
-                    let after = stamp(&self.path);
+                    let confirmation = confirmed(&self.path);
+                    let stamp_after = stamp(&self.path);
                     let bytes = match &read {
                         Ok(bytes) => Ok(bytes.as_slice()),
                         Err(error) => Err(error.clone()),
                     };
-                    let input = Input::Read { before, after, bytes, confirmed: said.as_deref() };
+                    let input = Input::ReadCompleted {
+                        stamp_before,
+                        stamp_after,
+                        bytes,
+                        confirmation: confirmation.as_deref(),
+                    };
                     self.reload.handle(self.start.elapsed(), input, &mut outputs);
                 }
                 Output::Accepted(list) => {
                     if let Err(why) = update(Update::Accepted(list)) {
-                        self.reload.handle(self.start.elapsed(), Input::Unusable, &mut outputs);
+                        self.reload.handle(self.start.elapsed(), Input::ListUnusable, &mut outputs);
                         tell(update, Update::Rejected(format!("{}:{why}", self.name)));
                     }
                 }
                 Output::Rejected(rejection) => tell(update, Update::Rejected(self.told(&rejection))),
-                Output::Restless => {
+                Output::KeepsChanging => {
                     let text =
                         format!("{}: it changes all the time, and is read once it stands still", self.name);
                     tell(update, Update::Notice(text));
@@ -214,9 +219,9 @@
     fn look(&mut self, update: &mut impl FnMut(Update) -> Result<(), String>) -> Option<Duration> {
         let began = Instant::now();
         let seen = stamp(&self.path);
-        let next = self.run(Input::Looked(seen), update);
-        if self.reload.judged(seen) {
-            tell(update, Update::Looked(began));
+        let next = self.run(Input::Checked(seen), update);
+        if self.reload.has_evaluated(seen) {
+            tell(update, Update::Checked(began));
         }
         next
     }
@@ -224,15 +229,17 @@
     fn told(&self, rejection: &Rejection) -> String {
         match rejection {
             // Places follow the name without a space, as editors know them.
-            Rejection::Refused(_) | Rejection::CutOff { .. } => format!("{}:{rejection}", self.name),
-            Rejection::Unreadable(_) | Rejection::Vanished { .. } => format!("{}: {rejection}", self.name),
+            Rejection::Invalid(_) | Rejection::Truncated { .. } => format!("{}:{rejection}", self.name),
+            Rejection::Unreadable(_) | Rejection::TooManyMissing { .. } => {
+                format!("{}: {rejection}", self.name)
+            }
         }
     }
 }
 
 /// Confirms the text that a file has now, by a file beside it. Returns that file.
 pub fn confirm(path: &Path, most: usize) -> std::io::Result<PathBuf> {
-    let text = format!("{}  {}\n", crate::reload::digest(&bytes(path, most)?), path.display());
+    let text = format!("{}  {}\n", crate::reload::sha256_hex(&bytes(path, most)?), path.display());
     let beside = file::confirmation(path);
     // By rename, lest half of it is read.
     let mut new = beside.clone().into_os_string();
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -1,6 +1,6 @@
 //! Inventories: lists of backends as spreadsheets and configuration tools keep them.
 //!
-//! [`read`] turns the bytes of a file into a checked [`Inventory`], or into one [`Refusal`] that
+//! [`read`] turns the bytes of a file into a checked [`Inventory`], or into one [`InventoryError`] that
 //! says where, what was expected and what was found. It does no I/O and keeps nothing between
 //! calls: the same bytes and [`Options`] give the same result. A file is taken whole or not at all.
 //! [`reload`] decides when a file that changes is read and what of it is taken, without I/O too;
@@ -9,7 +9,7 @@
 //! Four forms are read: CSV (RFC 4180), Ansible's YAML inventories, Prometheus' `file_sd` target
 //! groups, and a plain YAML list of nodes. JSON is read as the YAML that it is.
 //!
-//! Bounds: a file holds at most [`Options::max_bytes`] bytes and [`Options::max_rows`] nodes, YAML
+//! Bounds: a file holds at most [`Options::max_bytes`] bytes and [`Options::max_nodes`] nodes, YAML
 //! is nested at most 64 deep and expands to at most 16 values a permitted node, aliases included, and a
 //! line of CSV holds at most 64 KiB;
 //! what goes beyond is refused. Reading CSV takes about 250 bytes a node beside the text, Ansible's
@@ -20,17 +20,17 @@
 mod address;
 mod collect;
 mod encoding;
+mod error;
 mod fields;
 mod formats;
 pub mod io;
-mod refusal;
 pub mod reload;
 mod yaml;
 
 pub use address::{Address, Host};
 pub use encoding::Encoding;
+pub use error::{InventoryError, Position, Problem};
 pub use formats::{Format, read};
-pub use refusal::{Place, Problem, Refusal};
 
 use std::sync::Arc;
 
@@ -49,7 +49,7 @@
     /// The most bytes that a file may hold.
     pub max_bytes: usize,
     /// The most nodes that it may list.
-    pub max_rows: usize,
+    pub max_nodes: usize,
 }
 
 impl Default for Options {
@@ -60,7 +60,7 @@
             group: None,
             default_port: None,
             max_bytes: 16 << 20,
-            max_rows: 100_000,
+            max_nodes: 100_000,
         }
     }
 }
@@ -76,11 +76,11 @@
     pub backends: Vec<Backend>,
     /// The text shows its own end: its last line is complete, or it is one closed bracket. A file
     /// cut off in the middle of its last line has no such end.
-    pub ended: bool,
+    pub has_complete_end: bool,
     /// Where it ends.
-    pub end: Place,
+    pub end: Position,
     /// Columns or keys that mean nothing here and were passed over.
-    pub aside: Vec<String>,
+    pub ignored_fields: Vec<String>,
 }
 
 /// One node.
@@ -100,7 +100,7 @@
     /// Whether it takes requests.
     pub state: State,
     /// Where the file names it.
-    pub at: Place,
+    pub at: Position,
 }
 
 /// Whether a node takes requests.
--- a/crates/inventory/src/yaml.rs
+++ b/crates/inventory/src/yaml.rs
@@ -1,7 +1,7 @@
 //! YAML as a tree that remembers where each value stands and how it was written. The scanner is
 //! saphyr-parser's; what is a duplicate, an alias bomb or a doubtful word is decided here.
 
-use crate::refusal::{Fault, Problem, Spot, Wrong, shown};
+use crate::error::{Fault, FaultKind, Problem, RawPosition, shown};
 use saphyr_parser::{Event, Parser, ScalarStyle, ScanError, Span, Tag};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 /// A value.
 #[derive(Debug)]
 pub(crate) struct Node {
-    pub at: Spot,
+    pub at: RawPosition,
     pub kind: Kind,
     /// Values in it, itself and those of aliases included.
     size: usize,
@@ -28,7 +28,7 @@
 /// A key of a mapping.
 #[derive(Clone, Debug)]
 pub(crate) struct Key {
-    pub at: Spot,
+    pub at: RawPosition,
     pub scalar: Scalar,
 }
 
@@ -48,7 +48,7 @@
     }
 
     /// The text, if every reader of YAML, of whichever version, takes it for that text.
-    pub fn certain(&self, at: Spot, what: &str) -> Result<&str, Fault> {
+    pub fn certain(&self, at: RawPosition, what: &str) -> Result<&str, Fault> {
         if let Some(tag) = &self.tag {
             return Err(Fault::value(at, what, "a plain value", format!("the tag {tag}")));
         }
@@ -183,13 +183,13 @@
 /// What is being read.
 enum Open {
     List {
-        at: Spot,
+        at: RawPosition,
         anchor: usize,
         size: usize,
         items: Vec<Rc<Node>>,
     },
     Map {
-        at: Spot,
+        at: RawPosition,
         anchor: usize,
         size: usize,
         entries: Vec<(Key, Rc<Node>)>,
@@ -199,8 +199,9 @@
 }
 
 /// Reads the one document of a text. `most` values at the most, those of aliases included.
-pub(crate) fn parse(text: &str, most: usize) -> Result<Option<Rc<Node>>, Fault> {
-    let mut reader = Reader { open: Vec::new(), anchors: HashMap::new(), root: None, most, documents: 0 };
+pub(crate) fn parse(text: &str, max_values: usize) -> Result<Option<Rc<Node>>, Fault> {
+    let mut reader =
+        Reader { open: Vec::new(), anchors: HashMap::new(), root: None, max_values, documents: 0 };
     for event in Parser::new_from_str(text) {
         let (event, span) = event.map_err(|error| broken(&error))?;
         reader.event(event, spot(&span))?;
@@ -212,12 +213,12 @@
     u32::try_from(n).unwrap_or(u32::MAX)
 }
 
-fn spot(span: &Span) -> Spot {
-    Spot(number(span.start.line()), number(span.start.col() + 1))
+fn spot(span: &Span) -> RawPosition {
+    RawPosition(number(span.start.line()), number(span.start.col() + 1))
 }
 
 fn broken(error: &ScanError) -> Fault {
-    let at = Spot(number(error.marker().line()), number(error.marker().col() + 1));
+    let at = RawPosition(number(error.marker().line()), number(error.marker().col() + 1));
     Fault::new(at, Problem::Syntax { expected: "YAML".into(), found: format!("an error: {}", error.info()) })
 }
 
@@ -226,12 +227,12 @@
     /// Finished values with an anchor.
     anchors: HashMap<usize, Rc<Node>>,
     root: Option<Rc<Node>>,
-    most: usize,
+    max_values: usize,
     documents: usize,
 }
 
 impl Reader {
-    fn event(&mut self, event: Event<'_>, at: Spot) -> Result<(), Fault> {
+    fn event(&mut self, event: Event<'_>, at: RawPosition) -> Result<(), Fault> {
         match event {
             Event::DocumentStart(_) => {
                 self.documents += 1;
@@ -266,9 +267,9 @@
         }
     }
 
-    fn nest(&mut self, open: Open, at: Spot) -> Result<(), Fault> {
+    fn nest(&mut self, open: Open, at: RawPosition) -> Result<(), Fault> {
         if self.open.len() >= MOST_DEPTH {
-            let problem = Problem::TooMuch { what: "levels", most: MOST_DEPTH, found: "more".into() };
+            let problem = Problem::LimitExceeded { what: "levels", max: MOST_DEPTH, found: "more".into() };
             return Err(Fault::new(at, problem));
         }
         self.open.push(open);
@@ -304,7 +305,7 @@
     }
 
     /// Puts a value where it belongs: counted, so that aliases of aliases can't grow without end.
-    fn put(&mut self, node: Rc<Node>, at: Spot) -> Result<(), Fault> {
+    fn put(&mut self, node: Rc<Node>, at: RawPosition) -> Result<(), Fault> {
         let added = node.size;
         let grown = match self.open.last_mut() {
             None => {
@@ -334,15 +335,18 @@
                 grown
             }
         };
-        if grown > self.most {
-            let (what, most) = ("values, those of aliases included", self.most);
-            return Err(Fault::new(at, Problem::TooMuch { what, most, found: format!("{grown} or more") }));
+        if grown > self.max_values {
+            let (what, max) = ("values, those of aliases included", self.max_values);
+            return Err(Fault::new(
+                at,
+                Problem::LimitExceeded { what, max, found: format!("{grown} or more") },
+            ));
         }
         Ok(())
     }
 }
 
-fn merge(merged: &mut Vec<Rc<Node>>, node: &Rc<Node>, at: Spot) -> Result<(), Fault> {
+fn merge(merged: &mut Vec<Rc<Node>>, node: &Rc<Node>, at: RawPosition) -> Result<(), Fault> {
     let bad = |node: &Node| Fault::value(at, "<<", "a mapping or a list of mappings", node.described());
     match &node.kind {
         Kind::Map(_) => merged.push(node.clone()),
@@ -371,11 +375,11 @@
 
 /// Refuses a key that a mapping has twice: readers differ in which of the two they keep.
 fn once_each(entries: &[(Key, Rc<Node>)]) -> Result<(), Fault> {
-    let mut seen: HashMap<&str, Spot> = HashMap::with_capacity(entries.len());
+    let mut seen: HashMap<&str, RawPosition> = HashMap::with_capacity(entries.len());
     for (key, _) in entries {
         if let Some(first) = seen.insert(&key.scalar.text, key.at) {
             let (what, value) = ("key", key.scalar.text.clone());
-            return Err(Fault { at: key.at, what: Wrong::Twice { what, value, first } });
+            return Err(Fault { at: key.at, what: FaultKind::Duplicate { what, value, first } });
         }
     }
     Ok(())
@@ -456,7 +460,7 @@
             text += &format!("a{level}: &a{level} [{}]\n", vec![before; 10].join(", "));
         }
         let fault = parse(&text, 100_000).unwrap_err();
-        assert!(matches!(fault.what, Wrong::Plain(Problem::TooMuch { .. })), "{fault:?}");
+        assert!(matches!(fault.what, FaultKind::Plain(Problem::LimitExceeded { .. })), "{fault:?}");
         assert!(parse("a: &a {b: *a}\n", 100).is_err(), "an alias of itself");
         assert!(parse(&"[".repeat(100), 1000).is_err());
     }
--- a/crates/inventory/tests/common/mod.rs
+++ b/crates/inventory/tests/common/mod.rs
@@ -198,7 +198,10 @@
 }
 
 /// Reads a text, as UTF-8.
-pub fn read(name: &str, text: &str) -> Result<dewpier_inventory::Inventory, dewpier_inventory::Refusal> {
+pub fn read(
+    name: &str,
+    text: &str,
+) -> Result<dewpier_inventory::Inventory, dewpier_inventory::InventoryError> {
     dewpier_inventory::read(text.as_bytes(), name, &Options::default())
 }
 
--- a/crates/inventory/tests/memory.rs
+++ b/crates/inventory/tests/memory.rs
@@ -4,7 +4,7 @@
 #[path = "common/counting.rs"]
 mod counting;
 
-use counting::{Counting, MOST, NOW};
+use counting::{CountingAllocator, IN_USE_BYTES, PEAK_BYTES};
 use dewpier_inventory::Options;
 use std::sync::atomic::Ordering;
 
@@ -12,22 +12,22 @@
 const VALUES: usize = 16;
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 /// The most that reading it took, in bytes, and whether it was read.
 fn peak(name: &str, text: &str, options: &Options) -> (usize, bool) {
-    let before = NOW.load(Ordering::Relaxed);
-    MOST.store(before, Ordering::Relaxed);
+    let before = IN_USE_BYTES.load(Ordering::Relaxed);
+    PEAK_BYTES.store(before, Ordering::Relaxed);
     let read = dewpier_inventory::read(text.as_bytes(), name, options);
     let (why, read) = (read.as_ref().err().map(|r| r.to_string()), read.is_ok());
     println!("{why:?}");
-    (MOST.load(Ordering::Relaxed) - before, read)
+    (PEAK_BYTES.load(Ordering::Relaxed) - before, read)
 }
 
 // One test, as the counts are the process's.
 #[test]
 fn memory_is_bounded_by_the_file_and_the_nodes_that_may_be() {
-    let options = Options { max_rows: 10_000, ..Options::default() };
+    let options = Options { max_nodes: 10_000, ..Options::default() };
     let bomb: String = (0..40)
         .map(|i| match i {
             0 => "a0: &a0 [x, x, x, x, x, x, x, x]\n".to_string(),
@@ -63,7 +63,7 @@
     for (name, text) in cases {
         let (peak, read) = peak(name, &text, &options);
         // The nodes of YAML take the most.
-        let nodes = if name.ends_with("csv") { 250 } else { 300 * VALUES } * options.max_rows;
+        let nodes = if name.ends_with("csv") { 250 } else { 300 * VALUES } * options.max_nodes;
         let bound = 4 * text.len() + nodes;
         let start: String = text.chars().take(40).collect();
         println!("{:>9} bytes: {:>9} at most: {start:?}", text.len(), peak);
--- a/crates/inventory/tests/refused.rs
+++ b/crates/inventory/tests/refused.rs
@@ -92,7 +92,7 @@
     refused("n.csv", "id,address,\"x\"\ra,10.0.0.1:80,\r", "1:15", &["closing quote"]);
     refused("n.csv", "id,address\na,10.0.0.1:80\nb\0,10.0.0.2:80\n", "3:2", &["byte offset 26", "NUL"]);
     refused("n.csv", "id,address\n\"a\nb\",10.0.0.1:80\n", "2:1", &["control"]);
-    let many = Options { max_rows: 2, ..Options::default() };
+    let many = Options { max_nodes: 2, ..Options::default() };
     let text = "id,address\na,10.0.0.1:80\nb,10.0.0.2:80\nc,10.0.0.3:80\n";
     let told = dewpier_inventory::read(text.as_bytes(), "n.csv", &many).unwrap_err().to_string();
     assert_eq!(told, "4:1: expected at most 2 nodes, found more");
@@ -119,12 +119,12 @@
         ]
     );
     assert_eq!(read.backends.iter().map(|b| b.at.line).collect::<Vec<_>>(), [2, 6]);
-    assert!(read.ended && read.aside.is_empty());
+    assert!(read.has_complete_end && read.ignored_fields.is_empty());
     let with_sep = "sep=;\nid;address;wieght\na;10.0.0.1:80;3\n";
     let read = common::read("nodes.csv", with_sep).unwrap();
-    assert_eq!(read.aside, ["wieght"]);
+    assert_eq!(read.ignored_fields, ["wieght"]);
     // Without a final line end it may be cut off: told, not refused here.
-    assert!(!common::read("nodes.csv", "id,address\na,10.0.0.1:80").unwrap().ended);
+    assert!(!common::read("nodes.csv", "id,address\na,10.0.0.1:80").unwrap().has_complete_end);
     // The ending of the name says nothing: the header does.
     assert_eq!(common::read("nodes", "id,address\na,10.0.0.1:80\n").unwrap().format, Format::Csv);
     assert_eq!(ids("nodes", "- 10.0.0.1:80\n"), ["10.0.0.1:80"]);
@@ -205,7 +205,7 @@
                    {"targets": ["pricing-1.example.org:81"], "labels": {"id": "p1", "weight": "0.5"}}]"#;
     let read = read("targets.json", text).unwrap();
     assert_eq!(read.format, Format::FileSd);
-    assert!(read.ended, "a closed bracket shows the end");
+    assert!(read.has_complete_end, "a closed bracket shows the end");
     let seen: Vec<_> = read.backends.iter().map(|b| (b.id.as_str(), &*b.zone, b.weight)).collect();
     assert_eq!(seen, [("10.0.0.1:80", "a", 1.0), ("10.0.0.2:80", "a", 1.0), ("p1", "", 0.5)]);
     refused(
--- a/crates/inventory/tests/reload.rs
+++ b/crates/inventory/tests/reload.rs
@@ -1,16 +1,16 @@
 //! When a changing file is read, and each defence by itself, in virtual time.
 
 use dewpier_inventory::Options;
-use dewpier_inventory::reload::{Input, Output, Rejection, Reload, Rules, Stamp, digest};
+use dewpier_inventory::reload::{FileStamp, Input, Output, Rejection, ReloadRules, Reloader, sha256_hex};
 use std::time::Duration;
 
 const SETTLE: u64 = 300;
 
 /// A file that the test writes, and the watch on it.
 struct Watched {
-    reload: Reload,
+    reload: Reloader,
     now: u64,
-    stamp: Option<Stamp>,
+    stamp: Option<FileStamp>,
     text: String,
     confirmed: Option<String>,
     /// What is written while the file is being read.
@@ -23,16 +23,16 @@
 enum Seen {
     Accepted(usize),
     Rejected(Rejection),
-    Restless,
+    KeepsChanging,
 }
 
 impl Watched {
     fn new(text: &str) -> Self {
-        Self::with(text, Rules::default())
+        Self::with(text, ReloadRules::default())
     }
 
-    fn with(text: &str, rules: Rules) -> Self {
-        let reload = Reload::new("nodes.csv", Options::default(), rules);
+    fn with(text: &str, rules: ReloadRules) -> Self {
+        let reload = Reloader::new("nodes.csv", Options::default(), rules);
         let mut watched = Self {
             reload,
             now: 0,
@@ -43,7 +43,7 @@
             reads: 0,
         };
         watched.write(text);
-        let seen = watched.step(Input::AtOnce);
+        let seen = watched.step(Input::ReadRequested);
         assert!(matches!(seen[..], [Seen::Accepted(_)]), "{seen:?}");
         watched
     }
@@ -51,13 +51,19 @@
     /// In place.
     fn write(&mut self, text: &str) {
         self.text = text.to_string();
-        let (file, changed) = (self.stamp.map_or((1, 1), |s| s.file), i128::from(self.now));
-        self.stamp =
-            Some(Stamp { file, size: text.len() as u64, modified: changed, changed, confirmation: None });
+        let (device_and_inode, changed) =
+            (self.stamp.map_or((1, 1), |s| s.device_and_inode), i128::from(self.now));
+        self.stamp = Some(FileStamp {
+            device_and_inode,
+            size_bytes: text.len() as u64,
+            modified_nanos: changed,
+            status_changed_nanos: changed,
+            confirmation: None,
+        });
     }
 
     fn confirm(&mut self, text: &str) {
-        self.confirmed = Some(format!("{}  nodes.csv\n", digest(text.as_bytes())));
+        self.confirmed = Some(format!("{}  nodes.csv\n", sha256_hex(text.as_bytes())));
         let at = i128::from(self.now);
         self.stamp.iter_mut().for_each(|s| s.confirmation = Some((9, at)));
     }
@@ -69,24 +75,28 @@
         self.reload.handle(now(self), input, &mut outputs);
         while let Some(output) = outputs.pop() {
             match output {
-                Output::LookAt(at) if at <= now(self) => {
-                    self.reload.handle(now(self), Input::Looked(self.stamp), &mut outputs);
+                Output::CheckAt(at) if at <= now(self) => {
+                    self.reload.handle(now(self), Input::Checked(self.stamp), &mut outputs);
                 }
-                Output::LookAt(_) => {}
-                Output::Read => {
+                Output::CheckAt(_) => {}
+                Output::ReadFile => {
                     self.reads += 1;
                     let (before, text, confirmed) = (self.stamp, self.text.clone(), self.confirmed.clone());
                     if let Some(new) = self.during.take() {
                         self.write(&new);
                     }
                     let bytes = before.map(|_| text.as_bytes()).ok_or_else(|| "no such file".to_string());
-                    let input =
-                        Input::Read { before, after: self.stamp, bytes, confirmed: confirmed.as_deref() };
+                    let input = Input::ReadCompleted {
+                        stamp_before: before,
+                        stamp_after: self.stamp,
+                        bytes,
+                        confirmation: confirmed.as_deref(),
+                    };
                     self.reload.handle(now(self), input, &mut outputs);
                 }
                 Output::Accepted(list) => seen.push(Seen::Accepted(list.backends.len())),
                 Output::Rejected(rejection) => seen.push(Seen::Rejected(rejection)),
-                Output::Restless => seen.push(Seen::Restless),
+                Output::KeepsChanging => seen.push(Seen::KeepsChanging),
             }
         }
         seen
@@ -98,7 +108,7 @@
         for _ in 0..millis / 10 {
             self.now += 10;
             let stamp = self.stamp;
-            seen.extend(self.step(Input::Looked(stamp)));
+            seen.extend(self.step(Input::Checked(stamp)));
         }
         seen
     }
@@ -134,7 +144,7 @@
     assert_eq!(watched.pass(SETTLE + 10), [Seen::Accepted(12)]);
     // The same where it is to be read at once.
     watched.during = Some(table(13));
-    assert_eq!(watched.step(Input::AtOnce), []);
+    assert_eq!(watched.step(Input::ReadRequested), []);
     assert_eq!(watched.pass(SETTLE + 10), [Seen::Accepted(13)]);
 }
 
@@ -143,20 +153,28 @@
     let mut watched = Watched::new(&table(10));
     watched.now += 1;
     watched.write(&table(11));
-    assert_eq!(watched.step(Input::AtOnce), [Seen::Accepted(11)]);
+    assert_eq!(watched.step(Input::ReadRequested), [Seen::Accepted(11)]);
     watched.write(table(12).trim_end());
-    let seen = watched.step(Input::AtOnce);
-    assert!(matches!(seen[..], [Seen::Rejected(Rejection::CutOff { .. })]), "{seen:?}");
+    let seen = watched.step(Input::ReadRequested);
+    assert!(matches!(seen[..], [Seen::Rejected(Rejection::Truncated { .. })]), "{seen:?}");
     watched.write(&table(3));
-    let seen = watched.step(Input::AtOnce);
+    let seen = watched.step(Input::ReadRequested);
     assert!(
-        matches!(seen[..], [Seen::Rejected(Rejection::Vanished { gone: 8, most: 5, before: 11, .. })]),
+        matches!(
+            seen[..],
+            [Seen::Rejected(Rejection::TooManyMissing {
+                missing_count: 8,
+                max_missing: 5,
+                previous_count: 11,
+                ..
+            })]
+        ),
         "{seen:?}"
     );
     // Asked again, it says so again; looked at again, it does not.
-    assert_eq!(watched.step(Input::AtOnce).len(), 1);
+    assert_eq!(watched.step(Input::ReadRequested).len(), 1);
     assert_eq!(watched.pass(1000), []);
-    assert_eq!(watched.reload.good().unwrap().backends.len(), 11);
+    assert_eq!(watched.reload.current_list().unwrap().backends.len(), 11);
 }
 
 #[test]
@@ -167,9 +185,9 @@
     watched.text = table(9).replace("n8", "m8");
     assert_eq!(watched.stamp, before);
     assert_eq!(watched.pass(1000), []);
-    assert_eq!(watched.step(Input::Touched), []);
+    assert_eq!(watched.step(Input::ChangeReported), []);
     assert_eq!(watched.pass(SETTLE + 10), [Seen::Accepted(9)]);
-    assert!(watched.reload.good().unwrap().backends.iter().any(|b| b.id == "m8"));
+    assert!(watched.reload.current_list().unwrap().backends.iter().any(|b| b.id == "m8"));
 }
 
 #[test]
@@ -181,7 +199,10 @@
     watched.now += 1000;
     watched.write(&table(2));
     let seen = watched.pass(SETTLE + 10);
-    assert!(matches!(seen[..], [Seen::Rejected(Rejection::Vanished { gone: 3, .. })]), "{seen:?}");
+    assert!(
+        matches!(seen[..], [Seen::Rejected(Rejection::TooManyMissing { missing_count: 3, .. })]),
+        "{seen:?}"
+    );
     watched.confirm(&table(3));
     assert_eq!(watched.pass(1000), [], "that is another text");
     watched.now += 1000;
@@ -207,7 +228,7 @@
         watched.write(&table(10 + n % 2));
         seen.extend(watched.pass(10));
     }
-    assert_eq!(seen, [Seen::Restless]);
+    assert_eq!(seen, [Seen::KeepsChanging]);
     let last = watched.pass(SETTLE + 10);
     assert_eq!(last, [Seen::Accepted(11)]);
 }
@@ -218,10 +239,13 @@
     watched.now += 1000;
     watched.write(&table(20));
     assert_eq!(watched.pass(SETTLE + 10), [Seen::Accepted(20)]);
-    assert_eq!(watched.step(Input::Unusable), []);
-    assert_eq!(watched.reload.good().unwrap().backends.len(), 10);
+    assert_eq!(watched.step(Input::ListUnusable), []);
+    assert_eq!(watched.reload.current_list().unwrap().backends.len(), 10);
     watched.now += 1000;
     watched.write(&table(4));
     let seen = watched.pass(SETTLE + 10);
-    assert!(matches!(seen[..], [Seen::Rejected(Rejection::Vanished { before: 10, .. })]), "{seen:?}");
+    assert!(
+        matches!(seen[..], [Seen::Rejected(Rejection::TooManyMissing { previous_count: 10, .. })]),
+        "{seen:?}"
+    );
 }
--- a/crates/inventory/tests/round_trip.rs
+++ b/crates/inventory/tests/round_trip.rs
@@ -100,7 +100,7 @@
             prop_assert!(!read.backends.is_empty() && read.backends.len() <= backends.len());
             // A cut that leaves an end in sight has lost whole rows at the most: each node that is
             // left is one that was written.
-            if how == 0 && read.ended {
+            if how == 0 && read.has_complete_end {
                 let written = bare(&backends);
                 for b in bare(&read.backends) {
                     prop_assert!(written.contains(&b) || *format != dewpier_inventory::Format::Csv, "{:?}", b);
