--- a/crates/inventory/src/io/file.rs
+++ b/crates/inventory/src/io/file.rs
@@ -1,4 +1,4 @@
-//! Reading a file that others may be writing.
+//! Reads an inventory file, its metadata and its confirmation file.
 
 use crate::reload::FileStamp;
 use crate::{Inventory, InventoryError, Options};
@@ -8,76 +8,77 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// What is put behind a file's name for that of the operator's confirmation.
+/// Suffix that is appended to a file's name for the operator's confirmation file.
 pub const CONFIRMATION_SUFFIX: &str = ".confirm";
-/// The largest confirmation that is read.
-const MOST_CONFIRMATION: u64 = 4096;
+/// Maximum number of bytes that are read of a confirmation file.
+const MAX_CONFIRMATION_BYTES: u64 = 4096;
 
-/// Why a file gives no list.
+/// Why a file could not be read as an inventory.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The system doesn't give it out.
+    /// The file cannot be read.
     #[error("{path}: cannot read it: {error}")]
     Io {
-        /// The file.
+        /// The file's path.
         path: String,
-        /// What the system said.
+        /// The I/O error.
         error: io::Error,
     },
-    /// It can't be used.
+    /// The contents are invalid.
     #[error("{path}:{refusal}")]
     Invalid {
-        /// The file.
+        /// The file's path.
         path: String,
-        /// Where and why.
+        /// The problem and its position.
         refusal: InventoryError,
     },
 }
 
-/// Reads a file as it is now.
+/// Reads and parses a file.
 pub fn read_file(path: &Path, options: &Options) -> Result<Inventory, ReadError> {
-    let shown = path.display().to_string();
-    let bytes =
-        bytes(path, options.max_bytes).map_err(|error| ReadError::Io { path: shown.clone(), error })?;
-    crate::read(&bytes, &shown, options).map_err(|refusal| ReadError::Invalid { path: shown, refusal })
+    let path_text = path.display().to_string();
+    let bytes = read_bytes(path, options.max_bytes)
+        .map_err(|error| ReadError::Io { path: path_text.clone(), error })?;
+    crate::read(&bytes, &path_text, options)
+        .map_err(|refusal| ReadError::Invalid { path: path_text, refusal })
 }
 
-/// All bytes of a file, or one more than may be: it is refused for it then.
-pub(super) fn bytes(path: &Path, most: usize) -> io::Result<Vec<u8>> {
-    // A pipe or a device might never end, or never begin.
+/// Reads a file, but at most one byte more than `max_bytes`, so that the parser detects an oversized file.
+pub(super) fn read_bytes(path: &Path, max_bytes: usize) -> io::Result<Vec<u8>> {
+    // Opening or reading a pipe or a device may block forever.
     if !fs::metadata(path)?.is_file() {
         return Err(io::Error::other("expected a file, found something else"));
     }
     let mut bytes = Vec::new();
-    File::open(path)?.take(most as u64 + 1).read_to_end(&mut bytes)?;
+    File::open(path)?.take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
-/// Where the confirmation of a file stands.
-pub(super) fn confirmation(path: &Path) -> PathBuf {
+/// The path of a file's confirmation file.
+pub(super) fn confirmation_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(CONFIRMATION_SUFFIX);
     name.into()
 }
 
-/// What the operator has confirmed, if anything.
-pub(super) fn confirmed(path: &Path) -> Option<String> {
+/// Reads the confirmation file of a file, if it exists.
+pub(super) fn read_confirmation(path: &Path) -> Option<String> {
     let mut text = String::new();
-    File::open(confirmation(path)).ok()?.take(MOST_CONFIRMATION).read_to_string(&mut text).ok()?;
+    File::open(confirmation_path(path)).ok()?.take(MAX_CONFIRMATION_BYTES).read_to_string(&mut text).ok()?;
     Some(text)
 }
 
-/// What stands at a path; links are followed.
-pub(super) fn stamp(path: &Path) -> Option<FileStamp> {
-    let nanos = |seconds: i64, nanos: i64| i128::from(seconds) * 1_000_000_000 + i128::from(nanos);
-    let modified = |m: &Metadata| nanos(m.mtime(), m.mtime_nsec());
-    let m = fs::metadata(path).ok()?;
-    let beside = fs::metadata(confirmation(path)).ok();
+/// Returns the stamp of the file at a path, or None if there is none. Symbolic links are followed.
+pub(super) fn read_stamp(path: &Path) -> Option<FileStamp> {
+    let to_nanos = |seconds: i64, nanos: i64| i128::from(seconds) * 1_000_000_000 + i128::from(nanos);
+    let modified_nanos = |m: &Metadata| to_nanos(m.mtime(), m.mtime_nsec());
+    let metadata = fs::metadata(path).ok()?;
+    let confirmation = fs::metadata(confirmation_path(path)).ok();
     Some(FileStamp {
-        device_and_inode: (m.dev(), m.ino()),
-        size_bytes: m.size(),
-        modified_nanos: modified(&m),
-        status_changed_nanos: nanos(m.ctime(), m.ctime_nsec()),
-        confirmation: beside.map(|b| (b.ino(), modified(&b))),
+        device_and_inode: (metadata.dev(), metadata.ino()),
+        size_bytes: metadata.size(),
+        modified_nanos: modified_nanos(&metadata),
+        status_changed_nanos: to_nanos(metadata.ctime(), metadata.ctime_nsec()),
+        confirmation: confirmation.map(|metadata| (metadata.ino(), modified_nanos(&metadata))),
     })
 }
--- a/crates/inventory/src/io/mod.rs
+++ b/crates/inventory/src/io/mod.rs
@@ -1,4 +1,4 @@
-//! The files themselves: reading one at once, and watching one from a thread of its own.
+//! Reads inventory files, and watches them from a separate thread.
 
 mod file;
 mod watch;
--- a/crates/inventory/src/reload.rs
+++ b/crates/inventory/src/reload.rs
@@ -1,19 +1,18 @@
-//! When a file that may be rewritten at any moment is read, and whether what it says is taken.
+//! Decides when a changing inventory file is read and whether its list is accepted.
 //!
-//! A plain state machine: it is told what stands at the file's path and what was read, and says
-//! when to look again, when to read, and which list holds. Against a file that is caught halfway
-//! through a write in place:
+//! A state machine without I/O. Its inputs are the stamps and the contents of the file; its outputs are the time of
+//! the next check, the request to read, and the accepted list. Five conditions guard against a file that is read in
+//! the middle of a write in place:
 //!
-//! 1. it must have stood unchanged (the same file, size and times) for [`ReloadRules::settle_time`];
-//! 2. it must be the same file, size and times right before and right after it was read;
+//! 1. its stamp (file, size and times) must be unchanged for [`ReloadRules::settle_time`];
+//! 2. its stamp must be the same right before and right after the read;
 //! 3. its last line must be complete, or its bracket closed ([`ReloadRules::require_complete_end`]);
-//! 4. it must be read whole by its form: rows of one width, quotes closed, and so on;
-//! 5. at most [`ReloadRules::max_missing_fraction`] of the nodes of the last good list may be missing in it, unless
-//!    the operator has confirmed this very text ([`sha256_hex`]).
+//! 4. it must be valid as a whole in its format, with rows of equal length, closed quotes and so on;
+//! 5. at most [`ReloadRules::max_missing_fraction`] of the nodes of the last accepted list may be missing, unless the
+//!    operator has confirmed this text by its hash ([`sha256_hex`]).
 //!
-//! What none of these sees is a writer that stops for longer than the settle time, at the end of a
-//! line, with most of the nodes written; the rest is then read when it comes. Files that are
-//! replaced by rename have no such moment.
+//! These conditions do not detect a writer that pauses for longer than the settle time at the end of a line with most
+//! of the nodes written; the rest is read after the next write. Replacing the file by rename avoids this case.
 
 use crate::{Inventory, InventoryError, Options, Position};
 use sha2::{Digest, Sha256};
@@ -23,30 +22,30 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// What tells one state of a file from another.
+/// Metadata that identifies a version of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FileStamp {
-    /// Its device and number: another one after a rename.
+    /// Device and inode number, which change when the file is replaced by rename.
     pub device_and_inode: (u64, u64),
-    /// Its size in bytes.
+    /// Size in bytes.
     pub size_bytes: u64,
-    /// When its content changed, in nanoseconds since 1970.
+    /// Modification time (mtime) in nanoseconds since the Unix epoch.
     pub modified_nanos: i128,
-    /// When anything of it changed.
+    /// Status change time (ctime) in nanoseconds since the Unix epoch.
     pub status_changed_nanos: i128,
-    /// The same of the operator's confirmation beside it, if there is one.
+    /// Inode number and modification time of the confirmation file, if there is one.
     pub confirmation: Option<(u64, i128)>,
 }
 
-/// When a file is read and taken.
+/// The conditions under which a file is read and accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReloadRules {
-    /// How long it must have stood unchanged.
+    /// How long the file must be unchanged before it is read.
     pub settle_time: Duration,
-    /// The part of the nodes of the last good list that may be missing in the next, from 0 to 1.
-    /// One node may always go.
+    /// Maximum fraction, from 0 to 1, of the nodes of the last accepted list that may be missing in the next. One
+    /// node may always be missing.
     pub max_missing_fraction: f64,
-    /// Its end must show: a last line that is complete, or a closed bracket.
+    /// Whether the last line must be complete or the closing bracket present.
     pub require_complete_end: bool,
 }
 
@@ -60,171 +59,172 @@
     }
 }
 
-/// While a file goes on changing for so many settle times, that is told, once.
-const RESTLESS: u32 = 20;
+/// Number of settle times for which a file must keep changing before [`Output::KeepsChanging`].
+const KEEPS_CHANGING_SETTLE_TIMES: u32 = 20;
 
-/// Why a file is not taken.
+/// Why a file is rejected.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum Rejection {
-    /// It can't be opened or read.
+    /// The file cannot be opened or read.
     #[error("cannot read it: {0}")]
     Unreadable(String),
-    /// It can't be used.
+    /// The contents are invalid.
     #[error("{0}")]
     Invalid(#[from] InventoryError),
-    /// Its end does not show.
+    /// The last line is incomplete.
     #[error(
         "{at}: expected a complete last line, found the end of the file in it: it may be half written \
          (complete_end = false takes it all the same)"
     )]
     Truncated {
-        /// Where the text ends.
+        /// The position of the end of the text.
         at: Position,
     },
-    /// Too much of the last good list is missing.
+    /// Too many nodes of the last accepted list are missing.
     #[error(
         "expected at most {max_missing} of {previous_count} nodes to go at once, found {missing_count} missing, such as '{example}': \
          confirm it with 'dewpier inventory confirm' if it is meant, or raise max_vanish"
     )]
     TooManyMissing {
-        /// Nodes of the last good list.
+        /// Number of nodes of the last accepted list.
         previous_count: usize,
-        /// Those that are missing.
+        /// Number of missing nodes.
         missing_count: usize,
-        /// How many may be.
+        /// Maximum number of missing nodes.
         max_missing: usize,
-        /// One of them.
+        /// The id of a missing node.
         example: String,
     },
 }
 
-/// What happens to the file.
+/// An input of the state machine.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// What stands at its path now; None if nothing does.
+    /// The current stamp of the file; None if it does not exist.
     Checked(Option<FileStamp>),
-    /// The system says that something happened to it. What it is, the next look tells.
+    /// The operating system reported a change. The next check shows which.
     ChangeReported,
-    /// It is to be read at once: there is no waiting for it to settle.
+    /// The file is to be read at once, without waiting until it has settled.
     ReadRequested,
-    /// It was read.
+    /// A read has completed.
     ReadCompleted {
-        /// What stood there right before,
+        /// The stamp right before the read.
         stamp_before: Option<FileStamp>,
-        /// and right after.
+        /// The stamp right after the read.
         stamp_after: Option<FileStamp>,
-        /// All that is in it, or why it can't be read.
+        /// The contents, or the error of the read.
         bytes: Result<&'a [u8], String>,
-        /// What the operator's confirmation says.
+        /// The contents of the confirmation file.
         confirmation: Option<&'a str>,
     },
-    /// The list that was accepted last can't be used after all: the one before it holds.
+    /// The list accepted last is unusable: the previous list is restored.
     ListUnusable,
 }
 
-/// What is to be done.
+/// An output of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Look at what stands at the path at that time, or before.
+    /// Read the stamp of the file at this time or earlier.
     CheckAt(Duration),
     /// Read the file.
     ReadFile,
-    /// This list holds from now on.
+    /// This list is in use from now on.
     Accepted(Arc<Inventory>),
-    /// The file is not taken; the last good list goes on holding.
+    /// The file is rejected; the last accepted list stays in use.
     Rejected(Rejection),
-    /// The file changes all the time and is not read.
+    /// The file keeps changing and is not read. Reported once until it has settled.
     KeepsChanging,
 }
 
-/// A list, and the hash of the text that it was read from.
-type Good = (Arc<Inventory>, [u8; 32]);
+/// An accepted list and the SHA-256 of its file.
+type AcceptedList = (Arc<Inventory>, [u8; 32]);
 
-/// Decides what of a file is taken.
+/// Decides when a file is read and whether its list is accepted.
 #[derive(Debug)]
 pub struct Reloader {
     name: String,
     options: Options,
     rules: ReloadRules,
-    good: Option<Good>,
-    /// The list that held before it.
-    former: Option<Good>,
-    /// The text that was refused last: it is not told of again for each look at it.
-    refused: Option<[u8; 32]>,
-    /// The state of the file that was judged last.
-    judged: Option<Option<FileStamp>>,
-    /// A newer one, and since when it stands.
+    current: Option<AcceptedList>,
+    /// The list before the current one.
+    previous: Option<AcceptedList>,
+    /// SHA-256 of the text rejected last, which is not reported again.
+    rejected_hash: Option<[u8; 32]>,
+    /// The stamp of the file at its last evaluation.
+    evaluated: Option<Option<FileStamp>>,
+    /// A newer stamp, and the time since which it is unchanged.
     pending: Option<(Option<FileStamp>, Duration)>,
-    /// Since when there has been one that was not read.
-    restless: Option<(Duration, bool)>,
-    /// A read is to be judged whether it has settled or not.
-    at_once: bool,
+    /// Start of the time with unread changes, and whether [`Output::KeepsChanging`] was reported.
+    changing_since: Option<(Duration, bool)>,
+    /// Whether the next read is evaluated even if the file has not settled.
+    skip_settling: bool,
+    /// Whether a read was requested and has not completed.
     reading: bool,
 }
 
 impl Reloader {
-    /// For a file of that name, which tells its form.
+    /// Creates the state for a file. The format is detected from `name` if the options give none.
     pub fn new(name: &str, options: Options, rules: ReloadRules) -> Self {
         Self {
             name: name.to_string(),
             options,
             rules,
-            good: None,
-            former: None,
-            refused: None,
-            judged: None,
+            current: None,
+            previous: None,
+            rejected_hash: None,
+            evaluated: None,
             pending: None,
-            restless: None,
-            at_once: false,
+            changing_since: None,
+            skip_settling: false,
             reading: false,
         }
     }
 
-    /// The list that holds.
+    /// The list in use.
     pub fn current_list(&self) -> Option<&Arc<Inventory>> {
-        self.good.as_ref().map(|(good, _)| good)
+        self.current.as_ref().map(|(list, _)| list)
     }
 
-    /// That state of the file was judged, and nothing has happened to it since.
+    /// Whether the last evaluation was of this stamp and no change was reported since.
     pub fn has_evaluated(&self, stamp: Option<FileStamp>) -> bool {
-        self.judged == Some(stamp)
+        self.evaluated == Some(stamp)
     }
 
-    /// The most bytes that are worth reading.
+    /// Maximum size of the file in bytes.
     pub fn max_bytes(&self) -> usize {
         self.options.max_bytes
     }
 
-    /// Takes in what happens at `now`, counted from any start.
+    /// Processes an input at the time `now`, which may count from any origin.
     pub fn handle(&mut self, now: Duration, input: Input<'_>, outputs: &mut Vec<Output>) {
         match input {
-            // Two writes may leave the same size and, where clocks are coarse, the same times:
-            // what was judged is judged again.
+            // Two writes may leave the same size and, with a coarse clock, the same times, so that the file is
+            // evaluated again.
             Input::ChangeReported => {
-                self.judged = None;
+                self.evaluated = None;
                 self.pending = None;
                 outputs.push(Output::CheckAt(now));
             }
             Input::ReadRequested => {
-                self.at_once = true;
-                self.read(outputs);
+                self.skip_settling = true;
+                self.request_read(outputs);
             }
-            Input::ListUnusable => self.good = self.former.take(),
-            Input::Checked(stamp) => self.looked(now, stamp, outputs),
+            Input::ListUnusable => self.current = self.previous.take(),
+            Input::Checked(stamp) => self.check(now, stamp, outputs),
             Input::ReadCompleted { stamp_before, stamp_after, bytes, confirmation } => {
                 self.reading = false;
-                let at_once = std::mem::take(&mut self.at_once);
+                let skip_settling = std::mem::take(&mut self.skip_settling);
                 let settled = self.pending.is_some_and(|(stamp, since)| {
                     stamp == stamp_before && now.saturating_sub(since) >= self.rules.settle_time
                 });
-                if stamp_before != stamp_after || !(settled || at_once) {
-                    self.judged = None;
-                    return self.looked(now, stamp_after, outputs);
+                if stamp_before != stamp_after || !(settled || skip_settling) {
+                    self.evaluated = None;
+                    return self.check(now, stamp_after, outputs);
                 }
-                (self.judged, self.pending, self.restless) = (Some(stamp_after), None, None);
+                (self.evaluated, self.pending, self.changing_since) = (Some(stamp_after), None, None);
                 match bytes
                     .map_err(Rejection::Unreadable)
-                    .and_then(|bytes| self.judge(bytes, confirmation, at_once))
+                    .and_then(|bytes| self.evaluate(bytes, confirmation, skip_settling))
                 {
                     Ok(Some(list)) => outputs.push(Output::Accepted(list)),
                     Ok(None) => {}
@@ -234,26 +234,28 @@
         }
     }
 
-    fn read(&mut self, outputs: &mut Vec<Output>) {
+    /// Requests a read, unless one is in progress.
+    fn request_read(&mut self, outputs: &mut Vec<Output>) {
         if !std::mem::replace(&mut self.reading, true) {
             outputs.push(Output::ReadFile);
         }
     }
 
-    fn looked(&mut self, now: Duration, stamp: Option<FileStamp>, outputs: &mut Vec<Output>) {
-        if self.judged == Some(stamp) {
-            (self.pending, self.restless) = (None, None);
+    /// Processes a stamp of the file: requests a read once it has been unchanged for the settle time.
+    fn check(&mut self, now: Duration, stamp: Option<FileStamp>, outputs: &mut Vec<Output>) {
+        if self.evaluated == Some(stamp) {
+            (self.pending, self.changing_since) = (None, None);
             return;
         }
-        let (since, told) = *self.restless.get_or_insert((now, false));
-        if !told && now.saturating_sub(since) > RESTLESS * self.rules.settle_time {
-            self.restless = Some((since, true));
+        let (since, reported) = *self.changing_since.get_or_insert((now, false));
+        if !reported && now.saturating_sub(since) > KEEPS_CHANGING_SETTLE_TIMES * self.rules.settle_time {
+            self.changing_since = Some((since, true));
             outputs.push(Output::KeepsChanging);
         }
         match self.pending {
             Some((pending, since)) if pending == stamp => {
                 if now.saturating_sub(since) >= self.rules.settle_time {
-                    self.read(outputs);
+                    self.request_read(outputs);
                 } else {
                     outputs.push(Output::CheckAt(since + self.rules.settle_time));
                 }
@@ -265,35 +267,36 @@
         }
     }
 
-    /// The list, if it is a new one.
-    fn judge(
+    /// Evaluates the contents. Returns the list if it is new and accepted, and None if it is unchanged or a known
+    /// rejected text.
+    fn evaluate(
         &mut self,
         bytes: &[u8],
         confirmation: Option<&str>,
-        at_once: bool,
+        skip_settling: bool,
     ) -> Result<Option<Arc<Inventory>>, Rejection> {
         let hash: [u8; 32] = Sha256::digest(bytes).into();
-        if self.good.as_ref().is_some_and(|(_, known)| *known == hash) {
-            self.refused = None;
+        if self.current.as_ref().is_some_and(|(_, current_hash)| *current_hash == hash) {
+            self.rejected_hash = None;
             return Ok(None);
         }
-        let confirmed = confirmation.is_some_and(|text| names(text, &hash));
-        if self.refused == Some(hash) && !confirmed && !at_once {
+        let confirmed = confirmation.is_some_and(|text| confirms_hash(text, &hash));
+        if self.rejected_hash == Some(hash) && !confirmed && !skip_settling {
             return Ok(None);
         }
-        self.refused = Some(hash);
+        self.rejected_hash = Some(hash);
         let list = crate::read(bytes, &self.name, &self.options)?;
         if self.rules.require_complete_end && !list.has_complete_end {
             return Err(Rejection::Truncated { at: list.end });
         }
-        if let Some((good, _)) = self.good.as_ref().filter(|_| !confirmed) {
-            let new: HashSet<&str> = list.backends.iter().map(|b| b.id.as_str()).collect();
-            let missing: Vec<&str> =
-                good.backends.iter().map(|b| b.id.as_str()).filter(|id| !new.contains(id)).collect();
-            let previous_count = good.backends.len();
+        if let Some((current, _)) = self.current.as_ref().filter(|_| !confirmed) {
+            let new_ids: HashSet<&str> = list.backends.iter().map(|b| b.id.as_str()).collect();
+            let missing_ids: Vec<&str> =
+                current.backends.iter().map(|b| b.id.as_str()).filter(|id| !new_ids.contains(id)).collect();
+            let previous_count = current.backends.len();
             let max_missing = ((previous_count as f64 * self.rules.max_missing_fraction) as usize).max(1);
-            if let Some(example) = missing.first().filter(|_| missing.len() > max_missing) {
-                let (missing_count, example) = (missing.len(), example.to_string());
+            if let Some(example) = missing_ids.first().filter(|_| missing_ids.len() > max_missing) {
+                let (missing_count, example) = (missing_ids.len(), example.to_string());
                 return Err(Rejection::TooManyMissing {
                     previous_count,
                     missing_count,
@@ -302,27 +305,27 @@
                 });
             }
         }
-        self.refused = None;
+        self.rejected_hash = None;
         let list = Arc::new(list);
-        self.former = self.good.replace((list.clone(), hash));
+        self.previous = self.current.replace((list.clone(), hash));
         Ok(Some(list))
     }
 }
 
-/// The SHA-256 of a text in hexadecimal digits, by which an operator confirms it: what the command
-/// `sha256sum` prints first.
+/// Returns the SHA-256 of a text in hexadecimal digits, as `sha256sum` prints it. An operator confirms a text by it.
 pub fn sha256_hex(bytes: &[u8]) -> String {
     Sha256::digest(bytes).iter().fold(String::with_capacity(64), |mut text, byte| {
-        let _ = write!(text, "{byte:02x}"); // a string takes all
+        let _ = write!(text, "{byte:02x}"); // writing to a string cannot fail
         text
     })
 }
 
-/// A confirmation names that digest.
-fn names(confirmation: &str, hash: &[u8; 32]) -> bool {
-    let first = confirmation.split_whitespace().next().unwrap_or_default();
-    first.len() == 64
+/// Whether the first word of a confirmation is this SHA-256 in hexadecimal digits.
+fn confirms_hash(confirmation: &str, hash: &[u8; 32]) -> bool {
+    let first_word = confirmation.split_whitespace().next().unwrap_or_default();
+    first_word.len() == 64
         && hash.iter().enumerate().all(|(i, byte)| {
-            first.get(2 * i..2 * i + 2).and_then(|two| u8::from_str_radix(two, 16).ok()) == Some(*byte)
+            first_word.get(2 * i..2 * i + 2).and_then(|digits| u8::from_str_radix(digits, 16).ok())
+                == Some(*byte)
         })
 }
