--- a/crates/inventory/src/collect.rs
+++ b/crates/inventory/src/collect.rs
@@ -1,4 +1,4 @@
-//! Gathers the nodes of a file, and sees that no two clash.
+//! Collects the nodes of a file and rejects duplicate ids and addresses.
 
 use crate::error::{Fault, FaultKind, Problem, RawPosition};
 use crate::fields::Fields;
@@ -7,28 +7,29 @@
 use std::hash::BuildHasher;
 use std::sync::Arc;
 
-/// Nodes gathered so far, with their spots. The tables hold places in `nodes`, so that neither ids
-/// nor addresses are kept twice.
+/// The validated nodes of a file. The hash tables hold indexes into `nodes` instead of copies of ids and
+/// addresses.
 pub(crate) struct Collector<'o> {
     options: &'o Options,
     nodes: Vec<Backend>,
-    spots: Vec<[RawPosition; 2]>,
+    /// The positions of the id and the address of each node.
+    positions: Vec<[RawPosition; 2]>,
     hasher: DefaultHashBuilder,
     ids: HashTable<u32>,
     addresses: HashTable<u32>,
-    /// Zones are few: each is kept once.
+    /// Zone names that nodes share.
     zones: Vec<Arc<str>>,
 }
 
-/// So many zones are looked through for one that is known; more are kept apart.
-const ZONES_SOUGHT: usize = 16;
+/// Maximum number of shared zone names. Nodes of further zones hold copies of the name.
+const MAX_SHARED_ZONES: usize = 16;
 
 impl<'o> Collector<'o> {
     pub fn new(options: &'o Options) -> Self {
         Self {
             options,
             nodes: Vec::new(),
-            spots: Vec::new(),
+            positions: Vec::new(),
             hasher: DefaultHashBuilder::default(),
             ids: HashTable::new(),
             addresses: HashTable::new(),
@@ -36,78 +37,78 @@
         }
     }
 
-    /// Makes room for so many nodes, if so many may be: growing step by step would hash and move
-    /// all of them over and over.
-    pub fn reserve(&mut self, nodes: usize) {
-        let nodes = nodes.min(self.options.max_nodes);
-        self.nodes.reserve(nodes);
-        self.spots.reserve(nodes);
-        self.ids.reserve(nodes, |_| 0);
-        self.addresses.reserve(nodes, |_| 0);
+    /// Reserves capacity for a number of nodes, bounded by the maximum.
+    pub fn reserve(&mut self, count: usize) {
+        let count = count.min(self.options.max_nodes);
+        self.nodes.reserve(count);
+        self.positions.reserve(count);
+        self.ids.reserve(count, |_| 0);
+        self.addresses.reserve(count, |_| 0);
     }
 
-    /// Checks and takes in a node. One that has no id is named by its address.
+    /// Validates and adds a node. The id of a node without one is its address.
     pub fn add(&mut self, fields: &Fields<'_>) -> Result<(), Fault> {
         let max = self.options.max_nodes;
         if self.nodes.len() >= max {
-            let problem = Problem::LimitExceeded { what: "nodes", max, found: "more".into() };
+            let problem = Problem::LimitExceeded { unit: "nodes", max, found: "more".into() };
             return Err(Fault::new(fields.at, problem));
         }
-        let address = fields.address(self.options.default_port)?;
+        let address = fields.parse_address(self.options.default_port)?;
         let (id, id_at) = match &fields.id {
-            Some(id) => (id.name("id")?.to_string(), id.at),
+            Some(id) => (id.parse_name("id")?.to_string(), id.at),
             None => (address.to_string(), fields.at),
         };
         let address_at = fields.address.or(fields.host).map_or(fields.at, |raw| raw.at);
         let backend = Backend {
-            zone: self.zone(fields.zone.as_ref().map_or(Ok(""), |raw| raw.zone())?),
-            cell: fields.cell.map_or(Ok(0), |raw| raw.cell())?,
-            weight: fields.weight.map_or(Ok(1.0), |raw| raw.weight(fields.comma))?,
-            state: fields.state.map_or(Ok(Default::default()), |raw| raw.state())?,
+            zone: self.shared_zone(fields.zone.as_ref().map_or(Ok(""), |raw| raw.parse_zone())?),
+            cell: fields.cell.map_or(Ok(0), |raw| raw.parse_cell())?,
+            weight: fields.weight.map_or(Ok(1.0), |raw| raw.parse_weight(fields.allow_comma))?,
+            state: fields.state.map_or(Ok(Default::default()), |raw| raw.parse_state())?,
             at: Position { line: fields.at.0, column: fields.at.1 },
             id,
             address,
         };
-        self.keep(backend, id_at, address_at)
+        self.insert(backend, id_at, address_at)
     }
 
-    fn keep(&mut self, new: Backend, id_at: RawPosition, address_at: RawPosition) -> Result<(), Fault> {
-        let place = self.nodes.len() as u32; // max_nodes is bounded by memory long before this
-        let Self { nodes, spots, hasher, ids, addresses, .. } = self;
+    fn insert(&mut self, new: Backend, id_at: RawPosition, address_at: RawPosition) -> Result<(), Fault> {
+        let index = self.nodes.len() as u32; // node counts stay far below u32::MAX
+        let Self { nodes, positions, hasher, ids, addresses, .. } = self;
         let hash = hasher.hash_one(new.id.as_str());
         if let Some(&other) = ids.find(hash, |&i| nodes[i as usize].id == new.id) {
-            let first = spots[other as usize][0];
-            return Err(Fault { at: id_at, what: FaultKind::Duplicate { what: "id", value: new.id, first } });
+            let first = positions[other as usize][0];
+            return Err(Fault { at: id_at, kind: FaultKind::Duplicate { kind: "id", value: new.id, first } });
         }
-        ids.insert_unique(hash, place, |&i| hasher.hash_one(nodes[i as usize].id.as_str()));
+        ids.insert_unique(hash, index, |&i| hasher.hash_one(nodes[i as usize].id.as_str()));
         let hash = hasher.hash_one(&new.address);
         if let Some(&other) = addresses.find(hash, |&i| nodes[i as usize].address == new.address) {
-            let (first, other) = (spots[other as usize][1], nodes[other as usize].id.clone());
+            let (first, other) = (positions[other as usize][1], nodes[other as usize].id.clone());
             let address = new.address.to_string();
-            let what = FaultKind::DuplicateAddress { address, id: new.id, other, first };
-            return Err(Fault { at: address_at, what });
+            let kind = FaultKind::DuplicateAddress { address, id: new.id, other, first };
+            return Err(Fault { at: address_at, kind });
         }
-        addresses.insert_unique(hash, place, |&i| hasher.hash_one(&nodes[i as usize].address));
+        addresses.insert_unique(hash, index, |&i| hasher.hash_one(&nodes[i as usize].address));
         self.nodes.push(new);
-        self.spots.push([id_at, address_at]);
+        self.positions.push([id_at, address_at]);
         Ok(())
     }
 
-    fn zone(&mut self, name: &str) -> Arc<str> {
-        if let Some(known) = self.zones.iter().take(ZONES_SOUGHT).find(|z| ***z == *name) {
+    fn shared_zone(&mut self, name: &str) -> Arc<str> {
+        if let Some(known) = self.zones.iter().take(MAX_SHARED_ZONES).find(|z| ***z == *name) {
             return known.clone();
         }
         let zone: Arc<str> = name.into();
-        if self.zones.len() < ZONES_SOUGHT {
+        if self.zones.len() < MAX_SHARED_ZONES {
             self.zones.push(zone.clone());
         }
         zone
     }
 
-    /// The nodes by id, with their places as the format tells them.
+    /// The nodes sorted by id. `to_position` converts their positions; `empty` is the position and the content
+    /// that the error of an empty list reports.
     pub fn finish(
         self,
-        place: impl Fn(RawPosition) -> Position,
+        to_position: impl Fn(RawPosition) -> Position,
         empty: (RawPosition, &str),
     ) -> Result<Vec<Backend>, Fault> {
         let mut nodes = self.nodes;
@@ -115,7 +116,7 @@
             return Err(Fault::new(empty.0, Problem::Empty { found: empty.1.to_string() }));
         }
         for node in &mut nodes {
-            node.at = place(RawPosition(node.at.line, node.at.column));
+            node.at = to_position(RawPosition(node.at.line, node.at.column));
         }
         nodes.sort_unstable_by(|a: &Backend, b| a.id.cmp(&b.id));
         Ok(nodes)
@@ -128,13 +129,13 @@
     use crate::fields::Raw;
 
     #[test]
-    fn one_address_in_two_forms_is_one() {
+    fn address_in_two_spellings_is_a_duplicate() {
         let options = Options::default();
         let mut collector = Collector::new(&options);
         let raw = |text| Some(Raw { text, at: RawPosition(1, 1) });
         let node = |id, address| Fields { id: raw(id), address: raw(address), ..Fields::default() };
         collector.add(&node("a", "[::1]:80")).unwrap();
         assert!(collector.add(&node("b", "[0:0::1]:80")).is_err());
-        assert_eq!(collector.nodes.len(), 1, "what is refused is not kept");
+        assert_eq!(collector.nodes.len(), 1, "a rejected node is not added");
     }
 }
--- a/crates/inventory/src/encoding.rs
+++ b/crates/inventory/src/encoding.rs
@@ -1,20 +1,20 @@
-//! From bytes to text, in an encoding that the file itself or its operator names.
+//! Decodes the bytes of a file to text, in the encoding given by a byte order mark or by the options.
 
 use crate::error::{InventoryError, Position, Problem};
 use std::borrow::Cow;
 use std::fmt;
 use std::str::FromStr;
 
-/// The encodings that are read.
+/// A supported encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Encoding {
     /// UTF-8, with or without a byte order mark.
     Utf8,
-    /// UTF-16, low byte first.
+    /// UTF-16, little-endian.
     Utf16Le,
-    /// UTF-16, high byte first.
+    /// UTF-16, big-endian.
     Utf16Be,
-    /// Windows-1251: Cyrillic without the Kazakh letters.
+    /// Windows-1251: Cyrillic without Kazakh letters.
     Windows1251,
     /// KZ-1048 (STRK1048-2002): Windows-1251 with the Kazakh letters.
     Kz1048,
@@ -23,7 +23,7 @@
 impl Encoding {
     const ALL: [Self; 5] = [Self::Utf8, Self::Utf16Le, Self::Utf16Be, Self::Windows1251, Self::Kz1048];
 
-    /// Its registered name, in lower case.
+    /// The name registered with IANA, in lower case.
     pub fn name(self) -> &'static str {
         match self {
             Self::Utf8 => "utf-8",
@@ -45,12 +45,12 @@
     type Err = String;
 
     fn from_str(name: &str) -> Result<Self, String> {
-        let plain: String = name.chars().filter(char::is_ascii_alphanumeric).collect();
-        let plain = plain.to_ascii_lowercase();
-        let known = match plain.as_str() {
+        let normalized: String = name.chars().filter(char::is_ascii_alphanumeric).collect();
+        let normalized = normalized.to_ascii_lowercase();
+        let known = match normalized.as_str() {
             "cp1251" => Some(Self::Windows1251),
             "strk10482002" | "rk1048" => Some(Self::Kz1048),
-            _ => Self::ALL.into_iter().find(|e| e.name().replace('-', "") == plain),
+            _ => Self::ALL.into_iter().find(|e| e.name().replace('-', "") == normalized),
         };
         known.ok_or_else(|| {
             format!("expected utf-8, utf-16le, utf-16be, windows-1251 or kz-1048, found '{name}'")
@@ -58,9 +58,9 @@
     }
 }
 
-/// Where KZ-1048 differs from Windows-1251 (the registration of KZ-1048 with IANA and the table
-/// that Unicode publishes for it).
-const KAZAKH: [(u8, char); 18] = [
+/// Bytes that KZ-1048 decodes differently from Windows-1251, per its IANA registration and its Unicode
+/// mapping table.
+const KZ1048_DIFFERENCES: [(u8, char); 18] = [
     (0x8d, 'Қ'),
     (0x8e, 'Һ'),
     (0x9d, 'қ'),
@@ -80,13 +80,14 @@
     (0xbe, 'ң'),
     (0xbf, 'ү'),
 ];
-/// The one byte that stands for nothing in either of the two.
-const UNASSIGNED: u8 = 0x98;
-const NAME_ONE: &str = "; if the file is in a single-byte encoding, name it: windows-1251 or kz-1048 (encoding in the configuration, \
+/// The byte without a character in Windows-1251 and KZ-1048.
+const UNASSIGNED_BYTE: u8 = 0x98;
+/// Appended to the error for invalid UTF-8 if no encoding was given.
+const ENCODING_HINT: &str = "; if the file is in a single-byte encoding, name it: windows-1251 or kz-1048 (encoding in the configuration, \
      --encoding on the command line)";
 
-/// What a byte order mark says, and how long it is.
-fn mark(bytes: &[u8]) -> Option<(Encoding, usize)> {
+/// Returns the encoding of a byte order mark and the length of the mark in bytes.
+fn byte_order_mark(bytes: &[u8]) -> Option<(Encoding, usize)> {
     match bytes {
         [0xef, 0xbb, 0xbf, ..] => Some((Encoding::Utf8, 3)),
         [0xff, 0xfe, ..] => Some((Encoding::Utf16Le, 2)),
@@ -95,23 +96,24 @@
     }
 }
 
-/// The text, without a byte order mark, and the encoding that it was in. NUL is never text.
+/// Decodes the bytes and returns the text without a byte order mark, and its encoding. `named` is the encoding in
+/// the options. Text with a NUL character is rejected.
 pub(crate) fn decode(
     bytes: &[u8],
     named: Option<Encoding>,
 ) -> Result<(Cow<'_, str>, Encoding), InventoryError> {
-    let refuse = |before: &str, offset, expected, found: String, hint| InventoryError {
+    let error = |before: &str, offset, expected, found: String, hint| InventoryError {
         at: Position::of_offset(before, before.len()),
         problem: Problem::Encoding { offset, expected, found, hint },
     };
     if let [0xff, 0xfe, 0, 0, ..] | [0, 0, 0xfe, 0xff, ..] = bytes {
-        return Err(refuse("", 0, "UTF-8 or UTF-16", "the byte order mark of UTF-32".into(), ""));
+        return Err(error("", 0, "UTF-8 or UTF-16", "the byte order mark of UTF-32".into(), ""));
     }
-    let marked = mark(bytes);
+    let marked = byte_order_mark(bytes);
     let encoding = match (named, marked) {
         (Some(named), Some((marked, _))) if named != marked => {
             let found = format!("the byte order mark of {marked}");
-            return Err(refuse("", 0, "the encoding that was named", found, ""));
+            return Err(error("", 0, "the encoding that was named", found, ""));
         }
         (Some(named), _) => named,
         (None, Some((marked, _))) => marked,
@@ -122,69 +124,72 @@
     let text = match encoding {
         Encoding::Utf8 => match std::str::from_utf8(rest) {
             Ok(text) => Cow::Borrowed(text),
-            Err(error) => {
-                let good = std::str::from_utf8(&rest[..error.valid_up_to()]).unwrap_or_default();
-                let found = match rest.get(error.valid_up_to()) {
-                    Some(byte) if error.error_len().is_some() => format!("byte 0x{byte:02X}"),
+            Err(utf8_error) => {
+                let valid = std::str::from_utf8(&rest[..utf8_error.valid_up_to()]).unwrap_or_default();
+                let found = match rest.get(utf8_error.valid_up_to()) {
+                    Some(byte) if utf8_error.error_len().is_some() => format!("byte 0x{byte:02X}"),
                     _ => "the end of the file within a character".to_string(),
                 };
-                let hint = if named.is_none() { NAME_ONE } else { "" };
-                return Err(refuse(good, skipped + error.valid_up_to(), "UTF-8", found, hint));
+                let hint = if named.is_none() { ENCODING_HINT } else { "" };
+                return Err(error(valid, skipped + utf8_error.valid_up_to(), "UTF-8", found, hint));
             }
         },
         Encoding::Utf16Le | Encoding::Utf16Be => {
-            let unit = |pair: &[u8]| match encoding {
+            let code_unit = |pair: &[u8]| match encoding {
                 Encoding::Utf16Le => u16::from_le_bytes([pair[0], pair[1]]),
                 _ => u16::from_be_bytes([pair[0], pair[1]]),
             };
             let mut text = String::with_capacity(rest.len());
             let mut offset = skipped;
-            for decoded in char::decode_utf16(rest.chunks_exact(2).map(unit)) {
+            for decoded in char::decode_utf16(rest.chunks_exact(2).map(code_unit)) {
                 match decoded {
                     Ok(char) => {
                         text.push(char);
                         offset += 2 * char.len_utf16();
                     }
-                    Err(error) => {
-                        let found = format!("half a pair, 0x{:04X}", error.unpaired_surrogate());
-                        return Err(refuse(&text, offset, "UTF-16", found, ""));
+                    Err(utf16_error) => {
+                        let found =
+                            format!("an unpaired surrogate, 0x{:04X}", utf16_error.unpaired_surrogate());
+                        return Err(error(&text, offset, "UTF-16", found, ""));
                     }
                 }
             }
             if !rest.len().is_multiple_of(2) {
-                return Err(refuse(&text, bytes.len() - 1, "UTF-16", "half a character".into(), ""));
+                return Err(error(&text, bytes.len() - 1, "UTF-16", "half a character".into(), ""));
             }
             Cow::Owned(text)
         }
         Encoding::Windows1251 | Encoding::Kz1048 => {
-            let mut high = ['\0'; 128];
-            for (byte, char) in (0x80..=0xff_u8).zip(&mut high) {
+            let mut high_half = ['\0'; 128];
+            for (byte, char) in (0x80..=0xff_u8).zip(&mut high_half) {
                 let byte = [byte];
                 let (decoded, _) = encoding_rs::WINDOWS_1251.decode_without_bom_handling(&byte);
                 *char = decoded.chars().next().unwrap_or_default();
             }
             if encoding == Encoding::Kz1048 {
-                KAZAKH.iter().for_each(|(byte, char)| high[usize::from(byte - 0x80)] = *char);
+                KZ1048_DIFFERENCES
+                    .iter()
+                    .for_each(|(byte, char)| high_half[usize::from(byte - 0x80)] = *char);
             }
             let mut text = String::with_capacity(rest.len() + rest.len() / 2);
             for (offset, &byte) in rest.iter().enumerate() {
-                if byte == UNASSIGNED {
+                if byte == UNASSIGNED_BYTE {
                     let found = format!("byte 0x{byte:02X}");
-                    return Err(refuse(&text, skipped + offset, encoding.name(), found, ""));
+                    return Err(error(&text, skipped + offset, encoding.name(), found, ""));
                 }
-                text.push(if byte < 0x80 { char::from(byte) } else { high[usize::from(byte - 0x80)] });
+                text.push(if byte < 0x80 { char::from(byte) } else { high_half[usize::from(byte - 0x80)] });
             }
             Cow::Owned(text)
         }
     };
-    if let Some(at) = memchr::memchr(0, text.as_bytes()) {
-        // In UTF-16 and the single-byte encodings a character's offset is not that of the text.
+    if let Some(nul) = memchr::memchr(0, text.as_bytes()) {
+        // Converts the offset in the UTF-8 text to the offset in the file.
         let offset = match encoding {
-            Encoding::Utf8 => skipped + at,
-            Encoding::Utf16Le | Encoding::Utf16Be => skipped + 2 * text[..at].encode_utf16().count(),
-            Encoding::Windows1251 | Encoding::Kz1048 => skipped + text[..at].chars().count(),
+            Encoding::Utf8 => skipped + nul,
+            Encoding::Utf16Le | Encoding::Utf16Be => skipped + 2 * text[..nul].encode_utf16().count(),
+            Encoding::Windows1251 | Encoding::Kz1048 => skipped + text[..nul].chars().count(),
         };
-        return Err(refuse(&text[..at], offset, "text", "a NUL byte".into(), ""));
+        return Err(error(&text[..nul], offset, "text", "a NUL byte".into(), ""));
     }
     Ok((text, encoding))
 }
--- a/crates/inventory/src/error.rs
+++ b/crates/inventory/src/error.rs
@@ -1,14 +1,14 @@
-//! Why a file is refused, and where.
+//! Errors in an inventory file, with their position in the file.
 
 use std::fmt;
 use thiserror::Error;
 
-/// A place in a file, as editors count: from 1, in characters.
+/// A position in a file. Lines and columns count from 1, columns in characters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// The line.
+    /// The line, from 1.
     pub line: u32,
-    /// The column.
+    /// The column, from 1.
     pub column: u32,
 }
 
@@ -19,7 +19,7 @@
 }
 
 impl Position {
-    /// The place of a byte offset in a text.
+    /// Converts a byte offset in a text to a position.
     pub(crate) fn of_offset(text: &str, offset: usize) -> Self {
         let mut offset = offset.min(text.len());
         while !text.is_char_boundary(offset) {
@@ -27,169 +27,169 @@
         }
         let before = &text[..offset];
         let line = memchr::memchr_iter(b'\n', before.as_bytes()).count() + 1;
-        let start = before.rfind('\n').map_or(0, |at| at + 1);
-        let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        Self { line: count(line), column: count(before[start..].chars().count() + 1) }
+        let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
+        let saturate = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
+        Self { line: saturate(line), column: saturate(before[line_start..].chars().count() + 1) }
     }
 }
 
-/// Why a file is refused whole.
+/// Why a file is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{at}: {problem}")]
 pub struct InventoryError {
-    /// Where.
+    /// The position of the problem.
     pub at: Position,
-    /// What is wrong there.
+    /// The problem.
     pub problem: Problem,
 }
 
-/// What is wrong.
+/// A problem in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Problem {
-    /// A value, or the lack of one, where something else belongs.
-    #[error("{what}: expected {expected}, found {found}")]
+    /// A value is missing or invalid.
+    #[error("{subject}: expected {expected}, found {found}")]
     Value {
-        /// What it is the value of.
-        what: String,
-        /// What belongs there.
+        /// The field or part of the file.
+        subject: String,
+        /// The expected value.
         expected: String,
-        /// What is there.
+        /// The value in the file.
         found: String,
     },
-    /// Two things that must differ are the same.
-    #[error("{what} '{value}' is here twice, first at {first}: expected it once")]
+    /// A name that must be unique occurs more than once.
+    #[error("{kind} '{value}' is here twice, first at {first}: expected it once")]
     Duplicate {
-        /// What it is.
-        what: &'static str,
-        /// The value that both have.
+        /// The kind of the name: `id`, `column` or `key`.
+        kind: &'static str,
+        /// The repeated name.
         value: String,
-        /// Where it stands first.
+        /// The position of the first occurrence.
         first: Position,
     },
-    /// Two places say different things of one.
-    #[error("{what}: expected {expected} as at {first}, found {found}")]
+    /// Two places in the file give different values for the same property.
+    #[error("{subject}: expected {expected} as at {first}, found {found}")]
     Conflict {
-        /// What they speak of.
-        what: String,
-        /// What is said first,
+        /// The property.
+        subject: String,
+        /// The first value.
         expected: String,
-        /// and where.
+        /// The position of the first value.
         first: Position,
-        /// What is said here.
+        /// The conflicting value.
         found: String,
     },
-    /// An address of two nodes.
+    /// Two nodes have the same address.
     #[error("address {address} of '{id}' is that of '{other}' at {first}: expected one node an address")]
     DuplicateAddress {
         /// The address.
         address: String,
-        /// The node here.
+        /// The id of the second node.
         id: String,
-        /// The other node.
+        /// The id of the first node.
         other: String,
-        /// Where that is.
+        /// The position of the first node's address.
         first: Position,
     },
-    /// Bytes that are no text in the encoding.
+    /// The bytes are not valid text in the encoding.
     #[error("byte offset {offset}: expected {expected}, found {found}{hint}")]
     Encoding {
-        /// Where, in bytes from the start of the file.
+        /// The offset of the invalid bytes from the start of the file.
         offset: usize,
-        /// What the encoding asks for.
+        /// The expected encoding or content.
         expected: &'static str,
-        /// What is there.
+        /// The bytes in the file.
         found: String,
-        /// What might help.
+        /// A suggestion that is appended to the message.
         hint: &'static str,
     },
-    /// It lists nothing.
+    /// The file lists no node.
     #[error("expected at least one node, found {found}")]
     Empty {
-        /// What is there.
+        /// The content of the file.
         found: String,
     },
-    /// Too much of something.
-    #[error("expected at most {max} {what}, found {found}")]
+    /// The file exceeds a limit.
+    #[error("expected at most {max} {unit}, found {found}")]
     LimitExceeded {
-        /// Of what.
-        what: &'static str,
-        /// The bound.
+        /// The unit of the limit, such as `nodes` or `bytes`.
+        unit: &'static str,
+        /// The limit.
         max: usize,
-        /// What was found, exactly or at least.
+        /// The number found, exact or as a lower bound.
         found: String,
     },
-    /// It can't be read as its form.
+    /// The text is not valid in the file's format.
     #[error("expected {expected}, found {found}")]
     Syntax {
-        /// What its form asks for.
+        /// The expected syntax.
         expected: String,
-        /// What is there.
+        /// The text in the file.
         found: String,
     },
 }
 
-/// The longest part of a file that a message repeats, in characters.
-const SHOWN: usize = 60;
+/// Maximum number of characters of a value that a message quotes.
+const MAX_QUOTED_CHARS: usize = 60;
 
-/// A value as messages show it: in quotes, cut off where it is long, nothing unprintable in it.
-pub(crate) fn shown(value: &str) -> String {
-    let mut text: String = value.chars().take(SHOWN).flat_map(char::escape_debug).collect();
-    if value.chars().nth(SHOWN).is_some() {
+/// Quotes a value for messages: escapes unprintable characters and truncates long values.
+pub(crate) fn quoted(value: &str) -> String {
+    let mut text: String = value.chars().take(MAX_QUOTED_CHARS).flat_map(char::escape_debug).collect();
+    if value.chars().nth(MAX_QUOTED_CHARS).is_some() {
         text.push('…');
     }
     format!("'{text}'")
 }
 
-/// A place as a format keeps it while it reads: its meaning is the format's own, which turns it
-/// into a [`Position`] only when something is wrong there.
+/// A position in the representation of a format's parser, which converts it to a [`Position`] only for
+/// errors and results.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RawPosition(pub u32, pub u32);
 
-/// A refusal whose places are still spots.
+/// An error whose positions are not converted yet.
 #[derive(Debug)]
 pub(crate) struct Fault {
     pub at: RawPosition,
-    pub what: FaultKind,
+    pub kind: FaultKind,
 }
 
-/// What is wrong, with the other place it speaks of, if there is one.
+/// The problem, with the first position of a duplicate or a conflict.
 #[derive(Debug)]
 pub(crate) enum FaultKind {
-    Plain(Problem),
-    Duplicate { what: &'static str, value: String, first: RawPosition },
-    Conflict { what: String, expected: String, first: RawPosition, found: String },
+    Simple(Problem),
+    Duplicate { kind: &'static str, value: String, first: RawPosition },
+    Conflict { subject: String, expected: String, first: RawPosition, found: String },
     DuplicateAddress { address: String, id: String, other: String, first: RawPosition },
 }
 
 impl Fault {
     pub fn new(at: RawPosition, problem: Problem) -> Self {
-        Self { at, what: FaultKind::Plain(problem) }
+        Self { at, kind: FaultKind::Simple(problem) }
     }
 
     pub fn value(
         at: RawPosition,
-        what: impl Into<String>,
+        subject: impl Into<String>,
         expected: impl Into<String>,
         found: impl Into<String>,
     ) -> Self {
-        let (what, expected, found) = (what.into(), expected.into(), found.into());
-        Self::new(at, Problem::Value { what, expected, found })
+        let (subject, expected, found) = (subject.into(), expected.into(), found.into());
+        Self::new(at, Problem::Value { subject, expected, found })
     }
 
-    /// The refusal, with the format's way to tell places.
-    pub fn placed(self, place: impl Fn(RawPosition) -> Position) -> InventoryError {
-        let problem = match self.what {
-            FaultKind::Plain(problem) => problem,
-            FaultKind::Duplicate { what, value, first } => {
-                Problem::Duplicate { what, value, first: place(first) }
+    /// Converts to an [`InventoryError`]; `to_position` converts the parser's positions.
+    pub fn into_error(self, to_position: impl Fn(RawPosition) -> Position) -> InventoryError {
+        let problem = match self.kind {
+            FaultKind::Simple(problem) => problem,
+            FaultKind::Duplicate { kind, value, first } => {
+                Problem::Duplicate { kind, value, first: to_position(first) }
             }
-            FaultKind::Conflict { what, expected, first, found } => {
-                Problem::Conflict { what, expected, first: place(first), found }
+            FaultKind::Conflict { subject, expected, first, found } => {
+                Problem::Conflict { subject, expected, first: to_position(first), found }
             }
             FaultKind::DuplicateAddress { address, id, other, first } => {
-                Problem::DuplicateAddress { address, id, other, first: place(first) }
+                Problem::DuplicateAddress { address, id, other, first: to_position(first) }
             }
         };
-        InventoryError { at: place(self.at), problem }
+        InventoryError { at: to_position(self.at), problem }
     }
 }
--- a/crates/inventory/src/formats/mod.rs
+++ b/crates/inventory/src/formats/mod.rs
@@ -1,4 +1,4 @@
-//! The forms that files may have, and which one a file has.
+//! Detects the format of a file and dispatches to the format's parser.
 
 mod ansible;
 mod csv;
@@ -12,13 +12,13 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Values of a YAML file for each node that it may list.
-const VALUES_PER_ROW: usize = 16;
+/// Maximum number of values in a YAML file per permitted node.
+const MAX_VALUES_PER_NODE: usize = 16;
 
-/// The form of a file.
+/// The format of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// A table as spreadsheets write it.
+    /// A table with a header and separators: RFC 4180 with commas, semicolons or tabs.
     Csv,
     /// An Ansible inventory in YAML.
     Ansible,
@@ -31,7 +31,7 @@
 impl Format {
     const ALL: [Self; 4] = [Self::Csv, Self::Ansible, Self::FileSd, Self::List];
 
-    /// Its name in settings and on the command line.
+    /// The name in settings and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::Csv => "csv",
@@ -57,30 +57,30 @@
     }
 }
 
-/// Reads a file whole, or says why not. One that is over its bound need not be given whole: a byte
-/// more than may be is enough. `name` is the file's name, whose ending tells CSV from
-/// YAML where the options don't.
+/// Parses and validates a whole file, or returns the first error. `name` is the file's name; its extension
+/// selects CSV or YAML if the options give no format. Of a file over the size limit, the first
+/// `max_bytes + 1` bytes suffice.
 pub fn read(bytes: &[u8], name: &str, options: &Options) -> Result<Inventory, InventoryError> {
     if bytes.len() > options.max_bytes {
-        let (what, max, found) = ("bytes", options.max_bytes, format!("{} or more", bytes.len()));
-        return Err(InventoryError { at: START, problem: Problem::LimitExceeded { what, max, found } });
+        let (unit, max, found) = ("bytes", options.max_bytes, format!("{} or more", bytes.len()));
+        return Err(InventoryError { at: START, problem: Problem::LimitExceeded { unit, max, found } });
     }
     let (text, encoding) = encoding::decode(bytes, options.encoding)?;
     let has_complete_end = text.is_empty() || text.ends_with('\n');
     let end = Position::of_offset(&text, text.len());
-    let tabular = match options.format {
+    let is_table = match options.format {
         Some(format) => format == Format::Csv,
-        None => looks_tabular(name, &text),
+        None => looks_like_table(name, &text),
     };
-    let only_ansible = |format: Format| match &options.group {
+    let check_group = |format: Format| match &options.group {
         Some(group) if format != Format::Ansible => {
-            let (what, expected) = (format!("group '{group}'"), "an Ansible inventory".to_string());
-            Err(Problem::Value { what, expected, found: format!("the form {format}") })
+            let (subject, expected) = (format!("group '{group}'"), "an Ansible inventory".to_string());
+            Err(Problem::Value { subject, expected, found: format!("the form {format}") })
         }
         _ => Ok(()),
     };
-    if tabular {
-        only_ansible(Format::Csv).map_err(|problem| InventoryError { at: START, problem })?;
+    if is_table {
+        check_group(Format::Csv).map_err(|problem| InventoryError { at: START, problem })?;
         let (backends, ignored_fields) = csv::read(&text, options)?;
         return Ok(Inventory {
             format: Format::Csv,
@@ -91,14 +91,14 @@
             ignored_fields,
         });
     }
-    let max_values = options.max_nodes.saturating_mul(VALUES_PER_ROW);
-    let place = |spot: RawPosition| Position { line: spot.0, column: spot.1 };
+    let max_values = options.max_nodes.saturating_mul(MAX_VALUES_PER_NODE);
+    let to_position = |raw: RawPosition| Position { line: raw.0, column: raw.1 };
     let parsed = yaml::parse(&text, max_values).and_then(|root| {
         let Some(root) = root.filter(|root| !root.is_null()) else {
             return Err(Fault::new(RawPosition(1, 1), Problem::Empty { found: "an empty document".into() }));
         };
-        let format = options.format.unwrap_or_else(|| shape(&root));
-        only_ansible(format).map_err(|problem| Fault::new(RawPosition(1, 1), problem))?;
+        let format = options.format.unwrap_or_else(|| detect_yaml_format(&root));
+        check_group(format).map_err(|problem| Fault::new(RawPosition(1, 1), problem))?;
         let (backends, ignored_fields) = match format {
             Format::Ansible => ansible::read(&root, options)?,
             Format::FileSd => file_sd::read(&root, options)?,
@@ -106,74 +106,76 @@
         };
         Ok((format, backends, ignored_fields))
     });
-    let (format, backends, ignored_fields) = parsed.map_err(|fault| fault.placed(place))?;
-    // A closed bracket around all of it shows the end as well as the end of a line does.
+    let (format, backends, ignored_fields) = parsed.map_err(|fault| fault.into_error(to_position))?;
+    // The closing bracket of the whole document is a complete end too.
     let has_complete_end = has_complete_end || text.starts_with(['[', '{']) && text.ends_with([']', '}']);
     Ok(Inventory { format, encoding, backends, has_complete_end, end, ignored_fields })
 }
 
+/// The position of errors that concern the whole file.
 const START: Position = Position { line: 1, column: 1 };
 
-fn looks_tabular(name: &str, text: &str) -> bool {
-    let ending = name.rsplit('.').next().unwrap_or_default().to_ascii_lowercase();
-    match ending.as_str() {
+/// Whether a file is a table, by its extension or else by its first line.
+fn looks_like_table(name: &str, text: &str) -> bool {
+    let extension = name.rsplit('.').next().unwrap_or_default().to_ascii_lowercase();
+    match extension.as_str() {
         "csv" | "tsv" | "tab" => true,
         "yaml" | "yml" | "json" => false,
         _ => csv::has_header(text),
     }
 }
 
-/// Which of the YAML forms a document has.
-fn shape(root: &Node) -> Format {
+/// Detects the format of a YAML document.
+fn detect_yaml_format(root: &Node) -> Format {
     use yaml::Kind;
     match &root.kind {
         Kind::List(items) if items.iter().any(|item| item.get("targets").is_some()) => Format::FileSd,
-        Kind::Map(_) if list::under(root).is_none() => Format::Ansible,
+        Kind::Map(_) if list::find_list(root).is_none() => Format::Ansible,
         _ => Format::List,
     }
 }
 
-/// A scalar as the value of a field: None where nothing is written.
-fn value<'a>(node: &'a Node, what: &str) -> Result<Option<Raw<'a>>, Fault> {
+/// The unambiguous text of a scalar; None for null. `subject` names the field in errors.
+fn field_value<'a>(node: &'a Node, subject: &str) -> Result<Option<Raw<'a>>, Fault> {
     let Some(scalar) = node.scalar() else {
-        return Err(Fault::value(node.at, what, "a plain value", node.described()));
+        return Err(Fault::value(node.at, subject, "a plain value", node.describe()));
     };
     if scalar.is_null() {
         return Ok(None);
     }
-    Ok(Some(Raw { text: scalar.certain(node.at, what)?, at: node.at }))
+    Ok(Some(Raw { text: scalar.unambiguous_text(node.at, subject)?, at: node.at }))
 }
 
-/// The same for a weight: a decimal number is no doubtful one there.
-fn weight(node: &Node) -> Result<Option<Raw<'_>>, Fault> {
+/// The text of a scalar that is a weight, which may be a decimal number; None for null.
+fn weight_value(node: &Node) -> Result<Option<Raw<'_>>, Fault> {
     match node.scalar() {
         Some(scalar) if !scalar.is_null() => Ok(Some(Raw { text: &scalar.text, at: node.at })),
-        _ => value(node, "weight"),
+        _ => field_value(node, "weight"),
     }
 }
 
-/// Sets the field of that name, and tells whether there is one.
-fn set<'a>(fields: &mut Fields<'a>, name: &str, node: &'a Node) -> Result<bool, Fault> {
+/// Sets the field with this name. Returns whether such a field exists.
+fn set_field<'a>(fields: &mut Fields<'a>, name: &str, node: &'a Node) -> Result<bool, Fault> {
     let (field, raw) = match name {
-        "id" => (&mut fields.id, value(node, name)?),
-        "address" => (&mut fields.address, value(node, name)?),
-        "host" => (&mut fields.host, value(node, name)?),
-        "port" => (&mut fields.port, value(node, name)?),
-        "zone" => (&mut fields.zone, value(node, name)?),
-        "cell" => (&mut fields.cell, value(node, name)?),
-        "weight" => (&mut fields.weight, weight(node)?),
-        "state" => (&mut fields.state, value(node, name)?),
+        "id" => (&mut fields.id, field_value(node, name)?),
+        "address" => (&mut fields.address, field_value(node, name)?),
+        "host" => (&mut fields.host, field_value(node, name)?),
+        "port" => (&mut fields.port, field_value(node, name)?),
+        "zone" => (&mut fields.zone, field_value(node, name)?),
+        "cell" => (&mut fields.cell, field_value(node, name)?),
+        "weight" => (&mut fields.weight, weight_value(node)?),
+        "state" => (&mut fields.state, field_value(node, name)?),
         _ => return Ok(false),
     };
     *field = raw;
     Ok(true)
 }
 
-/// Names that were passed over, each once, in the order in which they came.
+/// Distinct names of ignored columns or keys, in the order of their first occurrence.
 #[derive(Default)]
 struct IgnoredFields(Vec<String>);
 
-/// So many of them are told of.
+/// Maximum number of ignored names that are reported.
 const MAX_IGNORED_FIELDS: usize = 64;
 
 impl IgnoredFields {
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -1,19 +1,19 @@
-//! Inventories: lists of backends as spreadsheets and configuration tools keep them.
+//! Reads and validates inventories: lists of backends in CSV and YAML files.
 //!
-//! [`read`] turns the bytes of a file into a checked [`Inventory`], or into one [`InventoryError`] that
-//! says where, what was expected and what was found. It does no I/O and keeps nothing between
-//! calls: the same bytes and [`Options`] give the same result. A file is taken whole or not at all.
-//! [`reload`] decides when a file that changes is read and what of it is taken, without I/O too;
-//! [`io`] is the thin part that touches files.
+//! [`read`] parses the bytes of a file into an [`Inventory`], or returns one [`InventoryError`] with the
+//! position, the expected and the found input. It is a pure function of the bytes and the [`Options`].
+//! A file with any error is rejected as a whole.
+//! [`reload`] decides when a changed file is read and whether its list is accepted, also without I/O.
+//! [`io`] reads and watches the files.
 //!
-//! Four forms are read: CSV (RFC 4180), Ansible's YAML inventories, Prometheus' `file_sd` target
-//! groups, and a plain YAML list of nodes. JSON is read as the YAML that it is.
+//! Four formats are supported: CSV (RFC 4180), Ansible's YAML inventories, Prometheus `file_sd` target
+//! groups, and a plain YAML list of nodes. JSON is parsed as a subset of YAML.
 //!
-//! Bounds: a file holds at most [`Options::max_bytes`] bytes and [`Options::max_nodes`] nodes, YAML
-//! is nested at most 64 deep and expands to at most 16 values a permitted node, aliases included, and a
-//! line of CSV holds at most 64 KiB;
-//! what goes beyond is refused. Reading CSV takes about 250 bytes a node beside the text, Ansible's
-//! form 700, and YAML 200 bytes a value, as long as it is read.
+//! Limits: a file holds at most [`Options::max_bytes`] bytes and [`Options::max_nodes`] nodes. YAML is
+//! nested at most 64 levels deep and expands to at most 16 values per permitted node, aliases included.
+//! A line of CSV holds at most 64 KiB. A file over a limit is rejected. While it is read, memory use
+//! is about 250 bytes per node for CSV, in addition to the text, 700 bytes per node for Ansible
+//! inventories, and 200 bytes per value for other YAML.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -34,21 +34,21 @@
 
 use std::sync::Arc;
 
-/// How a file is to be read.
+/// How a file is parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Its form; found out from the file's name and text if it is not said.
+    /// The format; detected from the file's name and text if not given.
     pub format: Option<Format>,
-    /// Its encoding. If it is not said, the byte order mark tells, and without one it is UTF-8:
-    /// a single-byte encoding is never guessed.
+    /// The encoding. If not given, it is taken from the byte order mark; without a mark it is UTF-8.
+    /// A single-byte encoding is never guessed.
     pub encoding: Option<Encoding>,
-    /// Of an Ansible inventory, the group whose hosts are wanted (with those of its children).
+    /// The group of an Ansible inventory to which the list is limited; its child groups are included.
     pub group: Option<String>,
-    /// The port of nodes that state none.
+    /// The port of nodes without one.
     pub default_port: Option<u16>,
-    /// The most bytes that a file may hold.
+    /// Maximum size of a file in bytes.
     pub max_bytes: usize,
-    /// The most nodes that it may list.
+    /// Maximum number of nodes in a file.
     pub max_nodes: usize,
 }
 
@@ -65,56 +65,56 @@
     }
 }
 
-/// A list that was read whole and checked.
+/// A complete, validated list of backends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Inventory {
-    /// The form that it was read in.
+    /// The format of the file.
     pub format: Format,
-    /// The encoding that it was read in.
+    /// The encoding of the file.
     pub encoding: Encoding,
-    /// Its nodes, by id.
+    /// The nodes, sorted by id.
     pub backends: Vec<Backend>,
-    /// The text shows its own end: its last line is complete, or it is one closed bracket. A file
-    /// cut off in the middle of its last line has no such end.
+    /// Whether the text ends in a line break or in the closing bracket of the whole document. A file
+    /// truncated within its last line has no such end.
     pub has_complete_end: bool,
-    /// Where it ends.
+    /// The position of the end of the text.
     pub end: Position,
-    /// Columns or keys that mean nothing here and were passed over.
+    /// Unknown columns or keys, which were ignored.
     pub ignored_fields: Vec<String>,
 }
 
-/// One node.
+/// A node of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
-    /// Its name: 1 to 253 bytes, no control characters, no white space at its ends.
+    /// Unique name: 1 to 253 bytes without control characters or surrounding white space.
     pub id: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: Address,
-    /// Its zone; empty if none is stated.
+    /// The zone; empty if the file has none.
     pub zone: Arc<str>,
-    /// Its cell; 0 if none is stated.
+    /// The cell; 0 if the file has none.
     pub cell: u32,
-    /// Its size beside the others': finite, not below 0; 1 if none is stated. Nothing new goes to
-    /// a node of weight 0.
+    /// Relative capacity: finite and not negative; 1 if the file has none. A node of weight 0 receives
+    /// no new requests.
     pub weight: f64,
-    /// Whether it takes requests.
+    /// Whether it receives new requests.
     pub state: State,
-    /// Where the file names it.
+    /// Its position in the file.
     pub at: Position,
 }
 
-/// Whether a node takes requests.
+/// Whether a node receives new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
-    /// It does.
+    /// It receives new requests.
     #[default]
     Serving,
-    /// It completes what it has, and gets nothing new.
+    /// It completes its open requests and receives no new ones.
     Draining,
 }
 
 impl State {
-    /// Its word in files.
+    /// The name of the state in files.
     pub fn name(self) -> &'static str {
         match self {
             Self::Serving => "serving",
--- a/crates/inventory/tests/refused.rs
+++ b/crates/inventory/tests/refused.rs
@@ -133,10 +133,10 @@
 #[test]
 fn yaml_that_two_readers_would_read_in_two_ways() {
     for (word, read_as) in [
-        ("no", "a truth value"),
-        ("on", "a truth value"),
+        ("no", "a boolean"),
+        ("on", "a boolean"),
         ("012", "octal"),
-        ("22:22", "sixties"),
+        ("22:22", "base-60"),
         ("1.10", "decimal"),
         ("0x1F", "base"),
         ("2026-12-01", "date"),
@@ -160,7 +160,7 @@
         refused("n.yaml", &host, "3:5", &["host name", read_as]);
     }
     refused("n.yaml", "- id: a\n  host: 10.0.0.1\n  port: 012\n", "3:9", &["port", "octal"]);
-    refused("n.yaml", "- id: a\n  address: 22:22\n", "2:12", &["address", "sixties"]);
+    refused("n.yaml", "- id: a\n  address: 22:22\n", "2:12", &["address", "base-60"]);
     for weight in [".nan", ".inf", "-.inf", "-1", "1e400", "NaN"] {
         refused(
             "n.yaml",
