--- a/crates/inventory/benches/read.rs
+++ b/crates/inventory/benches/read.rs
@@ -1,5 +1,5 @@
-//! Reading 100,000 rows against the bare `csv` crate reading the same bytes into records of its
-//! own, in one run: at most 3 times its time. And how much memory the list takes.
+//! Compares the time to read a table of 100,000 rows with that of the `csv` crate alone, at most 3 times as long, and
+//! measures the memory of the list.
 //!
 //! `cargo bench -p dewpier-inventory`
 
@@ -15,10 +15,13 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
+/// Number of rows of the table.
 const ROWS: usize = 100_000;
+/// Number of timed runs, of which the median counts.
 const RUNS: usize = 15;
 
-fn table(quoted: bool) -> String {
+/// Writes a table whose comment column has quotes or not.
+fn write_table(quoted: bool) -> String {
     let mut text = "id,address,zone,cell,weight,state,comment\n".to_string();
     for i in 0..ROWS {
         let comment = if quoted {
@@ -32,8 +35,8 @@
     text
 }
 
-/// The median time of several runs.
-fn median(mut run: impl FnMut()) -> Duration {
+/// Runs a function [`RUNS`] times and returns the median time.
+fn median_time(mut run: impl FnMut()) -> Duration {
     let mut times: Vec<Duration> = (0..RUNS)
         .map(|_| {
             let start = Instant::now();
@@ -47,18 +50,18 @@
 
 fn main() {
     for quoted in [false, true] {
-        let text = table(quoted);
+        let text = write_table(quoted);
         let options = Options { format: Some(Format::Csv), ..Options::default() };
-        let ours = median(|| {
+        let inventory_time = median_time(|| {
             let list = dewpier_inventory::read(text.as_bytes(), "nodes.csv", &options);
             assert_eq!(black_box(list).expect("read whole").backends.len(), ROWS);
         });
-        let records = median(|| {
+        let csv_records_time = median_time(|| {
             let mut reader = csv::Reader::from_reader(text.as_bytes());
-            let all: Vec<csv::StringRecord> = reader.records().map_while(Result::ok).collect();
-            black_box(all.len());
+            let records: Vec<csv::StringRecord> = reader.records().map_while(Result::ok).collect();
+            black_box(records.len());
         });
-        let one = median(|| {
+        let csv_reused_record_time = median_time(|| {
             let (mut reader, mut record, mut rows) =
                 (csv::Reader::from_reader(text.as_bytes()), csv::StringRecord::new(), 0);
             while reader.read_record(&mut record).unwrap_or(false) {
@@ -66,24 +69,26 @@
             }
             black_box(rows);
         });
-        let before = IN_USE_BYTES.load(Ordering::Relaxed);
-        PEAK_BYTES.store(before, Ordering::Relaxed);
+        let bytes_before = IN_USE_BYTES.load(Ordering::Relaxed);
+        PEAK_BYTES.store(bytes_before, Ordering::Relaxed);
         let list = dewpier_inventory::read(text.as_bytes(), "nodes.csv", &options).expect("read whole");
-        let (held, most) =
-            (IN_USE_BYTES.load(Ordering::Relaxed) - before, PEAK_BYTES.load(Ordering::Relaxed) - before);
+        let (held_bytes, peak_bytes) = (
+            IN_USE_BYTES.load(Ordering::Relaxed) - bytes_before,
+            PEAK_BYTES.load(Ordering::Relaxed) - bytes_before,
+        );
         drop(list);
         let (kind, ms) = (if quoted { "quoted" } else { "bare" }, |d: Duration| d.as_secs_f64() * 1000.0);
         println!(
             "{ROWS} rows, {kind}, {:.1} MB: inventory {:.1} ms; csv into records {:.1} ms, ratio {:.2} (limit 3); \
              csv through one record {:.1} ms, ratio {:.2}; memory {:.1} MB held, {:.1} MB at most",
             text.len() as f64 / 1e6,
-            ms(ours),
-            ms(records),
-            ours.as_secs_f64() / records.as_secs_f64(),
-            ms(one),
-            ours.as_secs_f64() / one.as_secs_f64(),
-            held as f64 / 1e6,
-            most as f64 / 1e6
+            ms(inventory_time),
+            ms(csv_records_time),
+            inventory_time.as_secs_f64() / csv_records_time.as_secs_f64(),
+            ms(csv_reused_record_time),
+            inventory_time.as_secs_f64() / csv_reused_record_time.as_secs_f64(),
+            held_bytes as f64 / 1e6,
+            peak_bytes as f64 / 1e6
         );
     }
 }
--- a/crates/inventory/tests/common/counting.rs
+++ b/crates/inventory/tests/common/counting.rs
@@ -1,19 +1,21 @@
-//! How much memory is in use, and was at most.
+//! An allocator that records the memory in use and its peak.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Counts what is allocated, so that memory is measured and not guessed.
+/// Counts allocated bytes and passes all calls on to the system allocator.
 pub struct CountingAllocator;
 
+/// Bytes in use.
 pub static IN_USE_BYTES: AtomicUsize = AtomicUsize::new(0);
+/// Maximum of [`IN_USE_BYTES`] since it was last reset.
 pub static PEAK_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: all is handed on to the system's allocator; only sums are kept beside.
+// SAFETY: every call is passed on unchanged to the system allocator.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        let now = IN_USE_BYTES.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
-        PEAK_BYTES.fetch_max(now, Ordering::Relaxed);
+        let in_use = IN_USE_BYTES.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
+        PEAK_BYTES.fetch_max(in_use, Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
--- a/crates/inventory/tests/round_trip.rs
+++ b/crates/inventory/tests/round_trip.rs
@@ -1,5 +1,5 @@
-//! A list written in any form and encoding reads back equal, and no bytes whatever make the
-//! reader panic or give half a list.
+//! Property tests: a list written in any format and encoding reads back equal, and arbitrary or damaged files neither
+//! make the parser panic nor yield additional nodes.
 
 mod common;
 
@@ -9,10 +9,12 @@
 use std::collections::HashSet;
 use std::net::IpAddr;
 
+/// Generates a backend.
 fn backend() -> impl Strategy<Value = Backend> {
-    let v4 = (1u8..=223, any::<[u8; 3]>()).prop_map(|(a, [b, c, d])| Host::Ip(IpAddr::from([a, b, c, d])));
+    let v4 =
+        (1u8..=223, any::<[u8; 3]>()).prop_map(|(first, [b, c, d])| Host::Ip(IpAddr::from([first, b, c, d])));
     let v6 = any::<[u16; 7]>()
-        .prop_map(|r| Host::Ip(IpAddr::from([0x2001, r[0], r[1], r[2], r[3], r[4], r[5], r[6]])));
+        .prop_map(|s| Host::Ip(IpAddr::from([0x2001, s[0], s[1], s[2], s[3], s[4], s[5], s[6]])));
     let name = "[a-z]([a-z0-9]{0,8}[a-z])?(\\.[a-z]{1,5}){0,3}".prop_map(Host::Name);
     let id = "[A-Za-zА-яҚқҰұӘәІі0-9][-_.A-Za-zА-яҚқҰұӘәІі0-9]{0,20}";
     let zone = "([a-zА-я]{1,3}[- ,;0-9\"']{0,2}[a-z])?";
@@ -31,11 +33,12 @@
     )
 }
 
+/// Generates a list of backends with distinct ids and addresses.
 fn backends() -> impl Strategy<Value = Vec<Backend>> {
-    prop::collection::vec(backend(), 1..12).prop_map(|mut all| {
+    prop::collection::vec(backend(), 1..12).prop_map(|mut list| {
         let (mut ids, mut addresses) = (HashSet::new(), HashSet::new());
-        all.retain(|b| ids.insert(b.id.clone()) && addresses.insert(b.address.clone()));
-        all
+        list.retain(|b| ids.insert(b.id.clone()) && addresses.insert(b.address.clone()));
+        list
     })
 }
 
@@ -43,23 +46,23 @@
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_written_reads_back(backends in backends()) {
-        for (format, text) in forms(&backends) {
+    fn written_list_reads_back_equal_in_every_format_and_encoding(backends in backends()) {
+        for (format, text) in write_all_formats(&backends) {
             for encoding in [Encoding::Utf8, Encoding::Utf16Le, Encoding::Utf16Be, Encoding::Windows1251, Encoding::Kz1048] {
                 let Some(bytes) = encode(&text, encoding, false) else { continue };
-                let single = matches!(encoding, Encoding::Windows1251 | Encoding::Kz1048);
-                let options = Options { encoding: single.then_some(encoding), ..Options::default() };
-                let read = dewpier_inventory::read(&bytes, file_name(format), &options);
-                let read = read.map_err(|r| TestCaseError::fail(format!("{r}\n{text}")))?;
-                prop_assert_eq!(read.format, format, "{}", text);
-                prop_assert_eq!(read.encoding, encoding);
-                prop_assert_eq!(bare(&read.backends), bare(&backends), "{}", text);
+                let is_single_byte = matches!(encoding, Encoding::Windows1251 | Encoding::Kz1048);
+                let options = Options { encoding: is_single_byte.then_some(encoding), ..Options::default() };
+                let result = dewpier_inventory::read(&bytes, file_name(format), &options);
+                let list = result.map_err(|error| TestCaseError::fail(format!("{error}\n{text}")))?;
+                prop_assert_eq!(list.format, format, "{}", text);
+                prop_assert_eq!(list.encoding, encoding);
+                prop_assert_eq!(without_positions(&list.backends), without_positions(&backends), "{}", text);
             }
         }
     }
 
     #[test]
-    fn no_bytes_make_it_panic(
+    fn arbitrary_bytes_do_not_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..400),
         name in prop::sample::select(vec!["a.csv", "a.yaml", "a"]),
         encoding in prop::sample::select(vec![None, Some(Encoding::Kz1048), Some(Encoding::Utf16Le)]),
@@ -69,7 +72,7 @@
     }
 
     #[test]
-    fn no_text_of_its_own_signs_makes_it_panic(
+    fn text_of_syntax_tokens_does_not_panic(
         text in "([-:,;\"'\\[\\]{}&*!|>?#%@` \n\r\ta-c0-9.]|hosts:|all:|children:|targets:|id|address|\\[1:3\\]|<<: ){0,60}",
         name in prop::sample::select(vec!["a.csv", "a.yaml", "a"]),
     ) {
@@ -77,32 +80,32 @@
     }
 
     #[test]
-    fn what_is_broken_is_refused_or_read_whole(
+    fn damaged_file_is_rejected_or_yields_no_additional_nodes(
         backends in backends(),
-        form in any::<prop::sample::Index>(),
-        cut in any::<prop::sample::Index>(),
-        flip in any::<u8>(),
-        how in 0..3,
+        format_index in any::<prop::sample::Index>(),
+        position in any::<prop::sample::Index>(),
+        flipped_bits in any::<u8>(),
+        damage in 0..3,
     ) {
-        let all = forms(&backends);
-        let (format, text) = &all[form.index(all.len())];
+        let files = write_all_formats(&backends);
+        let (format, text) = &files[format_index.index(files.len())];
         let mut bytes = text.clone().into_bytes();
-        let at = cut.index(bytes.len());
-        match how {
-            0 => bytes.truncate(at),
-            1 => bytes[at] ^= flip.max(1),
-            _ => drop(bytes.remove(at)),
+        let offset = position.index(bytes.len());
+        match damage {
+            0 => bytes.truncate(offset),
+            1 => bytes[offset] ^= flipped_bits.max(1),
+            _ => drop(bytes.remove(offset)),
         }
-        if let Ok(read) = dewpier_inventory::read(&bytes, file_name(*format), &Options::default()) {
-            // Never more nodes than there were, and none twice.
-            let ids: HashSet<&str> = read.backends.iter().map(|b| b.id.as_str()).collect();
-            prop_assert_eq!(ids.len(), read.backends.len());
-            prop_assert!(!read.backends.is_empty() && read.backends.len() <= backends.len());
-            // A cut that leaves an end in sight has lost whole rows at the most: each node that is
-            // left is one that was written.
-            if how == 0 && read.has_complete_end {
-                let written = bare(&backends);
-                for b in bare(&read.backends) {
+        if let Ok(list) = dewpier_inventory::read(&bytes, file_name(*format), &Options::default()) {
+            // Neither additional nodes nor duplicate ids.
+            let ids: HashSet<&str> = list.backends.iter().map(|b| b.id.as_str()).collect();
+            prop_assert_eq!(ids.len(), list.backends.len());
+            prop_assert!(!list.backends.is_empty() && list.backends.len() <= backends.len());
+            // A truncated table with a complete end has lost whole rows only, so that each remaining node is one
+            // that was written.
+            if damage == 0 && list.has_complete_end {
+                let written = without_positions(&backends);
+                for b in without_positions(&list.backends) {
                     prop_assert!(written.contains(&b) || *format != dewpier_inventory::Format::Csv, "{:?}", b);
                 }
             }
