--- a/crates/dewpier/src/config/classes.rs
+++ b/crates/dewpier/src/config/classes.rs
@@ -8,6 +8,7 @@
 use std::time::Duration;
 use toml::Spanned;
 
+/// A table `[[class]]` as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawClass {
@@ -23,6 +24,7 @@
     matches: Vec<RawMatch>,
 }
 
+/// The setting `effect`: whether requests of the class may be repeated.
 #[derive(Clone, Copy, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 enum RawEffect {
@@ -31,6 +33,7 @@
     Unsafe,
 }
 
+/// The setting `group`: which backends share the keys of a keyed class.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum RawGroup {
@@ -39,6 +42,7 @@
     Cell,
 }
 
+/// An entry of `match` as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawMatch {
@@ -80,6 +84,7 @@
     Ok(Classes { classes, names, routes })
 }
 
+/// Checks one class.
 fn check_class(raw: &RawClass) -> Result<Class, InvalidValue> {
     let seconds = |value: Duration| value.as_secs_f64();
     let deadline = check_millis(&raw.deadline_ms, "deadline_ms", [1, 24 * HOUR_MILLIS], 15_000)?;
@@ -118,6 +123,7 @@
     })
 }
 
+/// Checks one entry of `match`.
 fn check_route(raw: &RawMatch, class: usize) -> Result<Route, InvalidValue> {
     let mut methods = Vec::new();
     for method in &raw.methods {
--- a/crates/dewpier/src/config/fleet.rs
+++ b/crates/dewpier/src/config/fleet.rs
@@ -53,6 +53,7 @@
     Planners,
 }
 
+/// The table `[fleet]` as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawFleet {
@@ -70,6 +71,7 @@
     silent_after_ms: Option<Spanned<i64>>,
 }
 
+/// An entry of `peers` as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawPeer {
@@ -77,6 +79,7 @@
     address: Option<Spanned<String>>,
 }
 
+/// Checks the name of a proxy.
 fn check_name(raw: &Spanned<String>) -> Result<String, InvalidValue> {
     let text = raw.get_ref();
     if !(1..=MAX_NAME_BYTES).contains(&text.len()) || text.chars().any(char::is_control) {
--- a/crates/dewpier/src/config/inventory.rs
+++ b/crates/dewpier/src/config/inventory.rs
@@ -25,6 +25,7 @@
     pub resolve_names: bool,
 }
 
+/// The table `[inventory]` as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawInventory {
@@ -44,10 +45,12 @@
     max_nodes: Option<Spanned<i64>>,
 }
 
+/// The default of `complete_end`.
 fn yes() -> bool {
     true
 }
 
+/// The setting `names`: whether host names are refused or looked up.
 #[derive(Clone, Copy, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 enum HostNames {
--- a/crates/dewpier/src/config/mod.rs
+++ b/crates/dewpier/src/config/mod.rs
@@ -75,9 +75,10 @@
     Planners(Box<Planners>),
 }
 
+/// The configuration file as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct ConfigFile {
     listen: Spanned<String>,
     operator: Option<Spanned<String>>,
     #[serde(default)]
@@ -96,6 +97,7 @@
     fleet: Option<RawFleet>,
 }
 
+/// The table `[limits]` as written.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct RawLimits {
@@ -106,6 +108,7 @@
     max_retry_after_ms: Option<Spanned<i64>>,
 }
 
+/// The table `[backends]` as written.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct RawBackends {
@@ -119,6 +122,7 @@
     tip_after_ms: Option<Spanned<i64>>,
 }
 
+/// The table `[instances]` as written.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct RawInstances {
@@ -137,7 +141,7 @@
         parse(text, path, Self::check)
     }
 
-    fn check(file: File, path: &Path) -> Result<Self, InvalidValue> {
+    fn check(file: ConfigFile, path: &Path) -> Result<Self, InvalidValue> {
         let listen = parse_address(&file.listen, "listen")?;
         let operator = file.operator.as_ref().map(|raw| parse_address(raw, "operator")).transpose()?;
         if let (Some(address), Some(raw)) = (operator.filter(|a| !a.ip().is_loopback()), &file.operator) {
--- a/crates/dewpier/src/config/mysql.rs
+++ b/crates/dewpier/src/config/mysql.rs
@@ -59,6 +59,7 @@
     pub server_credentials: Credentials,
 }
 
+/// The table `[mysql]` as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawMySql {
@@ -88,6 +89,7 @@
     replicas: Option<RawInventory>,
 }
 
+/// A file of users as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawUsers {
--- a/crates/dewpier/src/config/planner.rs
+++ b/crates/dewpier/src/config/planner.rs
@@ -34,6 +34,7 @@
     pub tls: Option<CertificateFiles>,
 }
 
+/// The configuration file as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct PlannerFile {
@@ -49,6 +50,7 @@
     tls: Option<RawTls>,
 }
 
+/// The table `[cluster]` as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawCluster {
--- a/crates/dewpier/src/config/planners.rs
+++ b/crates/dewpier/src/config/planners.rs
@@ -35,6 +35,7 @@
     pub status_socket: Option<PathBuf>,
 }
 
+/// The table `[planners]` as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawPlanners {
--- a/crates/dewpier/src/config/secured.rs
+++ b/crates/dewpier/src/config/secured.rs
@@ -10,6 +10,7 @@
 use std::time::Duration;
 use toml::Spanned;
 
+/// The table `tls` as written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawTls {
--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -50,7 +50,9 @@
     peers: Peers,
     verdicts: Verdicts,
     overrides: OperatorOverrides,
+    /// The listed nodes by backend id.
     nodes: HashMap<BackendId, NodeId>,
+    /// Backend ids and names of the listed nodes.
     names: HashMap<NodeId, (BackendId, String)>,
     /// The verdicts that the decision module was given as hints. Keyed by backend id, as a node may leave the list or
     /// change its address before its hint is withdrawn.
@@ -75,6 +77,7 @@
     config: FleetConfig,
     start: Instant,
     own_id: ProxyId,
+    /// The names of the request classes.
     classes: Vec<String>,
 }
 
@@ -95,7 +98,7 @@
     pub fn start(config: FleetConfig, zone: &str, classes: Vec<String>) -> Rc<Self> {
         let start = Instant::now();
         let now = clock_offset(&config);
-        // Zero is reserved.
+        // Zero stands for no process.
         let incarnation = (crate::list_updater::random_seed() as u32).max(1);
         let own_process = Process { proxy: ProxyId::from_name(&config.name), incarnation };
         let others: Vec<ProxyId> = config.peers.iter().map(|name| ProxyId::from_name(name)).collect();
--- a/crates/dewpier/src/fleet_transport.rs
+++ b/crates/dewpier/src/fleet_transport.rs
@@ -84,10 +84,10 @@
         }
     }
 
-    fn send(&mut self, outs: Vec<OutgoingDatagram>) {
+    fn send(&mut self, datagrams: Vec<OutgoingDatagram>) {
         match self {
-            Self::Udp(udp) => udp.send(outs),
-            Self::Planners(relay) => relay.send(outs),
+            Self::Udp(udp) => udp.send(datagrams),
+            Self::Planners(relay) => relay.send(datagrams),
         }
     }
 }
@@ -112,9 +112,12 @@
         Some((length, None))
     }
 
-    fn send(&mut self, outs: Vec<OutgoingDatagram>) {
-        let letters = outs.into_iter().map(|out| RelayedMessage { to: out.to.0, bytes: out.bytes }).collect();
-        let _ = self.outgoing.try_send(letters); // the next round repeats the contents
+    fn send(&mut self, datagrams: Vec<OutgoingDatagram>) {
+        let messages = datagrams
+            .into_iter()
+            .map(|datagram| RelayedMessage { to: datagram.to.0, bytes: datagram.bytes })
+            .collect();
+        let _ = self.outgoing.try_send(messages); // the next round repeats the contents
     }
 }
 
--- a/crates/dewpier/src/lists/resolve.rs
+++ b/crates/dewpier/src/lists/resolve.rs
@@ -32,14 +32,14 @@
         name: String,
     },
     /// A host name without an address.
-    #[error("{at}: expected a host name that can be looked up, found {name}: {why}")]
+    #[error("{at}: expected a host name that can be looked up, found {name}: {reason}")]
     NotFound {
         /// The node's position in the file.
         at: Place,
         /// The host name.
         name: String,
         /// The error of the lookup.
-        why: String,
+        reason: String,
     },
     /// Two nodes with the same address.
     #[error("{at}: expected one node an address, found '{id}' and '{other}' ({other_at}) both at {address}")]
@@ -72,9 +72,9 @@
             Host::Name(name) => match found.get(name) {
                 Some(Ok(ip)) => *ip,
                 failed => {
-                    let why =
+                    let reason =
                         failed.and_then(|result| result.clone().err()).unwrap_or("no answer in time".into());
-                    return Err(ResolveError::NotFound { at: backend.at, name: name.clone(), why });
+                    return Err(ResolveError::NotFound { at: backend.at, name: name.clone(), reason });
                 }
             },
         };
--- a/crates/dewpier/src/members.rs
+++ b/crates/dewpier/src/members.rs
@@ -22,8 +22,11 @@
 #[derive(Debug)]
 pub struct Members {
     backend_ids: BackendIds,
+    /// Zone names by index.
     zones: Vec<String>,
+    /// The listed nodes by name.
     members: HashMap<String, Member>,
+    /// Whether no list has been taken yet.
     is_first_list: bool,
     /// The planners' budgets of cold nodes, in requests per second by node name.
     budgets: HashMap<String, f64>,
@@ -47,7 +50,7 @@
 
     /// Takes a new list at `now` and returns the update for the engine. Nodes of the first list count as warm. A node
     /// that appears later, serves again after a drain or has another address counts as just started, hence cold. A
-    /// node's number depends on its id alone, not on its row or address. `ages` holds the time since nodes started,
+    /// node's backend id depends on its name alone, not on its row or address. `ages` holds the time since nodes started,
     /// in seconds by name, as far as planners know it.
     pub fn update_nodes(
         &mut self,
--- a/crates/dewpier/src/platform.rs
+++ b/crates/dewpier/src/platform.rs
@@ -84,23 +84,24 @@
         std::future::pending().await
     };
     let server = Server::new(engine, config.settings, config.wire, Dialect::Platform, limits, metrics);
-    let answering = server.clone();
+    let answering_server = server.clone();
     let operating = async move {
         match operator_listener {
             Some(listener) => {
-                operators::serve(listener, Rc::new(move |call| answering.handle_operator_call(call))).await
+                operators::serve(listener, Rc::new(move |call| answering_server.handle_operator_call(call)))
+                    .await
             }
             None => std::future::pending().await,
         }
     };
     // The limits are shared with the predecessor.
     server.update_limit_sharing(predecessor.is_running());
-    let (serving_server, may_hand_over) = (server.clone(), Notify::new());
+    let (accepting_server, may_hand_over) = (server.clone(), Notify::new());
     let serving = async {
         if predecessor.shares_accept_queue() {
             // Until there is a backend list, the predecessor accepts the connections.
             let listed = async {
-                while !serving_server.has_list() {
+                while !accepting_server.has_list() {
                     tokio::time::sleep(LIST_CHECK_INTERVAL).await;
                 }
             };
@@ -116,7 +117,7 @@
         }
         let predecessor_exited = async {
             predecessor.wait_for_exit().await;
-            serving_server.update_limit_sharing(false);
+            accepting_server.update_limit_sharing(false);
             std::future::pending().await
         };
         tokio::select! {
@@ -125,10 +126,10 @@
         }
     };
     // The handover socket is replaced once this process serves, so that a newer process asks this one.
-    let (handing_over, handover_path) = (serving_server.clone(), takeover::handover_path(address));
+    let (handover_server, handover_path) = (accepting_server.clone(), takeover::handover_path(address));
     let handovers = async {
         may_hand_over.notified().await;
-        takeover::serve_handovers(handover_path.as_deref(), weak_listener, handing_over).await;
+        takeover::serve_handovers(handover_path.as_deref(), weak_listener, handover_server).await;
         std::future::pending::<()>().await;
     };
     tokio::select! {
