--- a/crates/dewpier/src/config/mysql.rs
+++ b/crates/dewpier/src/config/mysql.rs
@@ -5,7 +5,7 @@
     read_text, resolve_path,
 };
 use super::inventory::{Inventory, RawInventory, check_inventory};
-use dewpier_mysql::auth::Kept;
+use dewpier_mysql::auth::PasswordHash;
 use dewpier_mysql::io::FrontSettings;
 use dewpier_mysql::login::Credentials;
 use gannetproxy::{Class, Effect, Settings};
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug)]
 pub struct Secrets {
     /// Password hashes of the clients, by user name.
-    pub users: HashMap<String, Kept>,
+    pub users: HashMap<String, PasswordHash>,
     /// The credentials with which the proxy logs in to servers.
     pub server_credentials: Credentials,
 }
@@ -160,11 +160,16 @@
             ..Settings::default()
         },
         front: FrontSettings {
-            version: version.to_string(),
-            most_sessions: check_integer(&raw.max_sessions, "max_sessions", [1, 100_000], 1000)? as usize,
-            idle: check_millis(&raw.idle_ms, "idle_ms", [1000, 7 * DAY_MILLIS], 8 * HOUR_MILLIS)?,
-            most_command: megabytes(&raw.max_command_mb, "max_command_mb", 64)?,
-            own_writes: check_millis(&raw.read_own_writes_ms, "read_own_writes_ms", [0, HOUR_MILLIS], 1000)?,
+            server_version: version.to_string(),
+            max_sessions: check_integer(&raw.max_sessions, "max_sessions", [1, 100_000], 1000)? as usize,
+            idle_timeout: check_millis(&raw.idle_ms, "idle_ms", [1000, 7 * DAY_MILLIS], 8 * HOUR_MILLIS)?,
+            max_command_bytes: megabytes(&raw.max_command_mb, "max_command_mb", 64)?,
+            read_own_writes_window: check_millis(
+                &raw.read_own_writes_ms,
+                "read_own_writes_ms",
+                [0, HOUR_MILLIS],
+                1000,
+            )?,
             deadlines: [read_deadline.as_secs_f64(), write_deadline.as_secs_f64()],
         },
         drain_grace: check_millis(&raw.drain_grace_ms, "drain_grace_ms", [10, 60_000], 500)?,
@@ -197,7 +202,7 @@
 }
 
 /// Checks a file of users.
-fn check_users(file: RawUsers, _: &Path) -> Result<HashMap<String, Kept>, InvalidValue> {
+fn check_users(file: RawUsers, _: &Path) -> Result<HashMap<String, PasswordHash>, InvalidValue> {
     let users = file.users.get_ref();
     if users.is_empty() || users.len() > MAX_USERS {
         return invalid(file.users.span(), "users", &format!("1 to {MAX_USERS}"), users.len());
@@ -211,10 +216,10 @@
 }
 
 /// Parses a password hash as a file of users holds it.
-fn parse_hash(text: &str) -> Option<Kept> {
+fn parse_hash(text: &str) -> Option<PasswordHash> {
     match text.strip_prefix("sha2:") {
-        Some(digits) => parse_hex(digits).map(Kept::Sha2),
-        None => parse_hex(text.strip_prefix('*')?).map(Kept::Native),
+        Some(digits) => parse_hex(digits).map(PasswordHash::Sha2),
+        None => parse_hex(text.strip_prefix('*')?).map(PasswordHash::Native),
     }
 }
 
@@ -232,10 +237,11 @@
 /// The hash that a file of users holds for a password: for `caching_sha2_password`, or for `mysql_native_password` if
 /// `native` is set.
 pub fn hash_password(password: &str, native: bool) -> String {
-    let (mark, bytes) = match if native { Kept::native(password) } else { Kept::sha2(password) } {
-        Kept::Native(bytes) => ("*", bytes.to_vec()),
-        Kept::Sha2(bytes) => ("sha2:", bytes.to_vec()),
-    };
+    let (mark, bytes) =
+        match if native { PasswordHash::native(password) } else { PasswordHash::sha2(password) } {
+            PasswordHash::Native(bytes) => ("*", bytes.to_vec()),
+            PasswordHash::Sha2(bytes) => ("sha2:", bytes.to_vec()),
+        };
     let digits: String = bytes.iter().map(|byte| format!("{byte:02X}")).collect();
     format!("{mark}{digits}")
 }
@@ -248,7 +254,7 @@
     fn user_hashes_parse_and_invalid_ones_are_reported_with_their_position() {
         let read =
             |text: &str| parse(text, Path::new("/u.toml"), check_users).map_err(|error| error.to_string());
-        for (native, hash) in [(true, Kept::native("oak")), (false, Kept::sha2("oak"))] {
+        for (native, hash) in [(true, PasswordHash::native("oak")), (false, PasswordHash::sha2("oak"))] {
             let good = format!("[users]\nplanner = \"{}\"\n", hash_password("oak", native));
             assert_eq!(read(&good).unwrap(), [("planner".to_string(), hash)].into());
         }
