--- a/crates/dewpier/src/mysql.rs
+++ b/crates/dewpier/src/mysql.rs
@@ -31,15 +31,15 @@
         config: &MySqlConfig,
         inventory: &Inventory,
         credentials: &Rc<Credentials>,
-        connections: &Rc<Budget>,
-        answers: &Rc<Budget>,
+        connection_budget: &Rc<Budget>,
+        response_budget: &Rc<Budget>,
         role: Role,
     ) -> Result<Self, ServeError> {
         let source = ListSource::from_inventory(inventory.clone())?;
         let mut list_updater = ListUpdater::start(source, vec![config.zone.clone()]).await?;
         let upstream = MySqlUpstream {
-            connection_budget: connections.clone(),
-            response_budget: answers.clone(),
+            connection_budget: connection_budget.clone(),
+            response_budget: response_budget.clone(),
             max_buffered_bytes: config.hold_bytes,
             max_packet_bytes: config.max_packet_bytes,
             connect_timeout: config.connect_timeout,
@@ -67,10 +67,10 @@
     pub async fn start(config: MySqlConfig) -> Result<Self, ServeError> {
         let secrets = config.read_secrets().map_err(|error| ServeError::BadInput(error.to_string()))?;
         let credentials = Rc::new(secrets.server_credentials);
-        let (connections, answers) =
+        let (connection_budget, response_budget) =
             (Budget::new(config.max_connections), Budget::new(config.max_held_bytes));
         let start_group = |inventory, role| {
-            ServerGroup::start(&config, inventory, &credentials, &connections, &answers, role)
+            ServerGroup::start(&config, inventory, &credentials, &connection_budget, &response_budget, role)
         };
         let primary = start_group(&config.inventory, Role::Primary).await?;
         let replicas = match &config.replicas {
