--- a/crates/dewpier/examples/trials.rs
+++ b/crates/dewpier/examples/trials.rs
@@ -5,8 +5,8 @@
 
 use clap::Parser;
 use dewpier_trials::campaign;
-use dewpier_trials::schedule::{Schedule, Size};
-use dewpier_trials::stage::Settings;
+use dewpier_trials::harness::Settings;
+use dewpier_trials::schedule::{RunSize, Schedule};
 use std::process::ExitCode;
 
 /// Plays faults on a fleet of real processes.
@@ -40,22 +40,29 @@
 
 fn main() -> ExitCode {
     let told = Told::parse();
-    let size = Size { proxies: told.proxies as usize, nodes: 8, length_ms: told.length_ms, apart_ms: 8000 };
+    let size = RunSize {
+        proxies: told.proxies as usize,
+        nodes: 8,
+        duration_ms: told.length_ms,
+        node_fault_spacing_ms: 8000,
+    };
     let settings = Settings {
         planners: told.planners as usize,
-        by_planners: told.by_planners && told.planners > 0,
+        relay_by_planners: told.by_planners && told.planners > 0,
         ..Settings::default()
     };
     let seeds = told.first..told.first.saturating_add(told.seeds);
     if told.show {
         let drawn = |seed| match settings.planners {
-            0 => Schedule::draw(seed, size),
-            planners => Schedule::draw(seed, size).with_planners(planners).carried(settings.by_planners),
+            0 => Schedule::generate(seed, size),
+            planners => Schedule::generate(seed, size)
+                .with_planners(planners)
+                .with_planner_relay(settings.relay_by_planners),
         };
-        seeds.for_each(|seed| println!("{}", drawn(seed).text()));
+        seeds.for_each(|seed| println!("{}", drawn(seed).to_json()));
         return ExitCode::SUCCESS;
     }
-    let broken = seeds.filter(|s| !campaign::seed(*s, size, settings, told.shrink)).count();
+    let broken = seeds.filter(|s| !campaign::run_seed(*s, size, settings, told.shrink)).count();
     println!("{broken} of {} seeds broke something", told.seeds);
     if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -5,9 +5,9 @@
 use dewpier_standins::backend::Backend;
 use dewpier_standins::mesh::LinkFaults;
 use dewpier_standins::{WAIT_TIMEOUT, wait_for};
-use dewpier_trials::record::Held;
-use dewpier_trials::schedule::Size;
-use dewpier_trials::stage::{SECRET, Settings, Stage};
+use dewpier_trials::harness::{FLEET_KEY, FleetHarness, Settings};
+use dewpier_trials::record::HeldVerdict;
+use dewpier_trials::schedule::RunSize;
 use dewpier_verdicts::{AttemptCounts, Claim, EvidenceEntry, Kind, NodeId};
 use std::collections::HashSet;
 use std::net::{SocketAddr, UdpSocket};
@@ -28,28 +28,33 @@
 /// For timers and machines that are late.
 const SLACK: Duration = Duration::from_secs(3);
 
-struct World(Stage);
+struct World(FleetHarness);
 
 impl World {
     fn start(seed: u64, empty: usize) -> Self {
         let ms = Duration::from_millis;
-        let size = Size { proxies: PROXIES, nodes: NODES, length_ms: 0, apart_ms: 0 };
-        let settings =
-            Settings { every: ms(EVERY), stale: ms(STALE), silent: ms(SILENT), empty, ..Settings::default() };
-        Self(Stage::start(seed, size, settings))
+        let size = RunSize { proxies: PROXIES, nodes: NODES, duration_ms: 0, node_fault_spacing_ms: 0 };
+        let settings = Settings {
+            send_interval: ms(EVERY),
+            max_evidence_age: ms(STALE),
+            silent_after: ms(SILENT),
+            unused_places: empty,
+            ..Settings::default()
+        };
+        Self(FleetHarness::start(seed, size, settings))
     }
 
     /// What a proxy holds. The bound on staleness is checked with it.
-    fn held(&self, proxy: usize) -> Vec<Held> {
-        let held = self.0.held(proxy).expect("an answer in time");
+    fn held(&self, proxy: usize) -> Vec<HeldVerdict> {
+        let held = self.0.read_verdicts(proxy).expect("an answer in time");
         let most = Duration::from_millis(STALE / 2 + EVERY + 1000);
-        let old = held.iter().find(|h| h.oldest > most);
+        let old = held.iter().find(|h| h.oldest_report_age > most);
         assert!(old.is_none(), "proxy {proxy}: rests on an old word: {old:?}");
         held
     }
 
     fn keeps(&self, proxy: usize, node: usize) -> bool {
-        self.held(proxy).iter().any(|h| h.node == node && h.out)
+        self.held(proxy).iter().any(|h| h.node == node && h.is_ejected)
     }
 
     fn keep_out(&self, node: usize) -> usize {
@@ -79,7 +84,7 @@
             return true;
         }
         let met = world.seen_by(node, since, ENOUGH);
-        if met.is_some_and(|met| met.elapsed() > world.0.bounds().avoided(lost) + SLACK) {
+        if met.is_some_and(|met| met.elapsed() > world.0.bounds().avoidance_delay(lost) + SLACK) {
             break;
         }
         assert!(
@@ -89,9 +94,9 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     for proxy in 0..PROXIES {
-        println!("{proxy}: {}", world.0.call(proxy, "verdicts").unwrap_or_default());
+        println!("{proxy}: {}", world.0.call_operator(proxy, "verdicts").unwrap_or_default());
     }
-    println!("{}", world.0.call(0, "vars").unwrap_or_default());
+    println!("{}", world.0.call_operator(0, "vars").unwrap_or_default());
     false
 }
 
@@ -102,14 +107,14 @@
     assert!(world.held(0).iter().any(|h| h.node == 2 && h.kind == "silent"));
     // Half of all datagrams are lost, some come twice, and they overtake each other.
     let delay = Duration::from_millis(50);
-    world.0.mesh.set_faults(
+    world.0.datagram_network.set_faults(
         LinkFaults { lost_per_mille: 500, duplicated_per_mille: 200, max_delay: delay, cut: false },
         |_, _| true,
     );
     assert!(turns_bad(&world, 5, 0.5, |b| b.set_failing(true)), "it answers 500");
-    assert!(world.0.figure(3, "datagrams_refused.doubled") > Some(0));
+    assert!(world.0.read_metric(3, "datagrams_refused.doubled") > Some(0));
     // Where the proxies don't hear each other none condemns anything, as one alone is not believed.
-    world.0.mesh.set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |_, _| true);
+    world.0.datagram_network.set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |_, _| true);
     world.0.nodes[2].set_response_time(Duration::from_millis(30));
     world.0.nodes[5].set_failing(false);
     wait_for("verdicts to lapse", || (0..PROXIES).all(|p| !world.keeps(p, 2) && !world.keeps(p, 5)));
@@ -125,7 +130,7 @@
     // One hears nobody, one is heard by nobody, so that nobody answers its questions.
     world
         .0
-        .mesh
+        .datagram_network
         .set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |from, to| to == 4 || from == 5);
     world.0.nodes[2].set_failing(true);
     wait_for("a verdict of all that hear", || {
@@ -133,7 +138,7 @@
     });
     assert!(!world.keeps(4, 2), "it hears nobody");
     // One stands still while it holds the verdict; meanwhile the node recovers and everybody knows.
-    world.0.signal(7, "-STOP");
+    world.0.send_signal(7, "-STOP");
     world.0.nodes[2].set_failing(false);
     let stopped = Instant::now();
     // A liar's word keeps it up until two trials go well within half of the bound. Who is drawn to try may not have
@@ -145,13 +150,13 @@
     }
     println!("trials lifted it after {:?}", stopped.elapsed());
     std::thread::sleep(Duration::from_millis(STALE / 2 + 500).saturating_sub(stopped.elapsed()));
-    world.0.signal(7, "-CONT");
+    world.0.send_signal(7, "-CONT");
     // Its socket is full of what was said then. Its first judgement is a round away.
     std::thread::sleep(Duration::from_millis(5 * EVERY));
     assert!(!world.keeps(7, 2), "after it stood still");
-    world.0.mesh.set_faults(LinkFaults::default(), |_, _| true);
+    world.0.datagram_network.set_faults(LinkFaults::default(), |_, _| true);
     wait_for("talk of all with all", || {
-        (0..PROXIES).all(|p| world.0.figure(p, "partners_answering") == Some(PROXIES as u64))
+        (0..PROXIES).all(|p| world.0.read_metric(p, "partners_answering") == Some(PROXIES as u64))
     });
     // A busy machine may make three others complain of a node now and then, never for long.
     wait_for("the liar alone to be disbelieved", || (0..NODES).all(|node| world.keep_out(node) == 0));
@@ -192,10 +197,10 @@
 impl Liar {
     fn start(world: &World) -> Self {
         let name = |i: usize| ProxyId::from_name(&format!("proxy-{i}"));
-        let socket = UdpSocket::bind(world.0.mesh.listen_addresses[PROXIES]).unwrap();
+        let socket = UdpSocket::bind(world.0.datagram_network.listen_addresses[PROXIES]).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
         let to: Vec<(ProxyId, SocketAddr)> =
-            (0..PROXIES).map(|i| (name(i), world.0.mesh.send_address(PROXIES, i))).collect();
+            (0..PROXIES).map(|i| (name(i), world.0.datagram_network.send_address(PROXIES, i))).collect();
         let id = |(i, b): (usize, &Backend)| NodeId::new(&format!("pricing-{i:02}"), &b.address.to_string());
         let nodes: Vec<NodeId> = world.0.nodes.iter().enumerate().map(id).collect();
         let over = Arc::new(AtomicBool::new(false));
@@ -205,7 +210,7 @@
             let start = Instant::now();
             let (every, stale) = (Duration::from_millis(EVERY), Duration::from_secs(4));
             let me = Process { proxy: name(PROXIES), incarnation: 1 };
-            let key = Key::from_secret(SECRET);
+            let key = Key::from_secret(FLEET_KEY);
             let others = (0..PROXIES).map(name).collect();
             let settings = dewpier_peers::Settings {
                 own_process: me,
--- a/crates/dewpier/tests/kept.rs
+++ b/crates/dewpier/tests/kept.rs
@@ -4,15 +4,15 @@
 
 use dewpier_standins::faulty::{ALL_FAULTS, Fault, FaultyBackend};
 use dewpier_standins::shop::{RunCounts, duplicate_orders, run_clients};
-use dewpier_trials::served::Served;
+use dewpier_trials::process::DewpierProcess;
 use std::time::Duration;
 
 const CLASSES: &str = "[[class]]\nname = \"quote\"\neffect = \"safe\"\naim_ms = 5000\ndeadline_ms = 20000\nmatch = [{ methods = [\"GET\"] }]\n\
 [[class]]\nname = \"order\"\neffect = \"unsafe\"\naim_ms = 5000\ndeadline_ms = 20000\nmatch = [{ methods = [\"POST\"] }]\n";
 
-fn served(nodes: &[FaultyBackend]) -> Served {
+fn served(nodes: &[FaultyBackend]) -> DewpierProcess {
     let rows: String = nodes.iter().enumerate().map(|(i, n)| format!("node-{i},{}\n", n.address)).collect();
-    Served::start("nodes.csv", format!("id,address\n{rows}").as_bytes(), CLASSES)
+    DewpierProcess::serve_inventory("nodes.csv", format!("id,address\n{rows}").as_bytes(), CLASSES)
 }
 
 /// Plays a shop before these backends, and checks what must hold whatever they do.
--- a/crates/dewpier/tests/mysql.rs
+++ b/crates/dewpier/tests/mysql.rs
@@ -3,7 +3,7 @@
 
 use dewpier_standins::mysql::{MySqlServer, ReceivedStatement, Reply};
 use dewpier_standins::wait_for;
-use dewpier_trials::served::*;
+use dewpier_trials::process::*;
 use mysql::prelude::Queryable;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
 #[test]
 fn a_front_for_mysql_clients_is_served_beside_http_and_follows_its_own_inventory() {
     let servers = [MySqlServer::start("elm", answer), MySqlServer::start("elm", answer)];
-    let folder = folder("mysql");
+    let folder = create_test_folder("mysql");
     let write = |name: &str, text: &str| std::fs::write(folder.join(name), text).unwrap();
     let mut hashing = Command::new(env!("CARGO_BIN_EXE_dewpier"))
         .args(["mysql", "hash"])
@@ -62,8 +62,8 @@
         file("password"),
         file("servers.csv"),
     );
-    let proxy = Served::of(&folder.join("nodes.csv"), &settings);
-    let (_, line) = proxy.logged(0, "listening for MySQL on ");
+    let proxy = DewpierProcess::serve_file(&folder.join("nodes.csv"), &settings);
+    let (_, line) = proxy.wait_for_log(0, "listening for MySQL on ");
     let address: SocketAddr = line.rsplit(' ').next().unwrap().parse().unwrap();
     let mut first = client(address).unwrap();
     for _ in 0..20 {
@@ -71,9 +71,9 @@
     }
     first.query_drop("INSERT INTO t VALUES (1)").unwrap();
 
-    let from = proxy.lines();
+    let from = proxy.log_line_count();
     write("servers.csv", &inventory(&[(&servers[0], "draining"), (&servers[1], "serving")]));
-    proxy.logged(from, "1 of them serving");
+    proxy.wait_for_log(from, "1 of them serving");
     std::thread::sleep(Duration::from_millis(500));
     let before = servers[0].statements().len();
     for _ in 0..20 {
@@ -83,7 +83,7 @@
 
     let running = std::thread::spawn(move || first.query_drop("INSERT INTO t VALUES (2)"));
     wait_for("statement", || servers[1].count_statements("INSERT INTO t VALUES (2)") == 1);
-    proxy.stop();
+    proxy.terminate();
     assert!(running.join().unwrap().is_ok(), "it was taken");
     assert!(client(address).is_err());
 }
@@ -106,7 +106,7 @@
     let (code, told, _) = check(&deploy.join("mysql.toml"));
     assert!(code == Some(0) && told.contains("3 backends"), "{told}");
     let good = std::fs::read_to_string(deploy.join("mysql.toml")).unwrap();
-    let folder = folder("checked");
+    let folder = create_test_folder("checked");
     for name in ["nodes.csv", "mysql-servers.csv", "mysql-replicas.csv", "mysql-users.toml", "mysql-password"]
     {
         std::fs::copy(deploy.join(name), folder.join(name)).unwrap();
--- a/crates/dewpier/tests/plan.rs
+++ b/crates/dewpier/tests/plan.rs
@@ -4,7 +4,7 @@
 use dewpier_standins::backend::Backend;
 use dewpier_standins::load::{LoadGenerator, ResponseCounts};
 use dewpier_standins::{reserve_addresses, wait_for};
-use dewpier_trials::served::*;
+use dewpier_trials::process::*;
 use std::collections::HashMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 fn load(address: SocketAddr, name: &'static str) -> LoadGenerator {
-    orders(address, name, 4, Duration::from_millis(1))
+    start_order_load(address, name, 4, Duration::from_millis(1))
 }
 
 /// That table with its first `count` rows draining.
@@ -29,8 +29,8 @@
 fn forwarders_follow_a_planner_through_drains_and_its_death() {
     let backends: Vec<Backend> =
         (0..6).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
-    let file = folder("plan").join("nodes.csv");
-    let good = table(&backends);
+    let file = create_test_folder("plan").join("nodes.csv");
+    let good = inventory_csv(&backends);
     std::fs::write(&file, &good).unwrap();
     let without = |from: usize, to: usize| -> String {
         let drained = |l: &str| (from..to).any(|i| l.starts_with(&format!("pricing-{i:02}")));
@@ -38,18 +38,21 @@
             .map(|l| if drained(l) { l.replace("serving", "draining") } else { l.into() } + "\n")
             .collect()
     };
-    let mut planner = Served::planner(&reserve_addresses(1)[0].to_string(), &file);
+    let mut planner = DewpierProcess::start_planner(&reserve_addresses(1)[0].to_string(), &file);
     let address = planner.address;
-    let forwarders = [Served::forwarder("f0", &[address]), Served::forwarder("f1", &[address])];
+    let forwarders = [
+        DewpierProcess::start_forwarder("f0", &[address]),
+        DewpierProcess::start_forwarder("f1", &[address]),
+    ];
     let loads = [load(forwarders[0].address, "f0"), load(forwarders[1].address, "f1")];
     wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
 
     // A drain: from the moment that the planner was told, by its own log.
-    let lines = planner.lines();
-    replace(&file, without(0, 1).as_bytes());
-    let (told, _) = planner.logged(lines, "backends from");
+    let lines = planner.log_line_count();
+    replace_file(&file, without(0, 1).as_bytes());
+    let (told, _) = planner.wait_for_log(lines, "backends from");
     std::thread::sleep(Duration::from_millis(1200));
-    assert_eq!(late(&backends[0], told), 0);
+    assert_eq!(count_after_drain_grace(&backends[0], told), 0);
 
     // Strangers and nonsense at its door change nothing.
     for nonsense in
@@ -70,19 +73,19 @@
     let sum = |from: usize| backends.iter().skip(from).map(Backend::request_count).sum::<usize>();
     let before = sum(1);
     wait_for("load without planner", || sum(1) > before + 500);
-    assert_eq!(late(&backends[0], told), 0);
+    assert_eq!(count_after_drain_grace(&backends[0], told), 0);
 
     // Another one takes its place, with a drain more, and one that is over.
-    replace(&file, without(1, 2).as_bytes());
-    let again = Served::planner(&address.to_string(), &file);
+    replace_file(&file, without(1, 2).as_bytes());
+    let again = DewpierProcess::start_planner(&address.to_string(), &file);
     for forwarder in &forwarders {
         wait_for("the new plan", || {
-            forwarder.log().iter().filter(|l| l.contains("backends from")).count() >= 3
+            forwarder.log_lines().iter().filter(|l| l.contains("backends from")).count() >= 3
         });
     }
     let known = Instant::now();
     std::thread::sleep(Duration::from_millis(1200));
-    assert_eq!(late(&backends[1], known), 0);
+    assert_eq!(count_after_drain_grace(&backends[1], known), 0);
     let before = backends[0].request_count();
     wait_for("the one that is back", || backends[0].request_count() > before + 5);
 
@@ -97,8 +100,8 @@
         *orders.entry(order).or_default() += 1;
     }
     assert!(orders.len() > 100 && orders.values().all(|n| *n == 1), "an order ran twice");
-    forwarders.into_iter().for_each(Served::stop);
-    again.stop();
+    forwarders.into_iter().for_each(DewpierProcess::terminate);
+    again.terminate();
 }
 
 #[test]
@@ -107,34 +110,34 @@
     for planners in ["drain_ms = 250", ""] {
         let backends: Vec<Backend> =
             (0..4).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
-        let file = folder("bound").join("nodes.csv");
-        let good = table(&backends);
+        let file = create_test_folder("bound").join("nodes.csv");
+        let good = inventory_csv(&backends);
         std::fs::write(&file, &good).unwrap();
-        let mut planner = Served::planner_with("127.0.0.1:0", &file, planners);
+        let mut planner = DewpierProcess::start_planner_with("127.0.0.1:0", &file, planners);
         // Of what is sent each tenth of a second some would be late if its planner's lease held to its end.
-        let settings = format!("drain_ms = 250\n{}", watched(&file));
-        let forwarder = Served::forwarder_with("f0", &[planner.address], &settings);
+        let settings = format!("drain_ms = 250\n{}", inventory_settings(&file));
+        let forwarder = DewpierProcess::start_forwarder_with("f0", &[planner.address], &settings);
         let load = load(forwarder.address, "f0");
         wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
         for drained in 0..2 {
             let text = draining(&good, drained + 1);
-            let lines = planner.lines();
+            let lines = planner.log_line_count();
             // The second one is told to a planner that can't pass it on, and does not answer either.
-            replace(&file, text.as_bytes());
-            let (told, _) = planner.logged(lines, "backends from");
+            replace_file(&file, text.as_bytes());
+            let (told, _) = planner.wait_for_log(lines, "backends from");
             if drained == 1 {
                 planner.child.kill().unwrap();
                 planner.child.wait().unwrap();
-                forwarder.logged(0, "backends from its own watch");
+                forwarder.wait_for_log(0, "backends from its own watch");
             }
             let sum = || backends.iter().skip(2).map(Backend::request_count).sum::<usize>();
             let before = sum();
             wait_for("load on the rest", || sum() > before + 300);
-            assert_eq!(late_by(&backends[drained], told, bound), 0, "{planners}");
+            assert_eq!(count_after(&backends[drained], told, bound), 0, "{planners}");
         }
         let tally = load.stop();
         assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
-        forwarder.stop();
+        forwarder.terminate();
     }
 }
 
@@ -142,40 +145,40 @@
 fn a_forwarder_that_stood_still_sends_nothing_to_what_drained_meanwhile() {
     let backends: Vec<Backend> =
         (0..4).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
-    let file = folder("paused").join("nodes.csv");
-    let good = table(&backends);
+    let file = create_test_folder("paused").join("nodes.csv");
+    let good = inventory_csv(&backends);
     std::fs::write(&file, &good).unwrap();
-    let planner = Served::planner("127.0.0.1:0", &file);
-    let forwarder = Served::forwarder("f0", &[planner.address]);
+    let planner = DewpierProcess::start_planner("127.0.0.1:0", &file);
+    let forwarder = DewpierProcess::start_forwarder("f0", &[planner.address]);
     let load = load(forwarder.address, "f0");
     wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
     for drained in 0..2 {
-        forwarder.signal("-STOP");
+        forwarder.send_signal("-STOP");
         std::thread::sleep(Duration::from_millis(100)); // what it had begun is through
         let text = draining(&good, drained + 1);
-        let lines = planner.lines();
-        replace(&file, text.as_bytes());
-        let (told, _) = planner.logged(lines, "backends from");
+        let lines = planner.log_line_count();
+        replace_file(&file, text.as_bytes());
+        let (told, _) = planner.wait_for_log(lines, "backends from");
         std::thread::sleep(Duration::from_millis(1500));
         // Its clients' requests have been waiting in its sockets all the while.
-        forwarder.signal("-CONT");
+        forwarder.send_signal("-CONT");
         let sum = || backends.iter().skip(2).map(Backend::request_count).sum::<usize>();
         let before = sum();
         wait_for("load on the rest", || sum() > before + 40);
-        assert_eq!(late(&backends[drained], told), 0);
+        assert_eq!(count_after_drain_grace(&backends[drained], told), 0);
     }
     let tally = load.stop();
     assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
-    forwarder.stop();
-    planner.stop();
+    forwarder.terminate();
+    planner.terminate();
 }
 
 #[test]
 fn a_forwarder_whose_planner_is_gone_turns_to_its_own_watch_and_back() {
     let backends: Vec<Backend> =
         (0..6).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
-    let file = folder("standby").join("nodes.csv");
-    let good = table(&backends);
+    let file = create_test_folder("standby").join("nodes.csv");
+    let good = inventory_csv(&backends);
     std::fs::write(&file, &good).unwrap();
     let without = |n: usize| -> String {
         let drained = |l: &str| (0..n).any(|i| l.starts_with(&format!("pricing-{i:02}")));
@@ -183,23 +186,24 @@
             .map(|l| if drained(l) { l.replace("serving", "draining") } else { l.into() } + "\n")
             .collect()
     };
-    let mut planner = Served::planner_with("127.0.0.1:0", &file, "lease_ms = 250");
+    let mut planner = DewpierProcess::start_planner_with("127.0.0.1:0", &file, "lease_ms = 250");
     let address = planner.address;
     // Its wait may be longer than what is left of the lease: requests that come then are held back.
     let settings = |socket: &Path| {
-        format!("own_watch_spread_ms = 400\nstatus = \"{}\"\n{}", socket.display(), watched(&file))
+        format!("own_watch_spread_ms = 400\nstatus = \"{}\"\n{}", socket.display(), inventory_settings(&file))
     };
     // The name of a socket must be short.
     let socket = |name: &str| std::env::temp_dir().join(format!("dewpier-{}-{name}", std::process::id()));
-    let forwarders: Vec<Served> =
-        ["f0", "f1"].map(|name| Served::forwarder_with(name, &[address], &settings(&socket(name)))).into();
+    let forwarders: Vec<DewpierProcess> = ["f0", "f1"]
+        .map(|name| DewpierProcess::start_forwarder_with(name, &[address], &settings(&socket(name))))
+        .into();
     let loads: Vec<LoadGenerator> =
         forwarders.iter().zip(["f0", "f1"]).map(|(f, name)| load(f.address, name)).collect();
     wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
     let shows = |words: &[&str]| {
         let shown = Command::new(env!("CARGO_BIN_EXE_dewpier"))
             .args(["plan", "show", "--config"])
-            .arg(&forwarders[0].config)
+            .arg(&forwarders[0].config_file)
             .output()
             .unwrap();
         let text = String::from_utf8(shown.stdout).unwrap();
@@ -207,42 +211,45 @@
     };
     shows(&["f0: by planners, plan ", " ms ago", "it holds for ", "pricing-00", "serving"]);
     // Killed right after it was told of a drain, and then once more with news that nobody is told of.
-    let lines = planner.lines();
-    replace(&file, without(1).as_bytes());
-    let (told, _) = planner.logged(lines, "backends from");
+    let lines = planner.log_line_count();
+    replace_file(&file, without(1).as_bytes());
+    let (told, _) = planner.wait_for_log(lines, "backends from");
     planner.child.kill().unwrap();
     planner.child.wait().unwrap();
     for forwarder in &forwarders {
-        forwarder.logged(0, "backends from its own watch");
+        forwarder.wait_for_log(0, "backends from its own watch");
     }
     shows(&["f0: by own watch", "it holds for ", "draining"]);
     let before: usize = backends.iter().skip(1).map(Backend::request_count).sum();
     wait_for("load by its own watch", || {
         backends.iter().skip(1).map(Backend::request_count).sum::<usize>() > before + 500
     });
-    assert_eq!(late(&backends[0], told), 0);
-    let lines: Vec<usize> = forwarders.iter().map(Served::lines).collect();
-    replace(&file, without(2).as_bytes());
+    assert_eq!(count_after_drain_grace(&backends[0], told), 0);
+    let lines: Vec<usize> = forwarders.iter().map(DewpierProcess::log_line_count).collect();
+    replace_file(&file, without(2).as_bytes());
     for (forwarder, from) in forwarders.iter().zip(&lines) {
-        forwarder.logged(*from, "backends from its own watch");
+        forwarder.wait_for_log(*from, "backends from its own watch");
     }
     let told_two = Instant::now();
     std::thread::sleep(Duration::from_millis(1200));
-    assert_eq!(late(&backends[1], told_two), 0);
+    assert_eq!(count_after_drain_grace(&backends[1], told_two), 0);
     // The planner is back, with what the forwarders know already: nothing moves.
-    let again = Served::planner_with(&address.to_string(), &file, "lease_ms = 250");
+    let again = DewpierProcess::start_planner_with(&address.to_string(), &file, "lease_ms = 250");
     for forwarder in &forwarders {
-        forwarder.logged(0, "planners are back");
+        forwarder.wait_for_log(0, "planners are back");
     }
     let counts = || backends.iter().skip(2).map(Backend::request_count).collect::<Vec<_>>();
     let before = counts();
     wait_for("load by planners", || counts().iter().zip(&before).all(|(now, then)| *now > then + 50));
-    assert_eq!((late(&backends[0], told), late(&backends[1], told_two)), (0, 0));
+    assert_eq!(
+        (count_after_drain_grace(&backends[0], told), count_after_drain_grace(&backends[1], told_two)),
+        (0, 0)
+    );
     let mut tally = ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
     assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
     assert!(tally.rejected <= 20, "{} of {} refused", tally.rejected, tally.total());
-    forwarders.into_iter().for_each(Served::stop);
-    again.stop();
+    forwarders.into_iter().for_each(DewpierProcess::terminate);
+    again.terminate();
     ["f0", "f1"].iter().for_each(|name| std::fs::remove_file(socket(name)).unwrap());
 }
--- a/crates/dewpier/tests/secured.rs
+++ b/crates/dewpier/tests/secured.rs
@@ -4,7 +4,7 @@
 use dewpier_plan::{Node, Plan, Version};
 use dewpier_standins::backend::Backend;
 use dewpier_standins::{WAIT_TIMEOUT, reserve_addresses, wait_for};
-use dewpier_trials::served::*;
+use dewpier_trials::process::*;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -19,7 +19,7 @@
 
 impl Authority {
     fn new(name: &str) -> Self {
-        let folder = folder(name);
+        let folder = create_test_folder(name);
         let key = KeyPair::generate().unwrap();
         let mut params = CertificateParams::new(Vec::new()).unwrap();
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -59,14 +59,14 @@
     }
 }
 
-fn planner(number: usize, talk: &[SocketAddr], authority: &Authority, file: &Path) -> Served {
+fn planner(number: usize, talk: &[SocketAddr], authority: &Authority, file: &Path) -> DewpierProcess {
     let talk: Vec<String> = talk.iter().map(|a| format!("\"{a}\"")).collect();
     let settings = format!(
         "number = {number}\n[cluster]\nplanners = [{}]\n{}",
         talk.join(", "),
         authority.settings("tls", "planner")
     );
-    Served::planner_with("127.0.0.1:0", file, &settings)
+    DewpierProcess::start_planner_with("127.0.0.1:0", file, &settings)
 }
 
 /// Connects as one with these files, and tells what the other side has to say.
@@ -89,15 +89,15 @@
 fn planners_and_forwarders_of_one_authority_work_together_and_strangers_are_refused() {
     let backends: Vec<Backend> =
         (0..4).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
-    let file = folder("secured").join("nodes.csv");
-    let good = table(&backends);
+    let file = create_test_folder("secured").join("nodes.csv");
+    let good = inventory_csv(&backends);
     std::fs::write(&file, &good).unwrap();
     let (ours, theirs) = (Authority::new("ours"), Authority::new("theirs"));
     let talk = reserve_addresses(3);
-    let planners: Vec<Served> = (0..3).map(|n| planner(n, &talk, &ours, &file)).collect();
+    let planners: Vec<DewpierProcess> = (0..3).map(|n| planner(n, &talk, &ours, &file)).collect();
     let addresses: Vec<SocketAddr> = planners.iter().map(|p| p.address).collect();
     let settings = ours.settings("planners.tls", "forwarder");
-    let forwarder = Served::forwarder_with("f0", &addresses, &settings);
+    let forwarder = DewpierProcess::start_forwarder_with("f0", &addresses, &settings);
     let ask = |n: usize| {
         let mut stream = TcpStream::connect(forwarder.address).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
@@ -110,38 +110,38 @@
 
     // Strangers: who speaks plainly, whose certificate another authority has signed, and who has one of
     // ours for another part.
-    let lines = planners[0].lines();
+    let lines = planners[0].log_line_count();
     let mut plain = TcpStream::connect(addresses[0]).unwrap();
     plain.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     plain.write_all(b"\x06\x00\x00\x00\x08\x01\x12\x02\x0a\x00").unwrap();
     let mut answer = Vec::new();
     let _ = plain.read_to_end(&mut answer);
     assert!(answer.len() < 64, "an alert at most: {answer:?}");
-    planners[0].logged(lines, "a follower is refused");
+    planners[0].wait_for_log(lines, "a follower is refused");
     for (files, address, words) in [
         (theirs.files("forwarder"), addresses[1], "a follower is refused"),
         (ours.files("planner"), addresses[1], "a follower is refused"),
         (ours.files("forwarder"), talk[1], "a planner is refused"),
         (theirs.files("planner"), talk[1], "a planner is refused"),
     ] {
-        let lines = planners[1].lines();
+        let lines = planners[1].log_line_count();
         // The authority of the other side is not checked here: this one wants to be let in.
         let files = CertificateFiles { authority: ours.files("planner").authority, ..files };
         assert_eq!(heard(address, files, b"\x06\x00\x00\x00\x08\x01\x12\x02\x0a\x00"), b"");
-        planners[1].logged(lines, words);
+        planners[1].wait_for_log(lines, words);
     }
 
     // A drain goes through as ever, also after new certificates were put in place.
     ours.sign("planner", Role::Planner);
     ours.sign("forwarder", Role::Forwarder);
-    planners.iter().for_each(|p| p.signal("-HUP"));
-    forwarder.signal("-HUP");
-    let lines = forwarder.lines();
-    replace(&file, good.replacen("serving", "draining", 1).as_bytes());
-    forwarder.logged(lines, "3 of them serving");
+    planners.iter().for_each(|p| p.send_signal("-HUP"));
+    forwarder.send_signal("-HUP");
+    let lines = forwarder.log_line_count();
+    replace_file(&file, good.replacen("serving", "draining", 1).as_bytes());
+    forwarder.wait_for_log(lines, "3 of them serving");
     (20..40).for_each(ask);
-    planners.into_iter().for_each(Served::stop);
-    forwarder.stop();
+    planners.into_iter().for_each(DewpierProcess::terminate);
+    forwarder.terminate();
 }
 
 #[test]
@@ -169,7 +169,7 @@
     }
     // By the two false ones it has no list; when a true one comes it has.
     let settings = ours.settings("planners.tls", "forwarder");
-    let config = folder("lured").join("f.toml");
+    let config = create_test_folder("lured").join("f.toml");
     let text = |addresses: &[SocketAddr]| {
         let listed: Vec<String> = addresses.iter().map(|a| format!("\"{a}\"")).collect();
         let listed = listed.join(", ");
@@ -195,9 +195,9 @@
     let text = lines.recv_timeout(WAIT_TIMEOUT).unwrap();
     assert!(!text.contains("backends from"), "{text}");
     assert!(addresses[..2].iter().all(|a| text.contains(&format!("planner {a}: "))), "{text}");
-    let followed = Served::forwarder_with("f1", &addresses, &settings);
-    wait_for("the true one", || followed.log().iter().any(|l| l.contains("1 backends from")));
-    followed.stop();
+    let followed = DewpierProcess::start_forwarder_with("f1", &addresses, &settings);
+    wait_for("the true one", || followed.log_lines().iter().any(|l| l.contains("1 backends from")));
+    followed.terminate();
 }
 
 #[test]
--- a/crates/dewpier/tests/serve.rs
+++ b/crates/dewpier/tests/serve.rs
@@ -6,7 +6,7 @@
 use dewpier_standins::rng::Rng;
 use dewpier_standins::scripted_server::{ScriptedReply, ScriptedServer};
 use dewpier_standins::wait_for;
-use dewpier_trials::served::*;
+use dewpier_trials::process::*;
 use std::collections::HashMap;
 use std::io::Write;
 use std::process::Command;
@@ -72,7 +72,7 @@
                     [[class]]\nname = \"brief\"\neffect = \"safe\"\ndeadline_ms = 900\naim_ms = 900\n\
                     match = [{ path = \"/broken\", methods = [\"GET\"] }]";
     let table = format!("address\n{}\n{}\n", backends[0].address, backends[1].address);
-    let served = Served::start("nodes.csv", table.as_bytes(), settings);
+    let served = DewpierProcess::serve_inventory("nodes.csv", table.as_bytes(), settings);
     let mut client = served.connect();
     let answer = exchange(&mut client, &plain("GET", "/x", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"hello".as_slice()));
@@ -102,12 +102,12 @@
     let head = read_head(&mut client).unwrap();
     assert_eq!((head.status(), head.header("content-length")), (200, Some("1234")));
     assert_eq!(exchange(&mut client, &plain("GET", "/x", "")).body, b"hello");
-    served.stop();
+    served.terminate();
 }
 
 #[test]
 fn what_cannot_be_used_is_told_at_the_start_with_its_place_and_status_2() {
-    let folder = folder("bad");
+    let folder = create_test_folder("bad");
     let run = |args: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_dewpier")).args(args).output().unwrap();
         (
@@ -161,13 +161,13 @@
 fn names_are_looked_up_where_that_is_asked_for() {
     let backend = Backend::start("b", Duration::ZERO);
     let table = format!("id,address\na,localhost:{}\n", backend.address.port());
-    let served = Served::start("n.csv", table.as_bytes(), "names = \"look-up\"");
+    let served = DewpierProcess::serve_inventory("n.csv", table.as_bytes(), "names = \"look-up\"");
     assert_eq!(exchange(&mut served.connect(), &plain("GET", "/", "")).status(), 200);
     // Two names of one address are one node under two ids.
-    let lines = served.lines();
+    let lines = served.log_line_count();
     let both = format!("{table}b,127.0.0.1:{}\n", backend.address.port());
-    replace(&served.file, both.as_bytes());
-    let (_, told) = served.logged(lines, "the last good list serves on");
+    replace_file(&served.inventory_file, both.as_bytes());
+    let (_, told) = served.wait_for_log(lines, "the last good list serves on");
     assert!(told.contains("expected one node an address"), "{told}");
     assert_eq!(exchange(&mut served.connect(), &plain("GET", "/", "")).status(), 200);
 }
@@ -285,7 +285,7 @@
     // Only SIGHUP reads here: what each does is then known. One node may go, as a cut at the end of
     // the last row but one looks like that.
     let settings = "settle_ms = 60000\npoll_ms = 3600000\nmax_vanish = 0.0";
-    let served = Served::start(name, good.as_bytes(), settings);
+    let served = DewpierProcess::serve_inventory(name, good.as_bytes(), settings);
     let load = mixed(served.address, 4);
     let mut rng = Rng::from_env("INVENTORY_SEED", 20_261);
     let ways = std::env::var("INVENTORY_WAYS").ok().and_then(|n| n.parse().ok()).unwrap_or(ways);
@@ -297,20 +297,22 @@
         }
         // In place, by rename, and by a link that is pointed elsewhere.
         match n / 14 % 3 {
-            0 => std::fs::write(&served.file, &text).unwrap(),
-            1 => replace(&served.file, &text),
+            0 => std::fs::write(&served.inventory_file, &text).unwrap(),
+            1 => replace_file(&served.inventory_file, &text),
             _ => {
-                let (target, link) =
-                    (served.file.with_extension(format!("v{n}")), served.file.with_extension("link"));
+                let (target, link) = (
+                    served.inventory_file.with_extension(format!("v{n}")),
+                    served.inventory_file.with_extension("link"),
+                );
                 std::fs::write(&target, &text).unwrap();
                 std::os::unix::fs::symlink(&target, &link).unwrap();
-                std::fs::rename(&link, &served.file).unwrap();
+                std::fs::rename(&link, &served.inventory_file).unwrap();
             }
         }
-        let lines = served.lines();
-        served.signal("-HUP");
-        let (_, told) = served.logged(lines, "");
-        let shown = served.file.display().to_string();
+        let lines = served.log_line_count();
+        served.send_signal("-HUP");
+        let (_, told) = served.wait_for_log(lines, "");
+        let shown = served.inventory_file.display().to_string();
         let whole = dewpier_inventory::read(&text, &shown, &Default::default());
         if told.contains("the last good list serves on") {
             refused += 1;
@@ -327,10 +329,10 @@
         let count: usize = told.trim_start_matches("dewpier: ").split(' ').next().unwrap().parse().unwrap();
         assert_eq!(whole.unwrap().backends.len(), count, "{how}");
         assert!(told.contains("backends from") && count + 1 >= backends.len(), "{how}: {told}");
-        replace(&served.file, good.as_bytes());
-        let lines = served.lines();
-        served.signal("-HUP");
-        served.logged(lines, &format!("{} backends from", backends.len()));
+        replace_file(&served.inventory_file, good.as_bytes());
+        let lines = served.log_line_count();
+        served.send_signal("-HUP");
+        served.wait_for_log(lines, &format!("{} backends from", backends.len()));
     }
     println!("{refused} refused, {read} read");
     assert!(refused > ways / 2 && refused + read > ways * 9 / 10, "{refused} refused, {read} read");
@@ -340,13 +342,13 @@
     assert_eq!((tally.failed, tally.unanswered, tally.rejected), (0, 0, 0), "of {}", tally.total());
     assert!(tally.served > 100, "{}", tally.served);
     no_order_twice(backends);
-    served.stop();
+    served.terminate();
 }
 
 #[test]
 fn a_broken_table_is_refused_or_read_right_and_the_last_good_list_serves_on() {
     let backends = backends(12);
-    break_under_load("nodes.csv", &backends, &table(&backends), 330, broken_table);
+    break_under_load("nodes.csv", &backends, &inventory_csv(&backends), 330, broken_table);
 }
 
 #[test]
@@ -358,11 +360,12 @@
 #[test]
 fn a_file_caught_halfway_through_a_write_in_place_is_not_taken() {
     let backends = backends(8);
-    let good = table(&backends);
-    let served = Served::start("nodes.csv", good.as_bytes(), "settle_ms = 400\npoll_ms = 100");
+    let good = inventory_csv(&backends);
+    let served =
+        DewpierProcess::serve_inventory("nodes.csv", good.as_bytes(), "settle_ms = 400\npoll_ms = 100");
     let load = mixed(served.address, 2);
     // Row by row, each within the settle time, a dozen times: no part of it may be seen.
-    let mut file = std::fs::File::create(&served.file).unwrap();
+    let mut file = std::fs::File::create(&served.inventory_file).unwrap();
     let turned: Vec<&str> = good.lines().collect();
     for _ in 0..2 {
         file.set_len(0).unwrap();
@@ -376,53 +379,58 @@
     file.write_all(format!("late,{},,,,,\n", Backend::start("late", Duration::ZERO).address).as_bytes())
         .unwrap();
     drop(file);
-    served.logged(0, "9 backends from");
-    let seen: Vec<String> = served.log().into_iter().filter(|l| l.contains("backends from")).collect();
+    served.wait_for_log(0, "9 backends from");
+    let seen: Vec<String> = served.log_lines().into_iter().filter(|l| l.contains("backends from")).collect();
     assert_eq!(seen.len(), 2, "nothing in between: {seen:?}");
-    assert!(!served.log().iter().any(|l| l.contains("serves on")), "{:?}", served.log());
+    assert!(!served.log_lines().iter().any(|l| l.contains("serves on")), "{:?}", served.log_lines());
     // A writer that stops in the middle of a line is seen by that, whatever the rest looks like:
     // 127.0.0.1:80 is a port as good as 127.0.0.1:8080.
-    let lines = served.lines();
+    let lines = served.log_line_count();
     let cut = good.trim_end().rfind(',').unwrap();
-    std::fs::write(&served.file, &good[..cut]).unwrap();
-    let (_, told) = served.logged(lines, "serves on");
+    std::fs::write(&served.inventory_file, &good[..cut]).unwrap();
+    let (_, told) = served.wait_for_log(lines, "serves on");
     assert!(told.contains("values, as the header has") || told.contains("complete last line"), "{told}");
-    let lines = served.lines();
-    std::fs::write(&served.file, good.trim_end()).unwrap();
-    let (_, told) = served.logged(lines, "serves on");
+    let lines = served.log_line_count();
+    std::fs::write(&served.inventory_file, good.trim_end()).unwrap();
+    let (_, told) = served.wait_for_log(lines, "serves on");
     assert!(told.contains(":9:") && told.contains("complete last line"), "{told}");
     // One that stops between lines, by how much is gone; and that can be confirmed.
-    let lines = served.lines();
+    let lines = served.log_line_count();
     let half: String = good.lines().take(4).map(|l| format!("{l}\n")).collect();
-    std::fs::write(&served.file, &half).unwrap();
-    let (_, told) = served.logged(lines, "serves on");
+    std::fs::write(&served.inventory_file, &half).unwrap();
+    let (_, told) = served.wait_for_log(lines, "serves on");
     assert!(told.contains("found 6 missing") && told.contains("confirm"), "{told}");
-    let lines = served.lines();
+    let lines = served.log_line_count();
     let confirm = |file: &std::path::Path| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dewpier"));
         assert!(command.args(["inventory", "confirm"]).arg(file).output().unwrap().status.success());
     };
-    confirm(&served.file);
-    served.logged(lines, "3 backends from");
+    confirm(&served.inventory_file);
+    served.wait_for_log(lines, "3 backends from");
     // It confirmed that text and no other.
-    let lines = served.lines();
-    std::fs::write(&served.file, good.lines().take(2).map(|l| format!("{l}\n")).collect::<String>()).unwrap();
-    served.logged(lines, "found 2 missing");
+    let lines = served.log_line_count();
+    std::fs::write(
+        &served.inventory_file,
+        good.lines().take(2).map(|l| format!("{l}\n")).collect::<String>(),
+    )
+    .unwrap();
+    served.wait_for_log(lines, "found 2 missing");
     // A file that is gone changes nothing.
-    let lines = served.lines();
-    std::fs::remove_file(&served.file).unwrap();
-    served.logged(lines, "cannot read it");
+    let lines = served.log_line_count();
+    std::fs::remove_file(&served.inventory_file).unwrap();
+    served.wait_for_log(lines, "cannot read it");
     let tally = load.stop();
     assert_eq!((tally.rejected, tally.failed, tally.unanswered), (0, 0, 0), "of {}", tally.total());
     no_order_twice(&backends);
-    served.stop();
+    served.terminate();
 }
 
 #[test]
 fn a_node_that_the_file_drains_or_drops_gets_nothing_new_after_the_grace() {
     let backends = backends(6);
-    let good = table(&backends);
-    let served = Served::start("nodes.csv", good.as_bytes(), "settle_ms = 20\nmax_vanish = 0.9");
+    let good = inventory_csv(&backends);
+    let served =
+        DewpierProcess::serve_inventory("nodes.csv", good.as_bytes(), "settle_ms = 20\nmax_vanish = 0.9");
     let load = mixed(served.address, 8);
     let spread = |from: usize| backends[from..].iter().all(|b| b.request_count() > 20);
     wait_for("load on all", || spread(0));
@@ -432,9 +440,9 @@
         .filter(|l| !l.starts_with("pricing-01"))
         .map(|l| if l.starts_with("pricing-00") { l.replace("serving", "draining") } else { l.into() } + "\n")
         .collect();
-    let lines = served.lines();
-    replace(&served.file, text.as_bytes());
-    let (accepted, _) = served.logged(lines, "5 backends from");
+    let lines = served.log_line_count();
+    replace_file(&served.inventory_file, text.as_bytes());
+    let (accepted, _) = served.wait_for_log(lines, "5 backends from");
     std::thread::sleep(Duration::from_millis(1500));
     let grace = Duration::from_millis(500);
     for drained in &backends[..2] {
@@ -447,18 +455,18 @@
     });
     // They come back, and are used again.
     let before = [backends[0].request_count(), backends[1].request_count()];
-    replace(&served.file, good.as_bytes());
+    replace_file(&served.inventory_file, good.as_bytes());
     let start = Instant::now();
     wait_for("return", || backends.iter().zip(before).take(2).all(|(b, n)| b.request_count() > n));
     println!("both are back after {:?}", start.elapsed());
     whole(&load.stop(), &backends);
-    served.stop();
+    served.terminate();
 }
 
 #[test]
 fn a_backend_that_dies_costs_no_order_a_second_run() {
     let backends = backends(4);
-    let served = Served::start("nodes.csv", table(&backends).as_bytes(), "");
+    let served = DewpierProcess::serve_inventory("nodes.csv", inventory_csv(&backends).as_bytes(), "");
     let load = mixed(served.address, 8);
     wait_for("load on all", || backends.iter().all(|b| b.request_count() > 20));
     for backend in &backends[..2] {
@@ -470,5 +478,5 @@
     let tally = load.stop();
     assert_eq!(tally.unanswered, 0, "each has one answer, {} of them a failure", tally.failed);
     no_order_twice(&backends);
-    served.stop();
+    served.terminate();
 }
--- a/crates/dewpier/tests/stopping.rs
+++ b/crates/dewpier/tests/stopping.rs
@@ -4,7 +4,7 @@
 use dewpier_standins::faulty::FaultyBackend;
 use dewpier_standins::relay::Relay;
 use dewpier_standins::shop::{duplicate_orders, run_clients};
-use dewpier_trials::served::Served;
+use dewpier_trials::process::DewpierProcess;
 use std::time::{Duration, Instant};
 
 const CLIENTS: usize = 8;
@@ -20,7 +20,7 @@
 fn two_proxies_that_restart_one_after_the_other_answer_everything() {
     let nodes = [1, 2, 3].map(|seed| FaultyBackend::start(seed, 0.0, &[]));
     let rows: String = nodes.iter().enumerate().map(|(i, n)| format!("node-{i},{}\n", n.address)).collect();
-    let start = || Served::start("nodes.csv", format!("id,address\n{rows}").as_bytes(), "");
+    let start = || DewpierProcess::serve_inventory("nodes.csv", format!("id,address\n{rows}").as_bytes(), "");
     let (first, second) = (start(), start());
     let front = Relay::round_robin(vec![first.address, second.address]);
     let accounts = std::thread::scope(|scope| {
@@ -29,11 +29,11 @@
         let began = Instant::now();
         let at = |when: Duration| std::thread::sleep(when.saturating_sub(began.elapsed()));
         let to_second = vec![second.address];
-        first.signal("-TERM");
+        first.send_signal("-TERM");
         at(NOTICES_STOP);
         front.set_targets(to_second);
         at(SECOND);
-        second.signal("-TERM");
+        second.send_signal("-TERM");
         at(SECOND + NOTICES_STOP);
         front.set_targets(Vec::new());
         at(STARTED);
@@ -41,7 +41,7 @@
         at(STARTED + NOTICES_START);
         front.set_targets(vec![again.address]);
         let accounts = shop.join().expect("the shop closes");
-        again.stop();
+        again.terminate();
         accounts
     });
     assert_eq!(duplicate_orders(&nodes), Vec::<String>::new());
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -16,10 +16,10 @@
 
 pub mod campaign;
 pub mod checks;
+pub mod harness;
 mod planners;
+pub mod process;
 pub mod record;
 pub mod schedule;
-pub mod served;
 pub mod shrink;
-pub mod stage;
-pub mod watch;
+pub mod stall_watch;
--- a/crates/trials/src/planners.rs
+++ b/crates/trials/src/planners.rs
@@ -1,8 +1,8 @@
 //! Planners of a stage: processes of the program that watch the list and agree on one plan, with every stream to them
 //! led over a way that can be cut.
 
-use crate::schedule::Ends;
-use crate::served::{Served, folder, replace, watched};
+use crate::process::{DewpierProcess, create_test_folder, inventory_settings, replace_file};
+use crate::schedule::ProcessFault;
 use dewpier_standins::relay::Relay;
 use dewpier_standins::reserve_addresses;
 use std::net::SocketAddr;
@@ -11,30 +11,30 @@
 use std::time::{Duration, Instant};
 
 /// Agreement after all is well again is waited for so long, and looked for so often.
-const AGREES: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(50);
+const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// After which what a silent planner has seen no longer counts.
-const EXPEL_MS: u64 = 3000;
+const EXPEL_AFTER_MS: u64 = 3000;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 struct Planner {
-    served: Mutex<Option<Served>>,
-    config: PathBuf,
+    process: Mutex<Option<DewpierProcess>>,
+    config_file: PathBuf,
     /// When it had read a list: each line that says so, of each of its processes.
-    lists: Mutex<Vec<Instant>>,
+    list_read_times: Mutex<Vec<Instant>>,
 }
 
 /// All of them, and the ways to them.
 pub(crate) struct Planners {
-    file: PathBuf,
-    all: Vec<Planner>,
+    inventory_file: PathBuf,
+    planners: Vec<Planner>,
     /// From each proxy to each planner.
-    from_proxies: Vec<Vec<Relay>>,
+    proxy_relays: Vec<Vec<Relay>>,
     /// From each planner to each other.
-    between: Vec<Vec<Relay>>,
+    planner_relays: Vec<Vec<Relay>>,
 }
 
 fn quoted(addresses: impl Iterator<Item = SocketAddr>) -> String {
@@ -51,117 +51,132 @@
         let all = (0..count).map(|me| {
             let reached = (0..count).map(|to| if to == me { talk[me] } else { between[me][to].address });
             let text = format!(
-                "listen = \"{}\"\nplaintext = true\nnumber = {me}\n[cluster]\nplanners = [{}]\nexpel_after_ms = {EXPEL_MS}\n{}",
+                "listen = \"{}\"\nplaintext = true\nnumber = {me}\n[cluster]\nplanners = [{}]\nexpel_after_ms = {EXPEL_AFTER_MS}\n{}",
                 listen[me],
                 quoted(reached),
-                watched(file)
+                inventory_settings(file)
             );
-            let config = folder("planner").join("dewpier.toml");
-            replace(&config, text.as_bytes());
-            Planner { served: Mutex::new(None), config, lists: Mutex::default() }
+            let config = create_test_folder("planner").join("dewpier.toml");
+            replace_file(&config, text.as_bytes());
+            Planner { process: Mutex::new(None), config_file: config, list_read_times: Mutex::default() }
         });
         let all = all.collect();
         let from_proxies = (0..proxies).map(|_| ways(&listen)).collect();
-        let planners = Self { file: file.into(), all, from_proxies, between };
-        (0..count).for_each(|n| planners.run(n));
-        if let Some(apart) = planners.apart() {
+        let planners = Self {
+            inventory_file: file.into(),
+            planners: all,
+            proxy_relays: from_proxies,
+            planner_relays: between,
+        };
+        (0..count).for_each(|n| planners.start_planner(n));
+        if let Some(apart) = planners.wait_for_agreement() {
             panic!("{apart}");
         }
         planners
     }
 
     /// What the configuration of a proxy says of them.
-    pub fn told(&self, proxy: usize) -> String {
-        let addresses = quoted(self.from_proxies[proxy].iter().map(|way| way.address));
+    pub fn proxy_settings(&self, proxy: usize) -> String {
+        let addresses = quoted(self.proxy_relays[proxy].iter().map(|way| way.address));
         format!(
             "[planners]\nname = \"proxy-{proxy}\"\naddresses = [{addresses}]\nbeat_ms = 50\nplaintext = true\n"
         )
     }
 
-    fn run(&self, planner: usize) {
-        let known = &self.all[planner];
-        *lock(&known.served) = Some(Served::again("planner", &known.config, &self.file));
+    fn start_planner(&self, planner: usize) {
+        let known = &self.planners[planner];
+        *lock(&known.process) =
+            Some(DewpierProcess::start_from_config("planner", &known.config_file, &self.inventory_file));
     }
 
-    fn read(&self, planner: usize) -> Vec<Instant> {
-        lock(&self.all[planner].served).as_ref().map(|s| s.logged_at("backends from")).unwrap_or_default()
+    fn list_read_times(&self, planner: usize) -> Vec<Instant> {
+        lock(&self.planners[planner].process)
+            .as_ref()
+            .map(|s| s.log_times("backends from"))
+            .unwrap_or_default()
     }
 
     /// Keeps what a log says of lists, and takes the process away.
-    fn take(&self, planner: usize) -> Option<Served> {
-        let lists = self.read(planner);
-        lock(&self.all[planner].lists).extend(lists);
-        lock(&self.all[planner].served).take()
+    fn remove_process(&self, planner: usize) -> Option<DewpierProcess> {
+        let lists = self.list_read_times(planner);
+        lock(&self.planners[planner].list_read_times).extend(lists);
+        lock(&self.planners[planner].process).take()
     }
 
     /// One suffers.
-    pub fn begin(&self, planner: usize, does: Ends) {
+    pub fn begin_fault(&self, planner: usize, does: ProcessFault) {
         match does {
-            Ends::Killed => drop(self.take(planner)),
-            Ends::Ended => {
-                if let Some(served) = self.take(planner) {
-                    served.stop();
+            ProcessFault::Killed => drop(self.remove_process(planner)),
+            ProcessFault::Terminated => {
+                if let Some(served) = self.remove_process(planner) {
+                    served.terminate();
                 }
             }
-            Ends::Still => lock(&self.all[planner].served).iter().for_each(|s| s.signal("-STOP")),
+            ProcessFault::Suspended => {
+                lock(&self.planners[planner].process).iter().for_each(|s| s.send_signal("-STOP"))
+            }
         }
     }
 
     /// It is well again.
-    pub fn end(&self, planner: usize, does: Ends) {
+    pub fn end_fault(&self, planner: usize, does: ProcessFault) {
         match does {
-            Ends::Killed | Ends::Ended => self.run(planner),
-            Ends::Still => lock(&self.all[planner].served).iter().for_each(|s| s.signal("-CONT")),
+            ProcessFault::Killed | ProcessFault::Terminated => self.start_planner(planner),
+            ProcessFault::Suspended => {
+                lock(&self.planners[planner].process).iter().for_each(|s| s.send_signal("-CONT"))
+            }
         }
     }
 
     /// All are killed.
     pub fn kill_all(&self) {
-        (0..self.all.len()).for_each(|n| drop(self.take(n)));
+        (0..self.planners.len()).for_each(|n| drop(self.remove_process(n)));
     }
 
     /// All begin anew.
-    pub fn run_all(&self) {
+    pub fn start_all(&self) {
         std::thread::scope(|scope| {
-            (0..self.all.len()).for_each(|n| drop(scope.spawn(move || self.run(n))));
+            (0..self.planners.len()).for_each(|n| drop(scope.spawn(move || self.start_planner(n))));
         });
     }
 
     /// Ways from these to those planners hold back what is said, or what is answered alone, or nothing again.
-    pub fn cut(&self, proxies: &[usize], planners: &[usize], to: &[usize], said: bool, told: bool) {
-        let of_proxies = proxies.iter().filter_map(|p| self.from_proxies.get(*p));
-        let of_planners = planners.iter().filter_map(|p| self.between.get(*p));
+    pub fn set_blocked(&self, proxies: &[usize], planners: &[usize], to: &[usize], said: bool, told: bool) {
+        let of_proxies = proxies.iter().filter_map(|p| self.proxy_relays.get(*p));
+        let of_planners = planners.iter().filter_map(|p| self.planner_relays.get(*p));
         for ways in of_proxies.chain(of_planners) {
             to.iter().filter_map(|to| ways.get(*to)).for_each(|way| way.set_blocked(said, told));
         }
     }
 
     /// When the first of them had read a list after that moment.
-    pub fn first_read(&self, after: Instant) -> Option<Instant> {
+    pub fn first_list_read(&self, after: Instant) -> Option<Instant> {
         let of = |n: usize| {
-            let mut lists = lock(&self.all[n].lists).clone();
-            lists.extend(self.read(n));
+            let mut lists = lock(&self.planners[n].list_read_times).clone();
+            lists.extend(self.list_read_times(n));
             lists.into_iter().filter(|at| *at > after).min()
         };
-        (0..self.all.len()).filter_map(of).min()
+        (0..self.planners.len()).filter_map(of).min()
     }
 
     /// What they go by where they do not agree in time; None where they do.
-    pub fn apart(&self) -> Option<String> {
+    pub fn wait_for_agreement(&self) -> Option<String> {
         let start = Instant::now();
         loop {
-            let plan = |served: &Served| {
-                served.log().iter().rev().find_map(|l| Some(l.split_once("plan ")?.1.to_string()))
+            let plan = |served: &DewpierProcess| {
+                served.log_lines().iter().rev().find_map(|l| Some(l.split_once("plan ")?.1.to_string()))
             };
             let plans: Vec<Option<String>> =
-                self.all.iter().map(|p| lock(&p.served).as_ref().and_then(plan)).collect();
+                self.planners.iter().map(|p| lock(&p.process).as_ref().and_then(plan)).collect();
             if plans.iter().all(|p| p.is_some() && *p == plans[0]) {
                 return None;
             }
-            if start.elapsed() > AGREES {
-                return Some(format!("planners do not agree {AGREES:?} after all is well again: {plans:?}"));
+            if start.elapsed() > AGREEMENT_TIMEOUT {
+                return Some(format!(
+                    "planners do not agree {AGREEMENT_TIMEOUT:?} after all is well again: {plans:?}"
+                ));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
--- a/crates/trials/src/served.rs
+++ b/crates/trials/src/process.rs
@@ -14,106 +14,110 @@
 static NEXT: AtomicUsize = AtomicUsize::new(0);
 
 /// Where a build puts the program: tests, examples and benchmarks lie in folders beside it.
-fn built() -> PathBuf {
+fn build_folder() -> PathBuf {
     let own = std::env::current_exe().expect("the path of this program");
     own.parent().and_then(Path::parent).expect("a folder two levels up").into()
 }
 
 /// A folder of the test's own.
-pub fn folder(name: &str) -> PathBuf {
+pub fn create_test_folder(name: &str) -> PathBuf {
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
-    let path = built().join("tmp").join(format!("{name}-{}-{number}", std::process::id()));
+    let path = build_folder().join("tmp").join(format!("{name}-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&path).unwrap();
     path
 }
 
 /// The program, what it logs, and when.
-pub struct Served {
+pub struct DewpierProcess {
     /// The process.
     pub child: Child,
     /// Where it serves.
     pub address: SocketAddr,
     /// Its inventory.
-    pub file: PathBuf,
+    pub inventory_file: PathBuf,
     /// Its configuration.
-    pub config: PathBuf,
-    log: Arc<Mutex<Vec<(Instant, String)>>>,
+    pub config_file: PathBuf,
+    log_lines: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
-impl Served {
+impl DewpierProcess {
     /// Serves the inventory `text`, in a file of that name, with these further settings of the
     /// inventory's table and those that come behind it.
-    pub fn start(name: &str, text: &[u8], settings: &str) -> Self {
-        let folder = folder("served");
+    pub fn serve_inventory(name: &str, text: &[u8], settings: &str) -> Self {
+        let folder = create_test_folder("served");
         let file = folder.join(name);
         std::fs::write(&file, text).unwrap();
-        Self::of(&file, settings)
+        Self::serve_file(&file, settings)
     }
 
     /// Serves this inventory, with these further settings.
-    pub fn of(file: &Path, settings: &str) -> Self {
+    pub fn serve_file(file: &Path, settings: &str) -> Self {
         let text =
             format!("listen = \"127.0.0.1:0\"\n[inventory]\nfile = \"{}\"\n{settings}\n", file.display());
-        Self::run("serve", &text, file)
+        Self::start_with_text("serve", &text, file)
     }
 
     /// The same with settings before all tables.
-    pub fn with(first: &str, file: &Path, settings: &str) -> Self {
+    pub fn serve_file_with(first: &str, file: &Path, settings: &str) -> Self {
         let inventory = format!("[inventory]\nfile = \"{}\"\n", file.display());
-        Self::run("serve", &format!("listen = \"127.0.0.1:0\"\n{first}{inventory}{settings}\n"), file)
+        Self::start_with_text(
+            "serve",
+            &format!("listen = \"127.0.0.1:0\"\n{first}{inventory}{settings}\n"),
+            file,
+        )
     }
 
     /// A planner at that address, which watches that inventory.
-    pub fn planner(listen: &str, file: &Path) -> Self {
-        Self::planner_with(listen, file, "")
+    pub fn start_planner(listen: &str, file: &Path) -> Self {
+        Self::start_planner_with(listen, file, "")
     }
 
     /// The same with further settings.
-    pub fn planner_with(listen: &str, file: &Path, settings: &str) -> Self {
+    pub fn start_planner_with(listen: &str, file: &Path, settings: &str) -> Self {
         let plain = if settings.contains("tls") { "" } else { "plaintext = true\n" };
-        let text = format!("listen = \"{listen}\"\n{plain}{settings}\n{}", watched(file));
-        Self::run("planner", &text, file)
+        let text = format!("listen = \"{listen}\"\n{plain}{settings}\n{}", inventory_settings(file));
+        Self::start_with_text("planner", &text, file)
     }
 
     /// A forwarder of these planners.
-    pub fn forwarder(name: &str, planners: &[SocketAddr]) -> Self {
-        Self::forwarder_with(name, planners, "")
+    pub fn start_forwarder(name: &str, planners: &[SocketAddr]) -> Self {
+        Self::start_forwarder_with(name, planners, "")
     }
 
     /// The same with further settings, of its planners' table and those behind it.
-    pub fn forwarder_with(name: &str, planners: &[SocketAddr], settings: &str) -> Self {
+    pub fn start_forwarder_with(name: &str, planners: &[SocketAddr], settings: &str) -> Self {
         let plain = if settings.contains("tls") { "" } else { "plaintext = true\n" };
         let addresses: Vec<String> = planners.iter().map(|p| format!("\"{p}\"")).collect();
         let text = format!(
             "listen = \"127.0.0.1:0\"\n[planners]\nname = \"{name}\"\naddresses = [{}]\nbeat_ms = 50\n{plain}{settings}\n",
             addresses.join(", ")
         );
-        Self::run("forwarder", &text, Path::new(""))
+        Self::start_with_text("forwarder", &text, Path::new(""))
     }
 
-    fn run(command: &str, text: &str, file: &Path) -> Self {
-        let config = folder("config").join("dewpier.toml");
+    fn start_with_text(command: &str, text: &str, file: &Path) -> Self {
+        let config = create_test_folder("config").join("dewpier.toml");
         std::fs::write(&config, text).unwrap();
-        Self::again(command, &config, file)
+        Self::start_from_config(command, &config, file)
     }
 
     /// A process by a configuration that is there.
-    pub fn again(command: &str, config: &Path, file: &Path) -> Self {
+    pub fn start_from_config(command: &str, config: &Path, file: &Path) -> Self {
         // A port that was free may be some connection's own for a moment: it is tried again.
         let start = Instant::now();
         loop {
-            let served = Self::started(command, config, file);
+            let served = Self::start_once(command, config, file);
             if served.address.port() != 0 {
                 return served;
             }
-            assert!(start.elapsed() < WAIT_TIMEOUT, "its address stays in use: {:?}", served.log());
+            assert!(start.elapsed() < WAIT_TIMEOUT, "its address stays in use: {:?}", served.log_lines());
             std::thread::sleep(Duration::from_millis(100));
         }
     }
 
     /// Started once; without an address where that is in use.
-    fn started(command: &str, config: &Path, file: &Path) -> Self {
-        let mut started = Command::new(built().join("dewpier"));
+    fn start_once(command: &str, config: &Path, file: &Path) -> Self {
+        let mut started = Command::new(build_folder().join("dewpier"));
         let mut child =
             started.arg(command).arg("--config").arg(config).stderr(Stdio::piped()).spawn().unwrap();
         let log: Arc<Mutex<Vec<(Instant, String)>>> = Arc::default();
@@ -126,51 +130,52 @@
         let mut served = Self {
             child,
             address: ([127, 0, 0, 1], 0).into(),
-            file: file.to_path_buf(),
-            config: config.into(),
-            log,
+            inventory_file: file.to_path_buf(),
+            config_file: config.into(),
+            log_lines: log,
         };
-        let in_use = |s: &Self| s.log().iter().any(|l| l.contains("Address already in use"));
-        wait_for("start", || in_use(&served) || served.log().iter().any(|l| l.contains("ing on 127.")));
+        let in_use = |s: &Self| s.log_lines().iter().any(|l| l.contains("Address already in use"));
+        wait_for("start", || in_use(&served) || served.log_lines().iter().any(|l| l.contains("ing on 127.")));
         if !in_use(&served) {
-            let (_, line) = served.logged(0, "ing on 127.");
+            let (_, line) = served.wait_for_log(0, "ing on 127.");
             served.address = line.rsplit(' ').next().unwrap().parse().unwrap();
         }
         served
     }
 
     /// How many lines it has logged.
-    pub fn lines(&self) -> usize {
-        self.log.lock().unwrap().len()
+    pub fn log_line_count(&self) -> usize {
+        self.log_lines.lock().unwrap().len()
     }
 
     /// All of them.
-    pub fn log(&self) -> Vec<String> {
-        self.log.lock().unwrap().iter().map(|(_, line)| line.clone()).collect()
+    pub fn log_lines(&self) -> Vec<String> {
+        self.log_lines.lock().unwrap().iter().map(|(_, line)| line.clone()).collect()
     }
 
     /// When it has logged a line with these words, each time.
-    pub fn logged_at(&self, words: &str) -> Vec<Instant> {
-        let log = self.log.lock().unwrap();
+    pub fn log_times(&self, words: &str) -> Vec<Instant> {
+        let log = self.log_lines.lock().unwrap();
         log.iter().filter(|(_, line)| line.contains(words)).map(|(at, _)| *at).collect()
     }
 
     /// Lines with these words.
-    pub fn lines_with(&self, words: &str) -> Vec<String> {
-        let log = self.log.lock().unwrap();
+    pub fn log_lines_containing(&self, words: &str) -> Vec<String> {
+        let log = self.log_lines.lock().unwrap();
         log.iter().filter(|(_, line)| line.contains(words)).map(|(_, line)| line.clone()).collect()
     }
 
     /// Waits for a line with these words among those from `from` on.
     #[track_caller]
-    pub fn logged(&self, from: usize, words: &str) -> (Instant, String) {
+    pub fn wait_for_log(&self, from: usize, words: &str) -> (Instant, String) {
         let start = Instant::now();
         loop {
-            let found = self.log.lock().unwrap().iter().skip(from).find(|(_, l)| l.contains(words)).cloned();
+            let found =
+                self.log_lines.lock().unwrap().iter().skip(from).find(|(_, l)| l.contains(words)).cloned();
             if let Some(found) = found {
                 return found;
             }
-            assert!(start.elapsed() < WAIT_TIMEOUT, "no '{words}' in {:?}", self.log());
+            assert!(start.elapsed() < WAIT_TIMEOUT, "no '{words}' in {:?}", self.log_lines());
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -183,20 +188,20 @@
     }
 
     /// Sends it a signal, such as `-STOP`.
-    pub fn signal(&self, name: &str) {
+    pub fn send_signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
     /// Ends it by SIGTERM, and sees that it ends well.
-    pub fn stop(mut self) {
-        self.signal("-TERM");
+    pub fn terminate(mut self) {
+        self.send_signal("-TERM");
         wait_for("exit", || self.child.try_wait().unwrap().is_some());
         assert_eq!(self.child.wait().unwrap().code(), Some(0));
     }
 }
 
-impl Drop for Served {
+impl Drop for DewpierProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -204,12 +209,12 @@
 }
 
 /// The settings of an inventory that may be rewritten at any moment.
-pub fn watched(file: &Path) -> String {
+pub fn inventory_settings(file: &Path) -> String {
     format!("[inventory]\nfile = \"{}\"\nsettle_ms = 20\nmax_vanish = 0.9\n", file.display())
 }
 
 /// A table of these backends, by their numbers.
-pub fn table(backends: &[Backend]) -> String {
+pub fn inventory_csv(backends: &[Backend]) -> String {
     let row =
         |(i, b): (usize, &Backend)| format!("pricing-{i:02},{},a,{},1,serving,түйін\n", b.address, i / 4);
     "id,address,zone,cell,weight,state,comment\n".to_string()
@@ -217,7 +222,7 @@
 }
 
 /// A table in which these drain.
-pub fn drained(table: &str, which: &[usize]) -> String {
+pub fn with_draining_nodes(table: &str, which: &[usize]) -> String {
     let drains = |l: &str| which.iter().any(|i| l.starts_with(&format!("pricing-{i:02}")));
     table
         .lines()
@@ -226,17 +231,22 @@
 }
 
 /// Replaces a file as careful tools do.
-pub fn replace(file: &Path, text: &[u8]) {
+pub fn replace_file(file: &Path, text: &[u8]) {
     let new = file.with_extension("new");
     std::fs::write(&new, text).unwrap();
     std::fs::rename(new, file).unwrap();
 }
 
 /// Nothing new goes to a node this long after a planner was told that it drains.
-const GRACE: Duration = Duration::from_millis(500);
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
 /// Clients that read, and order in every fourth request, each order with a name of its own.
-pub fn orders(address: SocketAddr, name: &'static str, clients: usize, pause: Duration) -> LoadGenerator {
+pub fn start_order_load(
+    address: SocketAddr,
+    name: &'static str,
+    clients: usize,
+    pause: Duration,
+) -> LoadGenerator {
     let script = move |client: usize, n: u64| {
         let order =
             if n.is_multiple_of(4) { format!("X-Order: {name}-{client}-{n}\r\n") } else { String::new() };
@@ -247,11 +257,11 @@
 }
 
 /// How many requests began there after the grace.
-pub fn late(backend: &Backend, since: Instant) -> usize {
-    late_by(backend, since, GRACE)
+pub fn count_after_drain_grace(backend: &Backend, since: Instant) -> usize {
+    count_after(backend, since, DRAIN_GRACE)
 }
 
 /// How many began later than that after it was told.
-pub fn late_by(backend: &Backend, since: Instant, grace: Duration) -> usize {
+pub fn count_after(backend: &Backend, since: Instant, grace: Duration) -> usize {
     backend.arrivals().iter().filter(|a| a.received_at > since + grace).count()
 }
--- a/crates/trials/src/shrink.rs
+++ b/crates/trials/src/shrink.rs
@@ -6,7 +6,11 @@
 /// Takes steps away as long as `breaks` says that what is left breaks something, in at most `most` plays of it.
 /// What comes back broke at its last play, or is the schedule itself. Where breaking is a matter of chance the result is
 /// one that broke once, no more.
-pub fn shrink(schedule: &Schedule, most: usize, mut breaks: impl FnMut(&Schedule) -> bool) -> Schedule {
+pub fn shrink_schedule(
+    schedule: &Schedule,
+    most: usize,
+    mut breaks: impl FnMut(&Schedule) -> bool,
+) -> Schedule {
     let with = |steps: &[Step]| Schedule { steps: steps.to_vec(), ..schedule.clone() };
     let mut steps = schedule.steps.clone();
     let (mut parts, mut plays) = (2, 0);
@@ -40,12 +44,18 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::schedule::{Fault, Size};
+    use crate::schedule::{Fault, RunSize};
 
     fn of(count: usize) -> Schedule {
-        let step = |i: usize| Step { at_ms: i as u64, for_ms: 1, fault: Fault::Drain { node: i } };
-        let size = Size { proxies: 1, nodes: count, length_ms: 100, apart_ms: 10 };
-        Schedule { seed: 1, size, planners: 0, by_planners: false, steps: (0..count).map(step).collect() }
+        let step = |i: usize| Step { at_ms: i as u64, duration_ms: 1, fault: Fault::Drain { node: i } };
+        let size = RunSize { proxies: 1, nodes: count, duration_ms: 100, node_fault_spacing_ms: 10 };
+        Schedule {
+            seed: 1,
+            size,
+            planners: 0,
+            relay_by_planners: false,
+            steps: (0..count).map(step).collect(),
+        }
     }
 
     fn nodes(schedule: &Schedule) -> Vec<u64> {
@@ -56,7 +66,7 @@
     fn two_steps_that_break_together_are_all_that_is_left() {
         for (a, b) in [(0, 19), (3, 4), (11, 17)] {
             let mut plays = 0;
-            let found = shrink(&of(20), 1000, |s| {
+            let found = shrink_schedule(&of(20), 1000, |s| {
                 plays += 1;
                 nodes(s).contains(&a) && nodes(s).contains(&b)
             });
@@ -67,14 +77,14 @@
 
     #[test]
     fn what_breaks_with_nothing_is_empty_and_what_never_breaks_again_is_whole() {
-        assert!(shrink(&of(9), 100, |_| true).steps.is_empty());
-        assert_eq!(shrink(&of(9), 100, |_| false), of(9));
+        assert!(shrink_schedule(&of(9), 100, |_| true).steps.is_empty());
+        assert_eq!(shrink_schedule(&of(9), 100, |_| false), of(9));
     }
 
     #[test]
     fn plays_are_bounded() {
         let mut plays = 0;
-        shrink(&of(40), 7, |_| {
+        shrink_schedule(&of(40), 7, |_| {
             plays += 1;
             false
         });
--- a/crates/trials/src/watch.rs
+++ b/crates/trials/src/stall_watch.rs
@@ -6,16 +6,16 @@
 use std::time::{Duration, Instant};
 
 /// How often the watch wants to be woken.
-const LOOK: Duration = Duration::from_millis(10);
+const WAKE_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Watches for as long as it is kept.
-pub struct Watch {
+pub struct StallWatch {
     over: Arc<AtomicBool>,
     longest: Arc<AtomicU64>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Watch {
+impl StallWatch {
     /// One that has seen nothing.
     pub fn start() -> Self {
         let (over, longest) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
@@ -23,8 +23,8 @@
         let thread = std::thread::spawn(move || {
             let mut last = Instant::now();
             while !known.load(Ordering::SeqCst) {
-                std::thread::sleep(LOOK);
-                let late = last.elapsed().saturating_sub(LOOK);
+                std::thread::sleep(WAKE_INTERVAL);
+                let late = last.elapsed().saturating_sub(WAKE_INTERVAL);
                 seen.fetch_max(late.as_millis() as u64, Ordering::SeqCst);
                 last = Instant::now();
             }
@@ -38,7 +38,7 @@
     }
 }
 
-impl Drop for Watch {
+impl Drop for StallWatch {
     fn drop(&mut self) {
         self.over.store(true, Ordering::SeqCst);
         self.thread.take().into_iter().for_each(|t| drop(t.join()));
