--- a/crates/plan/src/relay.rs
+++ b/crates/plan/src/relay.rs
@@ -14,8 +14,8 @@
 /// Maximum number of messages queued for one connection. When the queue is full the oldest message is
 /// dropped, because the next round repeats its content.
 pub const MAX_WAITING_MESSAGES: usize = 128;
-/// Maximum number of messages that one connection may send per second; further ones are dropped. 1.5 times
-/// what 20 rounds to all partners in a fleet of 10,000 need.
+/// Maximum number of messages that one connection may send per second; further ones are dropped. The limit is
+/// 1.5 times the need of a proxy that sends 20 rounds to all its partners in a fleet of 10,000.
 pub const MAX_MESSAGES_PER_SECOND: u32 = 1000;
 /// Maximum number of connections of one sender that receive messages: the old and the new process during a
 /// handover. A third connection replaces the oldest.
@@ -88,7 +88,7 @@
         let accepted = offered.min(own_mailbox.allowance as usize);
         own_mailbox.allowance -= accepted as f64;
         self.counts.dropped += (offered - accepted) as u64;
-        let mut woken = Vec::new();
+        let mut filled_queues = Vec::new();
         for message in messages.into_iter().take(accepted) {
             let recipients = self
                 .connections
@@ -103,7 +103,7 @@
             for to in recipients {
                 let Some(mailbox) = self.mailboxes.get_mut(&to) else { continue };
                 if mailbox.waiting.is_empty() {
-                    woken.push(to);
+                    filled_queues.push(to);
                 }
                 if mailbox.waiting.len() >= MAX_WAITING_MESSAGES {
                     mailbox.waiting.pop_front();
@@ -112,7 +112,7 @@
                 mailbox.waiting.push_back(message.bytes.clone());
             }
         }
-        woken
+        filled_queues
     }
 
     fn open_mailbox(&mut self, connection: u64, sender: u64, now: Duration) {
