--- a/crates/trials/src/record.rs
+++ b/crates/trials/src/record.rs
@@ -1,118 +1,121 @@
-//! What was seen of a play, on one clock: since its beginning.
+//! Observations made outside the processes during a run. Times count from the start of the run.
 
 use std::time::Duration;
 
 /// A request that reached a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Which node.
+    /// Number of the node.
     pub node: usize,
-    /// When its first byte was there.
+    /// When its first byte arrived.
     pub arrived_at: Duration,
-    /// By which proxy.
+    /// Number of the proxy that sent it.
     pub proxy: usize,
-    /// Its name, one for each request of a client.
+    /// Identifier of the client's request; attempts of one request share it.
     pub request_id: String,
-    /// It must not run twice.
+    /// Whether the request has an effect that must happen at most once.
     pub must_run_once: bool,
-    /// It did not go well, by the node's fault or that of the way.
+    /// Whether the attempt did not go well, because of a fault of the node or of the path to it.
     pub is_faulty: bool,
 }
 
-/// A request of a client.
+/// A request sent by a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// Of which proxy.
+    /// Number of the proxy that received it.
     pub proxy: usize,
-    /// Its name.
+    /// Identifier of the request.
     pub request_id: String,
-    /// When it was written.
+    /// When it was sent.
     pub sent_at: Duration,
-    /// When its answer was there, or the connection had ended, or the client had waited for as long as it does.
+    /// When the response arrived, the connection ended or the client stopped waiting.
     pub ended_at: Duration,
-    /// The status of its answer; None where none came.
+    /// Status of the response, or None if there was no response.
     pub status: Option<u16>,
 }
 
-/// A verdict that a proxy held.
+/// A verdict as reported by a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeldVerdict {
-    /// On which node.
+    /// Number of the node.
     pub node: usize,
-    /// What holds, as the proxy says it.
+    /// Kind of the verdict.
     pub kind: String,
-    /// The node is kept out.
+    /// Whether the proxy ejects the node.
     pub is_ejected: bool,
-    /// Age of the oldest word that it rests on, as the proxy says it.
+    /// Age of the oldest report on which the verdict is based.
     pub oldest_report_age: Duration,
 }
 
-/// A look at what a proxy holds.
+/// The verdicts of a proxy at one moment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VerdictReading {
-    /// Which proxy.
+    /// Number of the proxy.
     pub proxy: usize,
-    /// When it was asked, and when it had answered.
+    /// When the verdicts were requested.
     pub requested_at: Duration,
-    /// When it had answered.
+    /// When the response was complete.
     pub answered_at: Duration,
-    /// What it holds.
+    /// The verdicts held at that time.
     pub verdicts: Vec<HeldVerdict>,
 }
 
-/// A drain that a proxy was told of.
+/// The drain of a node as seen by one proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObservedDrain {
-    /// Which node.
+    /// Number of the node.
     pub node: usize,
-    /// Which proxy.
+    /// Number of the proxy.
     pub proxy: usize,
-    /// When that proxy had read it.
+    /// When the proxy, or a planner, had read the list with the drain.
     pub notified_at: Duration,
-    /// When the list said otherwise again.
+    /// When the drain was removed from the list.
     pub ended_at: Duration,
 }
 
-/// A span in which a process did not run, or not as it should.
+/// An interval in which a proxy did not run, or was shutting down.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outage {
-    /// Which.
+    /// Number of the proxy.
     pub proxy: usize,
-    /// From,
+    /// When it began.
     pub started_at: Duration,
-    /// until it served again.
+    /// When the proxy served requests again.
     pub ended_at: Duration,
-    /// What it had taken before it still answers: it was ended, not killed.
+    /// Whether the proxy still answers requests received earlier, because it was terminated and not killed.
     pub answers_pending: bool,
 }
 
-/// All of it.
+/// All observations of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    /// At nodes, by the time at which they were there.
+    /// Requests at nodes, in the order of their arrival.
     pub arrivals: Vec<Arrival>,
-    /// By clients.
+    /// Requests by clients.
     pub requests: Vec<ClientRequest>,
-    /// At operators' calls.
+    /// Verdicts read by operator calls.
     pub verdict_readings: Vec<VerdictReading>,
-    /// Drains as they were told.
+    /// Drains, one entry per proxy.
     pub drains: Vec<ObservedDrain>,
-    /// Processes that did not run.
+    /// Intervals in which proxies did not run.
     pub outages: Vec<Outage>,
-    /// What planners went by where they did not agree in time after all was well again.
+    /// The plans in use if planners did not agree in time after the last fault.
     pub planner_disagreement: Option<String>,
-    /// How long the machine stood still at worst.
+    /// Longest stall of the host.
     pub longest_stall: Duration,
 }
 
 impl Record {
-    /// Whether a request that was sent to a process then has to have an answer, that came then or not.
-    pub fn must_be_answered(&self, proxy: usize, at: Duration, ended: Duration) -> bool {
-        let mut of = self.outages.iter().filter(|d| d.proxy == proxy);
-        !of.any(|d| at < d.ended_at && d.started_at < if d.answers_pending { at } else { ended })
+    /// Returns whether a request must be answered that a client sent at `sent_at` and that ended, with or without a
+    /// response, at `ended_at`.
+    pub fn must_be_answered(&self, proxy: usize, sent_at: Duration, ended_at: Duration) -> bool {
+        let mut outages = self.outages.iter().filter(|d| d.proxy == proxy);
+        !outages.any(|o| {
+            sent_at < o.ended_at && o.started_at < if o.answers_pending { sent_at } else { ended_at }
+        })
     }
 
-    /// Whether a process ran all the time from then to then.
+    /// Returns whether a proxy ran during the whole interval.
     pub fn was_running(&self, proxy: usize, from: Duration, until: Duration) -> bool {
         !self.outages.iter().any(|d| d.proxy == proxy && d.started_at < until && from < d.ended_at)
     }
