--- a/crates/trials/src/campaign.rs
+++ b/crates/trials/src/campaign.rs
@@ -1,4 +1,4 @@
-//! Plays of schedules, one after the other.
+//! Runs schedules of faults one after the other and prints the result of each.
 
 use crate::checks::{Violation, check_avoidance, find_violations};
 use crate::harness::{FleetHarness, Settings};
@@ -6,77 +6,78 @@
 use crate::shrink::shrink_schedule;
 use std::time::Duration;
 
-/// Where the machine stood still for longer, a play is void and played again,
+/// Longest stall of the host in a valid run; a run with a longer stall is void and repeated.
 const MAX_STALL: Duration = Duration::from_millis(400);
-/// so many times at most.
+/// Maximum number of void runs before a result counts in spite of a stall.
 const MAX_VOID_RUNS: usize = 3;
 
-/// What came of a play.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// The rules and bounds that it broke.
+    /// Violated invariants and bounds.
     pub violations: Vec<Violation>,
-    /// Requests of clients, and effects that must not happen twice.
+    /// Number of client requests.
     pub requests: usize,
-    /// Of these,
+    /// Number of requests that reached a node and must run only once.
     pub run_once_arrivals: usize,
-    /// Proxies and bad nodes for which the bound on avoidance said something.
+    /// Number of pairs of a proxy and a bad node for which the bound on avoidance was checked.
     pub avoidance_checks: usize,
-    /// Those that avoided one where it said nothing: before so many had met it, or shortly before its end.
+    /// Number of pairs without a bound in which the proxy still avoided the node.
     pub avoided_unbound: usize,
-    /// Drains that bound a proxy, each counted for each.
+    /// Number of drains that took effect, counted per proxy.
     pub observed_drains: usize,
-    /// Looks at verdicts that were held against what was seen at the nodes.
+    /// Number of verdict readings compared with the observations at the nodes.
     pub verdict_readings: usize,
-    /// How long the machine stood still at worst.
+    /// Longest stall of the host.
     pub longest_stall: Duration,
-    /// Plays that were void before.
+    /// Number of void runs before this one.
     pub void_runs: usize,
 }
 
-/// Plays a schedule on a fleet of its own, anew where the machine stood still. After too many void plays what the
-/// last one broke counts.
+/// Runs a schedule on a new fleet, and repeats it after a stall of the host. After too many void runs the result of
+/// the last one counts.
 pub fn run_schedule(schedule: &Schedule, settings: Settings) -> Outcome {
-    let mut void = 0;
+    let mut void_runs = 0;
     loop {
-        let stage = FleetHarness::start(schedule.seed, schedule.size, settings);
-        let (record, played) = stage.run_schedule(schedule);
-        let bounds = stage.bounds();
-        drop(stage);
-        if record.longest_stall > MAX_STALL && void < MAX_VOID_RUNS {
-            void += 1;
-            println!("seed {}: void, the machine stood still for {:?}", schedule.seed, record.longest_stall);
+        let harness = FleetHarness::start(schedule.seed, schedule.size, settings);
+        let (record, executed) = harness.run_schedule(schedule);
+        let bounds = harness.bounds();
+        drop(harness);
+        if record.longest_stall > MAX_STALL && void_runs < MAX_VOID_RUNS {
+            void_runs += 1;
+            println!("seed {}: void run, the host stalled for {:?}", schedule.seed, record.longest_stall);
             continue;
         }
-        let avoided = check_avoidance(&record, &played, &bounds);
+        let avoidance = check_avoidance(&record, &executed, &bounds);
         return Outcome {
-            violations: find_violations(&record, &played, &bounds),
+            violations: find_violations(&record, &executed, &bounds),
             requests: record.requests.len(),
             run_once_arrivals: record.arrivals.iter().filter(|a| a.must_run_once).count(),
-            avoidance_checks: avoided.checked,
-            avoided_unbound: avoided.avoided_unbound,
+            avoidance_checks: avoidance.checked,
+            avoided_unbound: avoidance.avoided_unbound,
             observed_drains: record.drains.iter().filter(|d| d.notified_at < d.ended_at).count(),
             verdict_readings: record.verdict_readings.len(),
             longest_stall: record.longest_stall,
-            void_runs: void,
+            void_runs,
         };
     }
 }
 
-/// Plays the schedule of a seed, with as many planners as the settings say, and prints a line of it; where it breaks something, the least that still does,
-/// in at most so many plays. True where nothing was broken.
-pub fn run_seed(seed: u64, size: RunSize, settings: Settings, most: usize) -> bool {
+/// Runs the schedule of a seed and prints one line about it. After a violation it also prints the smallest schedule
+/// that still violates the same invariant, found in at most `max_runs` further runs. Returns whether there was no
+/// violation.
+pub fn run_seed(seed: u64, size: RunSize, settings: Settings, max_runs: usize) -> bool {
     let schedule = match settings.planners {
         0 => Schedule::generate(seed, size),
         planners => Schedule::generate(seed, size)
             .with_planners(planners)
             .with_planner_relay(settings.relay_by_planners),
     };
-    // Half of all plays with processes that go on from what the ones before them knew.
+    // Half of the seeds run with snapshots.
     let settings = Settings { snapshots: settings.snapshots || !seed.is_multiple_of(2), ..settings };
     let outcome = run_schedule(&schedule, settings);
     println!(
-        "seed {seed}: {} steps, {} requests, {} that must not run twice, {} looks, bound on avoidance checked {} times and {} sooner, {} drains told, stall {} ms, {} void: {} broken",
+        "seed {seed}: {} steps, {} requests, {} that must run once, {} verdict readings, bound on avoidance checked {} times, {} avoided without a bound, {} drains, stall {} ms, {} void runs: {} violations",
         schedule.steps.len(),
         outcome.requests,
         outcome.run_once_arrivals,
@@ -91,14 +92,14 @@
     if outcome.violations.is_empty() {
         return true;
     }
-    outcome.violations.iter().take(10).for_each(|broken| println!("  {broken}"));
+    outcome.violations.iter().take(10).for_each(|violation| println!("  {violation}"));
     println!("  {}", schedule.to_json());
-    let rule = outcome.violations[0].invariant;
-    let least = shrink_schedule(&schedule, most, |smaller| {
-        run_schedule(smaller, settings).violations.iter().any(|b| b.invariant == rule)
+    let invariant = outcome.violations[0].invariant;
+    let smallest = shrink_schedule(&schedule, max_runs, |smaller| {
+        run_schedule(smaller, settings).violations.iter().any(|violation| violation.invariant == invariant)
     });
-    if least != schedule {
-        println!("  least that breaks {rule:?}: {}", least.to_json());
+    if smallest != schedule {
+        println!("  smallest schedule that violates {invariant:?}: {}", smallest.to_json());
     }
     false
 }
--- a/crates/trials/src/harness.rs
+++ b/crates/trials/src/harness.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes on loopback sockets, played through a schedule.
+//! Runs a schedule of faults on a fleet of real processes on loopback sockets.
 
 use crate::checks::Bounds;
 use crate::planners::Planners;
@@ -19,26 +19,26 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What all processes are set to.
+/// Settings of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How often proxies write to each other.
+    /// Interval at which proxies send to each other.
     pub send_interval: Duration,
-    /// No verdict acts on what was seen longer ago.
+    /// Maximum age of the evidence for a verdict.
     pub max_evidence_age: Duration,
-    /// After which an attempt without an answer is silent.
+    /// Time without a response after which an attempt counts as silent.
     pub silent_after: Duration,
-    /// Proxies that have to agree.
+    /// Number of proxies that must agree on a verdict.
     pub quorum: usize,
-    /// Places in the fleet that no process of the program takes: a test may, behind those of all proxies.
+    /// Number of places in the fleet without a process, behind those of the proxies; tests may use them.
     pub unused_places: usize,
-    /// Each process keeps what it knows for the one that comes after it.
+    /// Whether each proxy persists its state in a snapshot and restores it after a restart.
     pub snapshots: bool,
-    /// Planners that tell the proxies what is listed; without them each watches the list itself.
+    /// Number of planners that send the list to the proxies; with 0 each proxy watches the list itself.
     pub planners: usize,
-    /// They carry what proxies say to each other; without it datagrams do.
+    /// Whether planners relay the messages between proxies, in place of datagrams.
     pub relay_by_planners: bool,
-    /// What proxies watch themselves beside planners is a copy of the list that nobody changes: for tests of the checkers.
+    /// Whether proxies with planners watch a copy of the list that never changes; used to test the checkers.
     pub static_own_list: bool,
 }
 
@@ -59,75 +59,75 @@
     }
 }
 
-/// What an answer takes: long beside what a busy machine makes of a timer.
+/// Response time of a healthy node; long compared to the timer error of a busy host.
 const RESPONSE_TIME: Duration = Duration::from_millis(30);
-/// Requests that a client sends at once: as many as a subset has members, so that each of them is met soon.
+/// Number of requests that a client sends at once, equal to the size of a subset so that each member gets one.
 const CONCURRENT_REQUESTS: usize = 3;
-/// How often it does.
+/// Interval between two such groups of requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(1200);
-/// Requests that each proxy gets first, without much of a pause: what is usual is known after eight of a class, and one in
-/// four is an order. Before that nothing is called slow.
+/// Number of requests that each proxy first gets at a short interval. The typical latency of a class is known after
+/// eight attempts, and one request in four is an order.
 const LEARNING_REQUESTS: u64 = 36;
+/// Interval between the first groups of requests.
 const LEARNING_INTERVAL: Duration = Duration::from_millis(100);
-/// In which requests are to be answered, as the processes are told.
+/// Deadline of requests, as configured in the processes.
 const REQUEST_DEADLINE: Duration = Duration::from_millis(2000);
-/// How long a client waits for an answer.
+/// Time that a client waits for a response.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(4000);
-/// How often what a proxy holds is looked at.
+/// Interval at which the verdicts of a proxy are read.
 const VERDICT_READ_INTERVAL: Duration = Duration::from_millis(150);
-/// What an attempt that went well takes off the odds at most, and the odds that a verdict needs, as logarithms: docs/design/verdicts.md
-/// has both, for the default rate of false verdicts.
+/// Log odds that one successful attempt subtracts at most, for the default rate of false verdicts.
 const SUCCESS_LOG_ODDS: f64 = 0.69;
+/// Log odds that a verdict requires, for the default rate of false verdicts.
 const REQUIRED_LOG_ODDS: f64 = 11.29;
-/// How long a look waits for what a proxy says: one that stands still says nothing.
+/// Timeout of reading verdicts; suspended processes do not answer.
 const VERDICT_READ_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long anybody else does: long beside what a busy machine takes.
+/// Timeout of all other operator calls.
 const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// A node that is slow takes so long.
+/// Response time of a slow node.
 const SLOW_RESPONSE_TIME: Duration = Duration::from_millis(400);
-/// Longer than any request waits.
+/// Response time of a hanging node; longer than any request waits.
 const HANG_TIME: Duration = Duration::from_secs(60);
-/// A kept connection may be closed while a request is on its way: what was sent so shortly before a process was ended
-/// may find nobody.
+/// Requests sent this long before a process terminates may fail, because its idle connections close at the same time.
 const REUSED_CONNECTION_RACE: Duration = Duration::from_millis(200);
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Where a process serves, and where operators call it; None while it does not run.
+/// Addresses of a proxy for requests and for operator calls; None while it does not run.
 type ProxyAddresses = Arc<Mutex<Option<(SocketAddr, SocketAddr)>>>;
 
 struct Proxy {
     process: Mutex<Option<DewpierProcess>>,
     addresses: ProxyAddresses,
     config_file: PathBuf,
-    /// When it had read a list: each line that says so, of each of its processes.
+    /// When the proxy had read a list, from the logs of all its processes.
     list_read_times: Mutex<Vec<Instant>>,
 }
 
-/// What was seen of a play so far.
+/// State of a run in progress.
 struct RunState {
     record: Record,
-    /// When the list was written that says so, for each drain of the record.
-    written: Vec<Instant>,
-    /// When it began, on the stage's clock.
-    offset: Duration,
-    /// For each drain of the record, how many lists its proxy had read before.
-    read_before: Vec<usize>,
+    /// When the list with the drain was written, for each drain of the record.
+    list_written_at: Vec<Instant>,
+    /// Start of the run, from the start of the harness.
+    run_offset: Duration,
+    /// Number of lists that the proxy had read before, for each drain of the record.
+    lists_read_before: Vec<usize>,
 }
 
-/// What all proxies of a fleet share.
+/// Key shared by all proxies of a fleet.
 pub const FLEET_KEY: &[u8] = b"a secret of the whole fleet";
 
-/// The fleet, for as long as it is kept.
+/// A running fleet; dropping it stops all processes.
 pub struct FleetHarness {
     run_size: RunSize,
     settings: Settings,
     start: Instant,
-    /// The stand-ins.
+    /// Mock servers behind the proxies.
     pub nodes: Vec<Backend>,
-    /// What carries datagrams.
+    /// Network that carries the datagrams between proxies.
     pub datagram_network: Mesh,
     inventory_file: PathBuf,
     planners: Option<Planners>,
@@ -146,7 +146,7 @@
 }
 
 impl FleetHarness {
-    /// Starts all processes, and waits until each hears all others and traffic is at all nodes.
+    /// Starts all processes, and waits until all proxies exchange datagrams and all nodes receive requests.
     pub fn start(seed: u64, size: RunSize, settings: Settings) -> Self {
         let nodes: Vec<Backend> =
             (0..size.nodes).map(|i| Backend::start(&format!("n{i}"), RESPONSE_TIME)).collect();
@@ -155,36 +155,31 @@
         [&file, &copy].iter().for_each(|file| replace_file(file, inventory_csv(&nodes).as_bytes()));
         let key = file.with_file_name("fleet.key");
         replace_file(&key, FLEET_KEY);
-        let mesh = Mesh::start(size.proxies + settings.unused_places, seed);
+        let network = Mesh::start(size.proxies + settings.unused_places, seed);
         let planners =
             (settings.planners > 0).then(|| Planners::start(settings.planners, size.proxies, &file));
         let proxies: Vec<Proxy> = (0..size.proxies)
-            .map(|me| {
+            .map(|proxy| {
                 let config = create_test_folder("config").join("dewpier.toml");
                 let list = match &planners {
                     Some(planners) => {
-                        planners.proxy_settings(me)
+                        planners.proxy_settings(proxy)
                             + &inventory_settings(if settings.static_own_list { &copy } else { &file })
                     }
                     None => inventory_settings(&file),
                 };
-                let text = proxy_config(me, size, settings, &mesh, &list, [&key, &config]);
+                let text = proxy_config(proxy, size, settings, &network, &list, [&key, &config]);
                 replace_file(&config, text.as_bytes());
-                let (places, lists) = (ProxyAddresses::default(), Mutex::default());
-                Proxy {
-                    process: Mutex::new(None),
-                    addresses: places,
-                    config_file: config,
-                    list_read_times: lists,
-                }
+                let (addresses, list_read_times) = (ProxyAddresses::default(), Mutex::default());
+                Proxy { process: Mutex::new(None), addresses, config_file: config, list_read_times }
             })
             .collect();
-        let mut stage = Self {
+        let mut harness = Self {
             run_size: size,
             settings,
             start: Instant::now(),
             nodes,
-            datagram_network: mesh,
+            datagram_network: network,
             inventory_file: file,
             planners,
             proxies,
@@ -193,45 +188,46 @@
             verdict_readings: Arc::default(),
             threads: Vec::new(),
         };
-        (0..size.proxies).for_each(|p| stage.start_proxy(p));
-        for number in 0..size.proxies {
-            let places = stage.proxies[number].addresses.clone();
-            let (over, asked, from) = (stage.is_stopping.clone(), stage.requests.clone(), stage.start);
-            let (also, looks, known) =
-                (stage.is_stopping.clone(), stage.verdict_readings.clone(), places.clone());
-            stage
-                .threads
-                .push(std::thread::spawn(move || send_requests(number, &places, &over, &asked, from)));
-            stage.threads.push(std::thread::spawn(move || {
-                read_verdicts_periodically(number, &known, &also, &looks, from)
+        (0..size.proxies).for_each(|p| harness.start_proxy(p));
+        for proxy in 0..size.proxies {
+            let addresses = harness.proxies[proxy].addresses.clone();
+            let (stop_requests, requests, started) =
+                (harness.is_stopping.clone(), harness.requests.clone(), harness.start);
+            let (stop_reads, readings, proxy_addresses) =
+                (harness.is_stopping.clone(), harness.verdict_readings.clone(), addresses.clone());
+            harness.threads.push(std::thread::spawn(move || {
+                send_requests(proxy, &addresses, &stop_requests, &requests, started)
+            }));
+            harness.threads.push(std::thread::spawn(move || {
+                read_verdicts_periodically(proxy, &proxy_addresses, &stop_reads, &readings, started)
             }));
         }
-        wait_for("talk of all with all", || {
+        wait_for("datagrams between all proxies", || {
             (0..size.proxies)
-                .all(|p| stage.read_metric(p, "partners_answering") == Some(size.proxies as u64 - 1))
+                .all(|p| harness.read_metric(p, "partners_answering") == Some(size.proxies as u64 - 1))
         });
-        wait_for("traffic at all nodes", || stage.nodes.iter().all(|n| n.request_count() >= 10));
-        wait_for("what is usual to be known", || {
-            let asked = lock(&stage.requests);
-            let of = |proxy: usize| asked.iter().filter(|a| a.proxy == proxy && a.status.is_some()).count();
-            (0..size.proxies).all(|proxy| of(proxy) >= LEARNING_REQUESTS as usize)
+        wait_for("requests at all nodes", || harness.nodes.iter().all(|n| n.request_count() >= 10));
+        wait_for("learned typical latencies", || {
+            let requests = lock(&harness.requests);
+            let answered =
+                |proxy: usize| requests.iter().filter(|a| a.proxy == proxy && a.status.is_some()).count();
+            (0..size.proxies).all(|proxy| answered(proxy) >= LEARNING_REQUESTS as usize)
         });
-        stage
+        harness
     }
 
-    /// The bounds that these settings promise.
+    /// Returns the bounds that follow from the settings.
     pub fn bounds(&self) -> Bounds {
-        let Settings { send_interval: every, max_evidence_age: stale, silent_after: silent, .. } =
-            self.settings;
+        let Settings { send_interval, max_evidence_age, silent_after, .. } = self.settings;
         Bounds {
-            max_evidence_age: stale,
-            send_interval: every,
-            silent_after: silent,
+            max_evidence_age,
+            send_interval,
+            silent_after,
             required_observers: self.settings.quorum,
             success_weight: SUCCESS_LOG_ODDS / (REQUIRED_LOG_ODDS / self.settings.quorum as f64),
-            // Four times what an answer takes is slow.
+            // A response counts as slow at four times the typical latency.
             min_detectable_delay: 3 * RESPONSE_TIME,
-            // Eight orders, one in four requests.
+            // Time for eight orders; one request in four is an order.
             latency_learning_time: REQUEST_INTERVAL * 11,
             max_ejected: (0.3 * self.run_size.nodes as f64) as usize,
             request_deadline: REQUEST_DEADLINE,
@@ -240,45 +236,49 @@
         }
     }
 
-    /// Starts a process by its configuration.
+    /// Starts a proxy with its configuration file.
     fn start_proxy(&self, proxy: usize) {
-        let known = &self.proxies[proxy];
+        let state = &self.proxies[proxy];
         let command = if self.planners.is_some() { "forwarder" } else { "serve" };
-        let served = DewpierProcess::start_from_config(command, &known.config_file, &self.inventory_file);
-        let line = served.wait_for_log(0, "operators call at").1;
+        let process = DewpierProcess::start_from_config(command, &state.config_file, &self.inventory_file);
+        let line = process.wait_for_log(0, "operators call at").1;
         let operator = line.rsplit(' ').next().and_then(|at| at.parse().ok());
-        *lock(&known.addresses) = operator.map(|operator| (served.address, operator));
-        *lock(&known.process) = Some(served);
+        *lock(&state.addresses) = operator.map(|operator| (process.address, operator));
+        *lock(&state.process) = Some(process);
     }
 
-    /// Kills a process and starts it anew, with nothing but what it kept.
+    /// Kills a proxy and restarts it; only its snapshot remains.
     pub fn restart(&self, proxy: usize) {
         self.kill(proxy);
         self.start_proxy(proxy);
     }
 
-    /// Kills all processes and starts them anew at once.
+    /// Kills all proxies and restarts them at the same time.
     pub fn restart_all(&self) {
         (0..self.run_size.proxies).for_each(|proxy| self.kill(proxy));
         self.start_all();
     }
 
-    /// Kills a process and starts it anew with these bytes for what it kept.
-    pub fn restart_with_snapshot(&self, proxy: usize, kept: &[u8]) {
+    /// Kills a proxy and restarts it with the given bytes as its snapshot.
+    pub fn restart_with_snapshot(&self, proxy: usize, snapshot: &[u8]) {
         self.kill(proxy);
-        replace_file(&self.snapshot_path(proxy), kept);
+        replace_file(&self.snapshot_path(proxy), snapshot);
         self.start_proxy(proxy);
     }
 
-    /// The list says from now on that these drain, and all others serve; every proxy has read that.
+    /// Lists these nodes as draining and all others as serving, and waits until every proxy has read the list.
     pub fn set_draining(&self, draining: &[usize]) {
-        let before: Vec<usize> = (0..self.run_size.proxies).map(|p| self.list_read_times(p).len()).collect();
+        let lists_before: Vec<usize> =
+            (0..self.run_size.proxies).map(|p| self.list_read_times(p).len()).collect();
         replace_file(
             &self.inventory_file,
             with_draining_nodes(&inventory_csv(&self.nodes), draining).as_bytes(),
         );
-        wait_for("all to read the list", || {
-            before.iter().enumerate().all(|(proxy, before)| self.list_read_times(proxy).len() > *before)
+        wait_for("the new list at all proxies", || {
+            lists_before
+                .iter()
+                .enumerate()
+                .all(|(proxy, lists_before)| self.list_read_times(proxy).len() > *lists_before)
         });
     }
 
@@ -288,43 +288,43 @@
         });
     }
 
-    /// Where a process keeps what it knows.
+    /// Returns the path of a proxy's snapshot file.
     pub fn snapshot_path(&self, proxy: usize) -> PathBuf {
         self.proxies[proxy].config_file.with_file_name("known")
     }
 
-    /// Lines of the log of the process that runs now.
-    pub fn log_lines_containing(&self, proxy: usize, what: &str) -> Vec<String> {
-        let served = lock(&self.proxies[proxy].process);
-        served.as_ref().map(|s| s.log_lines_containing(what)).unwrap_or_default()
+    /// Returns the log lines of the current process that contain a text.
+    pub fn log_lines_containing(&self, proxy: usize, text: &str) -> Vec<String> {
+        let process = lock(&self.proxies[proxy].process);
+        process.as_ref().map(|s| s.log_lines_containing(text)).unwrap_or_default()
     }
 
-    /// Keeps what its log says of lists, before the log goes.
+    /// Saves the times at which lists were read, before the log is dropped.
     fn store_list_times(&self, proxy: usize) {
-        let known = &self.proxies[proxy];
+        let state = &self.proxies[proxy];
         let lines =
-            lock(&known.process).as_ref().map(|s| s.log_times(self.list_log_text())).unwrap_or_default();
-        lock(&known.list_read_times).extend(lines);
+            lock(&state.process).as_ref().map(|s| s.log_times(self.list_log_text())).unwrap_or_default();
+        lock(&state.list_read_times).extend(lines);
     }
 
-    /// What a proxy answers to an operator's call. None where it does not, in time.
-    pub fn call_operator(&self, proxy: usize, what: &str) -> Option<String> {
+    /// Sends an operator call to a proxy. Returns None if it does not answer in time.
+    pub fn call_operator(&self, proxy: usize, command: &str) -> Option<String> {
         let (_, operator) = (*lock(&self.proxies[proxy].addresses))?;
-        call_operator(operator, what, OPERATOR_CALL_TIMEOUT)
+        call_operator(operator, command, OPERATOR_CALL_TIMEOUT)
     }
 
-    /// What a proxy holds. None where it does not say.
+    /// Returns the verdicts of a proxy, or None if it does not answer.
     pub fn read_verdicts(&self, proxy: usize) -> Option<Vec<HeldVerdict>> {
         parse_verdicts(&self.call_operator(proxy, "verdicts-json")?)
     }
 
-    /// A figure of a proxy's fleet.
+    /// Returns a metric of the fleet as seen by a proxy.
     pub fn read_metric(&self, proxy: usize, name: &str) -> Option<u64> {
         let vars = self.call_operator(proxy, "vars")?;
         vars.lines().find_map(|l| l.strip_prefix(&format!("edge_relay.fleet.{name}=")))?.parse().ok()
     }
 
-    /// Sends a process a signal.
+    /// Sends a signal to a proxy, such as `-STOP`.
     pub fn send_signal(&self, proxy: usize, name: &str) {
         lock(&self.proxies[proxy].process).iter().for_each(|s| s.send_signal(name));
     }
@@ -333,113 +333,114 @@
         self.start.elapsed()
     }
 
-    /// Plays a schedule and tells what was seen, with the steps as they were played. All is well again at its end.
+    /// Runs a schedule. Returns the observations, and the steps with their actual times; all faults have ended then.
     pub fn run_schedule(&self, schedule: &Schedule) -> (Record, Schedule) {
-        let of = (self.settings.planners, self.settings.relay_by_planners);
-        assert_eq!((schedule.planners, schedule.relay_by_planners), of, "a stage for other schedules");
+        let expected = (self.settings.planners, self.settings.relay_by_planners);
+        assert_eq!(
+            (schedule.planners, schedule.relay_by_planners),
+            expected,
+            "the schedule does not match the settings of the harness"
+        );
         let watch = StallWatch::start();
-        let (offset, since) = (self.now(), Instant::now());
-        let mut play =
-            RunState { record: Record::default(), written: Vec::new(), offset, read_before: Vec::new() };
-        let mut played = Schedule { steps: Vec::new(), ..schedule.clone() };
-        let ms = |at: Duration| at.as_millis() as u64;
-        // Each begins and each ends; ends first where both are due.
-        let mut due: Vec<(u64, bool, usize)> = Vec::new();
-        for (i, step) in schedule.steps.iter().enumerate() {
-            due.extend([(step.at_ms, true, i), (step.end_ms(), false, i)]);
+        let (run_offset, run_start) = (self.now(), Instant::now());
+        let mut run = RunState {
+            record: Record::default(),
+            list_written_at: Vec::new(),
+            run_offset,
+            lists_read_before: Vec::new(),
+        };
+        let mut executed = Schedule { steps: Vec::new(), ..schedule.clone() };
+        let ms = |time: Duration| time.as_millis() as u64;
+        // Each step begins and ends; ends come first where both are due.
+        let mut pending: Vec<(u64, bool, usize)> = Vec::new();
+        for (index, step) in schedule.steps.iter().enumerate() {
+            pending.extend([(step.at_ms, true, index), (step.end_ms(), false, index)]);
         }
-        due.sort_unstable();
-        let mut began = vec![Duration::ZERO; schedule.steps.len()];
-        for (at, begins, i) in due {
-            std::thread::sleep((Duration::from_millis(at)).saturating_sub(since.elapsed()));
-            let fault = &schedule.steps[i].fault;
+        pending.sort_unstable();
+        let mut start_times = vec![Duration::ZERO; schedule.steps.len()];
+        for (due_ms, begins, index) in pending {
+            std::thread::sleep((Duration::from_millis(due_ms)).saturating_sub(run_start.elapsed()));
+            let fault = &schedule.steps[index].fault;
             if begins {
-                // What it does is seen from before it, and until after it.
-                began[i] = self.now() - offset;
-                self.begin_fault(fault, &mut play);
+                // The recorded interval includes the whole effect of the fault.
+                start_times[index] = self.now() - run_offset;
+                self.begin_fault(fault, &mut run);
             } else {
-                self.end_fault(fault, &mut play);
-                let for_ms = ms(self.now() - offset - began[i]) + 1;
-                played.steps.push(Step { at_ms: ms(began[i]), duration_ms: for_ms, fault: fault.clone() });
+                self.end_fault(fault, &mut run);
+                let duration_ms = ms(self.now() - run_offset - start_times[index]) + 1;
+                executed.steps.push(Step {
+                    at_ms: ms(start_times[index]),
+                    duration_ms,
+                    fault: fault.clone(),
+                });
             }
         }
-        let rest = Duration::from_millis(schedule.size.duration_ms).saturating_sub(since.elapsed());
+        let rest = Duration::from_millis(schedule.size.duration_ms).saturating_sub(run_start.elapsed());
         std::thread::sleep(rest);
-        // Whatever was asked has an answer by then, or none in time.
+        // By then every request has been answered or has timed out.
         std::thread::sleep(CLIENT_TIMEOUT);
-        played.steps.sort_by_key(|step| step.at_ms);
-        self.collect_observations(&mut play);
-        play.record.planner_disagreement = self.planners.as_ref().and_then(Planners::wait_for_agreement);
-        play.record.longest_stall = watch.longest();
-        (play.record, played)
+        executed.steps.sort_by_key(|step| step.at_ms);
+        self.collect_observations(&mut run);
+        run.record.planner_disagreement = self.planners.as_ref().and_then(Planners::wait_for_agreement);
+        run.record.longest_stall = watch.longest();
+        (run.record, executed)
     }
 
-    fn begin_fault(&self, fault: &Fault, play: &mut RunState) {
-        let now = self.now() - play.offset;
-        let record = &mut play.record;
-        let disturbed =
+    fn begin_fault(&self, fault: &Fault, run: &mut RunState) {
+        let now = self.now() - run.run_offset;
+        let record = &mut run.record;
+        let outage =
             |proxy, from| Outage { proxy, started_at: from, ended_at: Duration::MAX, answers_pending: false };
         match fault {
-            Fault::Node { node, fault: does } => match does {
+            Fault::Node { node, fault: kind } => match kind {
                 schedule::NodeFault::Hangs => self.nodes[*node].set_response_time(HANG_TIME),
                 schedule::NodeFault::Slow => self.nodes[*node].set_response_time(SLOW_RESPONSE_TIME),
                 schedule::NodeFault::Fails => self.nodes[*node].set_failing(true),
                 schedule::NodeFault::OneInTen => self.nodes[*node].set_failure_interval(10),
                 schedule::NodeFault::Gone => self.nodes[*node].kill(),
             },
-            Fault::Path { proxy, node, fault: does } => {
-                self.nodes[*node].set_path_fault(&format!("p{proxy}"), Some(path_fault(*does)));
+            Fault::Path { proxy, node, fault: kind } => {
+                self.nodes[*node].set_path_fault(&format!("p{proxy}"), Some(path_fault(*kind)));
             }
-            Fault::Datagrams {
-                from,
-                to,
-                lost_per_mille: lost,
-                duplicated_per_mille: doubled,
-                max_delay_ms: delay_ms,
-            } => {
-                let way = mesh::LinkFaults {
-                    cut: *lost >= 1000,
-                    lost_per_mille: *lost,
-                    duplicated_per_mille: *doubled,
+            Fault::Datagrams { from, to, lost_per_mille, duplicated_per_mille, max_delay_ms: delay_ms } => {
+                let link_faults = mesh::LinkFaults {
+                    cut: *lost_per_mille >= 1000,
+                    lost_per_mille: *lost_per_mille,
+                    duplicated_per_mille: *duplicated_per_mille,
                     max_delay: Duration::from_millis(*delay_ms),
                 };
-                self.datagram_network.set_faults(way, |a, b| from.contains(&a) && to.contains(&b));
+                self.datagram_network.set_faults(link_faults, |a, b| from.contains(&a) && to.contains(&b));
             }
             Fault::Suspended { proxy } => {
-                record.outages.push(disturbed(*proxy, now));
+                record.outages.push(outage(*proxy, now));
                 self.send_signal(*proxy, "-STOP");
             }
             Fault::Killed { proxy } => {
-                record.outages.push(disturbed(*proxy, now));
+                record.outages.push(outage(*proxy, now));
                 self.kill(*proxy);
             }
             Fault::AllKilled => {
-                record.outages.extend((0..self.run_size.proxies).map(|proxy| disturbed(proxy, now)));
+                record.outages.extend((0..self.run_size.proxies).map(|proxy| outage(proxy, now)));
                 (0..self.run_size.proxies).for_each(|proxy| self.kill(proxy));
             }
             Fault::Terminated { proxy } => {
                 let from = now.saturating_sub(REUSED_CONNECTION_RACE);
-                record.outages.push(Outage { answers_pending: true, ..disturbed(*proxy, from) });
+                record.outages.push(Outage { answers_pending: true, ..outage(*proxy, from) });
                 *lock(&self.proxies[*proxy].addresses) = None;
                 self.send_signal(*proxy, "-TERM");
             }
             Fault::Drain { node } => {
                 let text = with_draining_nodes(&inventory_csv(&self.nodes), &[*node]);
                 for proxy in 0..self.run_size.proxies {
-                    play.read_before.push(self.list_read_times(proxy).len());
-                    play.written.push(Instant::now());
-                    let (told, until) = (Duration::MAX / 4, Duration::MAX);
-                    record.drains.push(ObservedDrain {
-                        node: *node,
-                        proxy,
-                        notified_at: told,
-                        ended_at: until,
-                    });
+                    run.lists_read_before.push(self.list_read_times(proxy).len());
+                    run.list_written_at.push(Instant::now());
+                    let (notified_at, ended_at) = (Duration::MAX / 4, Duration::MAX);
+                    record.drains.push(ObservedDrain { node: *node, proxy, notified_at, ended_at });
                 }
                 replace_file(&self.inventory_file, text.as_bytes());
             }
-            Fault::Planner { planner, fault: does } => {
-                self.planners.iter().for_each(|p| p.begin_fault(*planner, *does));
+            Fault::Planner { planner, fault: kind } => {
+                self.planners.iter().for_each(|p| p.begin_fault(*planner, *kind));
             }
             Fault::AllPlanners => self.planners.iter().for_each(Planners::kill_all),
             Fault::Streams { proxies, planners, to, responses_only: answers } => {
@@ -448,10 +449,10 @@
         }
     }
 
-    fn end_fault(&self, fault: &Fault, play: &mut RunState) {
-        let (record, offset) = (&mut play.record, play.offset);
+    fn end_fault(&self, fault: &Fault, run: &mut RunState) {
+        let (record, run_offset) = (&mut run.record, run.run_offset);
         match fault {
-            Fault::Node { node, fault: does } => match does {
+            Fault::Node { node, fault: kind } => match kind {
                 schedule::NodeFault::Hangs | schedule::NodeFault::Slow => {
                     self.nodes[*node].set_response_time(RESPONSE_TIME)
                 }
@@ -469,13 +470,13 @@
             Fault::AllKilled => self.start_all(),
             Fault::Terminated { proxy } => {
                 self.store_list_times(*proxy);
-                if let Some(served) = lock(&self.proxies[*proxy].process).take() {
-                    served.terminate();
+                if let Some(process) = lock(&self.proxies[*proxy].process).take() {
+                    process.terminate();
                 }
                 self.start_proxy(*proxy);
             }
             Fault::Drain { .. } => {
-                let now = self.now() - offset;
+                let now = self.now() - run_offset;
                 record
                     .drains
                     .iter_mut()
@@ -483,24 +484,24 @@
                     .for_each(|d| d.ended_at = now);
                 replace_file(&self.inventory_file, inventory_csv(&self.nodes).as_bytes());
             }
-            Fault::Planner { planner, fault: does } => {
-                self.planners.iter().for_each(|p| p.end_fault(*planner, *does))
+            Fault::Planner { planner, fault: kind } => {
+                self.planners.iter().for_each(|p| p.end_fault(*planner, *kind))
             }
             Fault::AllPlanners => self.planners.iter().for_each(Planners::start_all),
             Fault::Streams { proxies, planners, to, .. } => {
                 self.planners.iter().for_each(|p| p.set_blocked(proxies, planners, to, false, false));
             }
         }
-        let now = self.now() - offset;
-        let over = |d: &&mut Outage| match fault {
+        let now = self.now() - run_offset;
+        let is_affected = |d: &&mut Outage| match fault {
             Fault::Suspended { proxy } | Fault::Killed { proxy } | Fault::Terminated { proxy } => {
                 d.proxy == *proxy
             }
             Fault::AllKilled => true,
             _ => false,
         };
-        let open = record.outages.iter_mut().filter(|d| d.ended_at == Duration::MAX);
-        open.filter(over).for_each(|d| d.ended_at = now);
+        let open_outages = record.outages.iter_mut().filter(|d| d.ended_at == Duration::MAX);
+        open_outages.filter(is_affected).for_each(|d| d.ended_at = now);
     }
 
     fn kill(&self, proxy: usize) {
@@ -509,74 +510,74 @@
         drop(lock(&self.proxies[proxy].process).take());
     }
 
-    /// When a proxy had read a list, in order.
+    /// Returns when a proxy had read a list, in order.
     fn list_read_times(&self, proxy: usize) -> Vec<Instant> {
-        let known = &self.proxies[proxy];
-        let mut lists = lock(&known.list_read_times).clone();
-        lists.extend(
-            lock(&known.process).as_ref().map(|s| s.log_times(self.list_log_text())).unwrap_or_default(),
+        let state = &self.proxies[proxy];
+        let mut list_read_times = lock(&state.list_read_times).clone();
+        list_read_times.extend(
+            lock(&state.process).as_ref().map(|s| s.log_times(self.list_log_text())).unwrap_or_default(),
         );
-        lists
+        list_read_times
     }
 
-    /// What a log says where a proxy has read the list itself.
+    /// Text of the log line that a proxy writes when it has read the list itself.
     fn list_log_text(&self) -> &'static str {
         if self.planners.is_some() { "from its own watch" } else { "backends from" }
     }
 
-    /// Adds what was seen since then, on its clock.
-    fn collect_observations(&self, play: &mut RunState) {
-        let (record, offset) = (&mut play.record, play.offset);
-        let since = |at: Instant| at.saturating_duration_since(self.start).saturating_sub(offset);
-        let drains = record.drains.iter_mut().zip(&play.read_before).zip(&play.written);
-        for ((drain, before), written) in drains {
+    /// Adds the observations since the start of the run, with times relative to it.
+    fn collect_observations(&self, run: &mut RunState) {
+        let (record, run_offset) = (&mut run.record, run.run_offset);
+        let time_in_run = |at: Instant| at.saturating_duration_since(self.start).saturating_sub(run_offset);
+        let drains = record.drains.iter_mut().zip(&run.lists_read_before).zip(&run.list_written_at);
+        for ((drain, lists_before), list_written_at) in drains {
             let read = match &self.planners {
-                // What any planner has read binds all, and so does what a proxy has read itself.
+                // A list binds a proxy once any planner or the proxy itself has read it.
                 Some(planners) => {
-                    let own = self.list_read_times(drain.proxy).into_iter().find(|at| at > written);
-                    planners.first_list_read(*written).into_iter().chain(own).min()
+                    let own = self.list_read_times(drain.proxy).into_iter().find(|at| at > list_written_at);
+                    planners.first_list_read(*list_written_at).into_iter().chain(own).min()
                 }
-                None => self.list_read_times(drain.proxy).get(*before).copied(),
+                None => self.list_read_times(drain.proxy).get(*lists_before).copied(),
             };
-            drain.notified_at = read.map_or(drain.notified_at, since);
+            drain.notified_at = read.map_or(drain.notified_at, time_in_run);
         }
         for (node, backend) in self.nodes.iter().enumerate() {
             for a in backend.arrivals() {
-                let Some(order) = a.order_id else { continue };
-                let proxy = order.strip_prefix('p').and_then(|o| o.split('-').next()?.parse().ok());
+                let Some(request_id) = a.order_id else { continue };
+                let proxy = request_id.strip_prefix('p').and_then(|o| o.split('-').next()?.parse().ok());
                 let Some(proxy) = proxy else { continue };
-                if a.received_at >= self.start + offset {
-                    let (at, once) = (since(a.received_at), a.method == "POST");
+                if a.received_at >= self.start + run_offset {
+                    let (arrived_at, must_run_once) = (time_in_run(a.received_at), a.method == "POST");
                     record.arrivals.push(Arrival {
                         node,
-                        arrived_at: at,
+                        arrived_at,
                         proxy,
-                        request_id: order,
-                        must_run_once: once,
+                        request_id,
+                        must_run_once,
                         is_faulty: a.is_faulty,
                     });
                 }
             }
         }
         record.arrivals.sort_by_key(|a| a.arrived_at);
-        let later = |at: Duration| at.checked_sub(offset);
-        let asked = lock(&self.requests).clone().into_iter();
-        record.requests.extend(asked.filter_map(|a| {
-            Some(ClientRequest { sent_at: later(a.sent_at)?, ended_at: later(a.ended_at)?, ..a })
+        let since_start = |time: Duration| time.checked_sub(run_offset);
+        let requests = lock(&self.requests).clone().into_iter();
+        record.requests.extend(requests.filter_map(|a| {
+            Some(ClientRequest { sent_at: since_start(a.sent_at)?, ended_at: since_start(a.ended_at)?, ..a })
         }));
-        let looks = lock(&self.verdict_readings).clone().into_iter();
-        record.verdict_readings.extend(looks.filter_map(|l| {
+        let readings = lock(&self.verdict_readings).clone().into_iter();
+        record.verdict_readings.extend(readings.filter_map(|l| {
             Some(VerdictReading {
-                requested_at: later(l.requested_at)?,
-                answered_at: later(l.answered_at)?,
+                requested_at: since_start(l.requested_at)?,
+                answered_at: since_start(l.answered_at)?,
                 ..l
             })
         }));
     }
 }
 
-fn path_fault(does: schedule::PathFault) -> PathFault {
-    match does {
+fn path_fault(kind: schedule::PathFault) -> PathFault {
+    match kind {
         schedule::PathFault::RequestsHeld => PathFault::RequestsHeld,
         schedule::PathFault::ResponsesHeld => PathFault::ResponsesHeld,
         schedule::PathFault::ResetBeforeRequest => PathFault::ResetBeforeRequest,
@@ -585,32 +586,32 @@
     }
 }
 
-/// The configuration of a proxy that lies in the last of these files; the key is in the first one. `list` says where
-/// its list comes from.
+/// Formats the configuration of a proxy. `list` holds the settings of its list source; the files are the key and the
+/// configuration itself.
 fn proxy_config(
-    me: usize,
+    proxy: usize,
     size: RunSize,
     settings: Settings,
-    mesh: &Mesh,
+    network: &Mesh,
     list: &str,
     [key, config]: [&Path; 2],
 ) -> String {
-    let kept = config.with_file_name("known");
-    let kept = match settings.snapshots {
-        true => format!("snapshot_file = \"{}\"\n", kept.display()),
+    let snapshot = config.with_file_name("known");
+    let snapshot = match settings.snapshots {
+        true => format!("snapshot_file = \"{}\"\n", snapshot.display()),
         false => String::new(),
     };
     let by_planners = settings.relay_by_planners;
     let peer = |to| match by_planners {
         true => format!("{{ name = \"proxy-{to}\" }}"),
-        false => format!("{{ name = \"proxy-{to}\", address = \"{}\" }}", mesh.send_address(me, to)),
+        false => format!("{{ name = \"proxy-{to}\", address = \"{}\" }}", network.send_address(proxy, to)),
     };
     let carrier = match by_planners {
         true => "carrier = \"planners\"".into(),
-        false => format!("listen = \"{}\"", mesh.listen_addresses[me]),
+        false => format!("listen = \"{}\"", network.listen_addresses[proxy]),
     };
     let peers: Vec<String> =
-        (0..size.proxies + settings.unused_places).filter(|to| *to != me).map(peer).collect();
+        (0..size.proxies + settings.unused_places).filter(|to| *to != proxy).map(peer).collect();
     let class = |name: &str, effect: &str, method: &str| {
         format!(
             "[[class]]\nname = \"{name}\"\neffect = \"{effect}\"\naim_ms = 600\ndeadline_ms = {}\nmatch = [{{ methods = [\"{method}\"] }}]\n",
@@ -618,7 +619,7 @@
         )
     };
     format!(
-        "listen = \"127.0.0.1:0\"\noperator = \"127.0.0.1:0\"\n{list}[fleet]\nname = \"proxy-{me}\"\n{carrier}\nkey_file = \"{}\"\nevery_ms = {}\nstale_ms = {}\nquorum = {}\nsilent_after_ms = {}\n{kept}peers = [{}]\n[instances]\nnumber = {}\nme = {me}\n{}{}",
+        "listen = \"127.0.0.1:0\"\noperator = \"127.0.0.1:0\"\n{list}[fleet]\nname = \"proxy-{proxy}\"\n{carrier}\nkey_file = \"{}\"\nevery_ms = {}\nstale_ms = {}\nquorum = {}\nsilent_after_ms = {}\n{snapshot}peers = [{}]\n[instances]\nnumber = {}\nme = {proxy}\n{}{}",
         key.display(),
         settings.send_interval.as_millis(),
         settings.max_evidence_age.as_millis(),
@@ -631,94 +632,91 @@
     )
 }
 
-/// Asks an operator's call. None where nobody answers in time.
-fn call_operator(at: SocketAddr, what: &str, within: Duration) -> Option<String> {
-    let mut told = String::new();
-    let mut stream = TcpStream::connect(at).ok()?;
-    stream.set_read_timeout(Some(within)).ok()?;
-    stream.write_all(format!("{what}\n").as_bytes()).ok()?;
-    stream.read_to_string(&mut told).ok()?;
-    Some(told)
+/// Sends an operator call. Returns None if there is no answer in time.
+fn call_operator(address: SocketAddr, command: &str, timeout: Duration) -> Option<String> {
+    let mut response = String::new();
+    let mut stream = TcpStream::connect(address).ok()?;
+    stream.set_read_timeout(Some(timeout)).ok()?;
+    stream.write_all(format!("{command}\n").as_bytes()).ok()?;
+    stream.read_to_string(&mut response).ok()?;
+    Some(response)
 }
 
-/// A few requests at once at a proxy, again and again; each fourth is one that must not run twice.
+/// Sends groups of requests to a proxy periodically; one in four must run only once.
 fn send_requests(
-    number: usize,
-    places: &ProxyAddresses,
-    over: &AtomicBool,
-    asked: &Mutex<Vec<ClientRequest>>,
+    proxy: usize,
+    addresses: &ProxyAddresses,
+    is_stopping: &AtomicBool,
+    requests: &Mutex<Vec<ClientRequest>>,
     start: Instant,
 ) {
-    let mut kept: Vec<Option<BufReader<TcpStream>>> = (0..CONCURRENT_REQUESTS).map(|_| None).collect();
-    std::thread::sleep(REQUEST_INTERVAL / 12 * (number as u32 % 12));
-    let (mut count, mut last) = (0u64, None);
-    while !over.load(Ordering::SeqCst) {
+    let mut connections: Vec<Option<BufReader<TcpStream>>> = (0..CONCURRENT_REQUESTS).map(|_| None).collect();
+    std::thread::sleep(REQUEST_INTERVAL / 12 * (proxy as u32 % 12));
+    let (mut count, mut last_addresses) = (0u64, None);
+    while !is_stopping.load(Ordering::SeqCst) {
         let next =
             Instant::now() + if count < LEARNING_REQUESTS { LEARNING_INTERVAL } else { REQUEST_INTERVAL };
-        let at = *lock(places);
-        if last != at {
-            // A connection to a process that is no more takes a request and says nothing.
-            kept.iter_mut().for_each(|stream| *stream = None);
-            last = at;
+        let current = *lock(addresses);
+        if last_addresses != current {
+            // A connection to a process that has ended may accept a request and never answer.
+            connections.iter_mut().for_each(|stream| *stream = None);
+            last_addresses = current;
         }
         let mut sent = Vec::new();
-        for (i, stream) in kept.iter_mut().enumerate() {
+        for (i, stream) in connections.iter_mut().enumerate() {
             if stream.is_none() {
-                *stream = at.and_then(|(at, _)| TcpStream::connect(at).ok()).map(BufReader::new);
+                *stream =
+                    current.and_then(|(address, _)| TcpStream::connect(address).ok()).map(BufReader::new);
             }
             let Some(open) = stream else { continue };
             count += 1;
-            let (order, method) =
-                (format!("p{number}-{count}"), if count.is_multiple_of(4) { "POST" } else { "GET" });
+            let (request_id, method) =
+                (format!("p{proxy}-{count}"), if count.is_multiple_of(4) { "POST" } else { "GET" });
             let text = format!(
-                "{method} /r HTTP/1.1\r\nHost: shop\r\nX-Order: {order}\r\nContent-Length: 0\r\n\r\n"
+                "{method} /r HTTP/1.1\r\nHost: shop\r\nX-Order: {request_id}\r\nContent-Length: 0\r\n\r\n"
             );
-            let at = start.elapsed();
+            let sent_at = start.elapsed();
             if open.get_mut().write_all(text.as_bytes()).is_ok() {
-                sent.push((i, order, at));
+                sent.push((i, request_id, sent_at));
             } else {
-                *stream = None; // it was closed while nothing was on it
+                *stream = None; // the connection was closed while idle
             }
         }
-        for (i, order, at) in sent {
-            let Some(mut stream) = kept[i].take() else { continue };
-            let left = (at + CLIENT_TIMEOUT).saturating_sub(start.elapsed()).max(Duration::from_millis(1));
-            let _ = stream.get_ref().set_read_timeout(Some(left));
-            let answer = read_message(&mut stream);
-            let status = answer.as_ref().map(|a| a.status());
-            let ended = start.elapsed();
-            lock(asked).push(ClientRequest {
-                proxy: number,
-                request_id: order,
-                sent_at: at,
-                ended_at: ended,
-                status,
-            });
-            let closing = answer.as_ref().is_none_or(|a| a.header("connection") == Some("close"));
-            kept[i] = (!closing).then_some(stream);
+        for (i, request_id, sent_at) in sent {
+            let Some(mut stream) = connections[i].take() else { continue };
+            let time_left =
+                (sent_at + CLIENT_TIMEOUT).saturating_sub(start.elapsed()).max(Duration::from_millis(1));
+            let _ = stream.get_ref().set_read_timeout(Some(time_left));
+            let response = read_message(&mut stream);
+            let status = response.as_ref().map(|a| a.status());
+            let ended_at = start.elapsed();
+            lock(requests).push(ClientRequest { proxy, request_id, sent_at, ended_at, status });
+            let is_closing = response.as_ref().is_none_or(|a| a.header("connection") == Some("close"));
+            connections[i] = (!is_closing).then_some(stream);
         }
         std::thread::sleep(next.saturating_duration_since(Instant::now()));
     }
 }
 
-/// Looks at what a proxy holds, again and again.
+/// Reads the verdicts of a proxy periodically.
 fn read_verdicts_periodically(
-    number: usize,
-    places: &ProxyAddresses,
-    over: &AtomicBool,
-    looks: &Mutex<Vec<VerdictReading>>,
+    proxy: usize,
+    addresses: &ProxyAddresses,
+    is_stopping: &AtomicBool,
+    readings: &Mutex<Vec<VerdictReading>>,
     start: Instant,
 ) {
-    while !over.load(Ordering::SeqCst) {
-        let operator = *lock(places);
-        let at = start.elapsed();
-        let told = operator.and_then(|(_, at)| call_operator(at, "verdicts-json", VERDICT_READ_TIMEOUT));
-        if let Some(held) = told.and_then(|text| parse_verdicts(&text)) {
-            lock(looks).push(VerdictReading {
-                proxy: number,
-                requested_at: at,
+    while !is_stopping.load(Ordering::SeqCst) {
+        let operator = *lock(addresses);
+        let requested_at = start.elapsed();
+        let response =
+            operator.and_then(|(_, address)| call_operator(address, "verdicts-json", VERDICT_READ_TIMEOUT));
+        if let Some(verdicts) = response.and_then(|text| parse_verdicts(&text)) {
+            lock(readings).push(VerdictReading {
+                proxy,
+                requested_at,
                 answered_at: start.elapsed(),
-                verdicts: held,
+                verdicts,
             });
         }
         std::thread::sleep(VERDICT_READ_INTERVAL);
@@ -727,7 +725,7 @@
 
 fn parse_verdicts(text: &str) -> Option<Vec<HeldVerdict>> {
     let all: serde_json::Value = serde_json::from_str(text).ok()?;
-    let one = |v: &serde_json::Value| {
+    let parse_verdict = |v: &serde_json::Value| {
         Some(HeldVerdict {
             node: v["node"].as_str()?.strip_prefix("pricing-")?.parse().ok()?,
             kind: v["kind"].as_str()?.into(),
@@ -735,5 +733,5 @@
             oldest_report_age: Duration::from_millis(v["oldest_ms"].as_u64()?),
         })
     };
-    all.as_array()?.iter().map(one).collect()
+    all.as_array()?.iter().map(parse_verdict).collect()
 }
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -1,16 +1,17 @@
-//! Several processes of the program under faults: what goes wrong is drawn from a seed, played, written down as
-//! it was seen outside the processes, and held against what must not break.
+//! Fault injection over several processes of the program: a schedule of faults is generated from a seed and run,
+//! events are recorded outside the processes, and invariants are checked on the record.
 //!
-//! - [`schedule`]: faults and when, drawn from a seed, readable and writable as JSON;
-//! - [`stage`]: processes of the program before stand-in nodes, every way between any two of them led through a
-//!   network that the schedule breaks;
-//! - [`record`]: what was seen on one clock, at the stand-ins, by clients, and at the operators' calls;
-//! - [`checks`]: the rules and the stated bounds, as functions of a record;
-//! - [`shrink`]: the least of a schedule that still breaks something;
-//! - [`campaign`]: plays of schedules one after the other;
-//! - [`watch`]: stalls of the machine itself, which void a play.
+//! - [`schedule`]: generates schedules of faults, and reads and writes them as JSON;
+//! - [`harness`]: runs processes of the program and mock nodes, with all traffic between them through a network that
+//!   can inject faults;
+//! - [`record`]: events with times on one clock, seen at mock nodes, by clients and by operator calls;
+//! - [`checks`]: invariants and time bounds, checked on a record;
+//! - [`shrink`]: finds a small schedule that still violates an invariant;
+//! - [`campaign`]: runs schedules one after the other;
+//! - [`process`]: starts one process of the program and reads its log;
+//! - [`stall_watch`]: measures stalls of the host, which void a run.
 //!
-//! For tests, examples and measurements; never a dependency of the program.
+//! For tests, examples and benchmarks; never a dependency of the program.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/trials/src/shrink.rs
+++ b/crates/trials/src/shrink.rs
@@ -1,44 +1,43 @@
-//! The least of what still breaks: delta debugging (Zeller and Hildebrandt, "Simplifying and isolating
-//! failure-inducing input", 2002) over the steps of a schedule.
+//! Reduces a schedule to a small one that still violates an invariant, by delta debugging over its steps (Zeller and
+//! Hildebrandt, "Simplifying and isolating failure-inducing input", 2002).
 
 use crate::schedule::{Schedule, Step};
 
-/// Takes steps away as long as `breaks` says that what is left breaks something, in at most `most` plays of it.
-/// What comes back broke at its last play, or is the schedule itself. Where breaking is a matter of chance the result is
-/// one that broke once, no more.
+/// Removes steps while `is_failing` returns true for the remaining schedule, in at most `max_runs` calls. Returns the
+/// last schedule for which it did, or the given one. If failures are random, the result has failed at least once.
 pub fn shrink_schedule(
     schedule: &Schedule,
-    most: usize,
-    mut breaks: impl FnMut(&Schedule) -> bool,
+    max_runs: usize,
+    mut is_failing: impl FnMut(&Schedule) -> bool,
 ) -> Schedule {
-    let with = |steps: &[Step]| Schedule { steps: steps.to_vec(), ..schedule.clone() };
+    let schedule_with = |steps: &[Step]| Schedule { steps: steps.to_vec(), ..schedule.clone() };
     let mut steps = schedule.steps.clone();
-    let (mut parts, mut plays) = (2, 0);
-    while !steps.is_empty() && plays < most {
-        let size = steps.len().div_ceil(parts);
+    let (mut part_count, mut runs) = (2, 0);
+    while !steps.is_empty() && runs < max_runs {
+        let part_size = steps.len().div_ceil(part_count);
         let mut smaller = None;
-        for from in (0..steps.len()).step_by(size) {
-            if plays == most {
+        for from in (0..steps.len()).step_by(part_size) {
+            if runs == max_runs {
                 break;
             }
-            let mut left = steps.clone();
-            left.drain(from..(from + size).min(steps.len()));
-            plays += 1;
-            if breaks(&with(&left)) {
-                smaller = Some(left);
+            let mut remaining = steps.clone();
+            remaining.drain(from..(from + part_size).min(steps.len()));
+            runs += 1;
+            if is_failing(&schedule_with(&remaining)) {
+                smaller = Some(remaining);
                 break;
             }
         }
         match smaller {
-            Some(left) => {
-                steps = left;
-                parts = (parts - 1).max(2);
+            Some(remaining) => {
+                steps = remaining;
+                part_count = (part_count - 1).max(2);
             }
-            None if size == 1 => break,
-            None => parts = (2 * parts).min(steps.len()),
+            None if part_size == 1 => break,
+            None => part_count = (2 * part_count).min(steps.len()),
         }
     }
-    with(&steps)
+    schedule_with(&steps)
 }
 
 #[cfg(test)]
@@ -46,7 +45,7 @@
     use super::*;
     use crate::schedule::{Fault, RunSize};
 
-    fn of(count: usize) -> Schedule {
+    fn schedule_of(count: usize) -> Schedule {
         let step = |i: usize| Step { at_ms: i as u64, duration_ms: 1, fault: Fault::Drain { node: i } };
         let size = RunSize { proxies: 1, nodes: count, duration_ms: 100, node_fault_spacing_ms: 10 };
         Schedule {
@@ -58,36 +57,36 @@
         }
     }
 
-    fn nodes(schedule: &Schedule) -> Vec<u64> {
+    fn start_times(schedule: &Schedule) -> Vec<u64> {
         schedule.steps.iter().map(|s| s.at_ms).collect()
     }
 
     #[test]
-    fn two_steps_that_break_together_are_all_that_is_left() {
+    fn two_steps_that_fail_together_are_the_result() {
         for (a, b) in [(0, 19), (3, 4), (11, 17)] {
-            let mut plays = 0;
-            let found = shrink_schedule(&of(20), 1000, |s| {
-                plays += 1;
-                nodes(s).contains(&a) && nodes(s).contains(&b)
+            let mut runs = 0;
+            let result = shrink_schedule(&schedule_of(20), 1000, |s| {
+                runs += 1;
+                start_times(s).contains(&a) && start_times(s).contains(&b)
             });
-            assert_eq!(nodes(&found), [a, b]);
-            assert!(plays < 100, "{plays} plays");
+            assert_eq!(start_times(&result), [a, b]);
+            assert!(runs < 100, "{runs} runs");
         }
     }
 
     #[test]
-    fn what_breaks_with_nothing_is_empty_and_what_never_breaks_again_is_whole() {
-        assert!(shrink_schedule(&of(9), 100, |_| true).steps.is_empty());
-        assert_eq!(shrink_schedule(&of(9), 100, |_| false), of(9));
+    fn result_is_empty_if_all_schedules_fail_and_unchanged_if_none_does() {
+        assert!(shrink_schedule(&schedule_of(9), 100, |_| true).steps.is_empty());
+        assert_eq!(shrink_schedule(&schedule_of(9), 100, |_| false), schedule_of(9));
     }
 
     #[test]
-    fn plays_are_bounded() {
-        let mut plays = 0;
-        shrink_schedule(&of(40), 7, |_| {
-            plays += 1;
+    fn number_of_runs_is_bounded() {
+        let mut runs = 0;
+        shrink_schedule(&schedule_of(40), 7, |_| {
+            runs += 1;
             false
         });
-        assert_eq!(plays, 7);
+        assert_eq!(runs, 7);
     }
 }
--- a/crates/trials/src/stall_watch.rs
+++ b/crates/trials/src/stall_watch.rs
@@ -1,46 +1,46 @@
-//! Stalls of the machine itself: what was late then was late by no fault of the program.
+//! Measures stalls of the host, so that delays caused by them are not blamed on the program.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How often the watch wants to be woken.
+/// Interval at which the measuring thread wakes.
 const WAKE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Watches for as long as it is kept.
+/// Measures stalls until it is dropped.
 pub struct StallWatch {
-    over: Arc<AtomicBool>,
-    longest: Arc<AtomicU64>,
+    is_stopping: Arc<AtomicBool>,
+    longest_ms: Arc<AtomicU64>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl StallWatch {
-    /// One that has seen nothing.
+    /// Starts measuring.
     pub fn start() -> Self {
-        let (over, longest) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-        let (known, seen) = (over.clone(), longest.clone());
+        let (is_stopping, longest_ms) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+        let (stop, longest_seen_ms) = (is_stopping.clone(), longest_ms.clone());
         let thread = std::thread::spawn(move || {
             let mut last = Instant::now();
-            while !known.load(Ordering::SeqCst) {
+            while !stop.load(Ordering::SeqCst) {
                 std::thread::sleep(WAKE_INTERVAL);
                 let late = last.elapsed().saturating_sub(WAKE_INTERVAL);
-                seen.fetch_max(late.as_millis() as u64, Ordering::SeqCst);
+                longest_seen_ms.fetch_max(late.as_millis() as u64, Ordering::SeqCst);
                 last = Instant::now();
             }
         });
-        Self { over, longest, thread: Some(thread) }
+        Self { is_stopping, longest_ms, thread: Some(thread) }
     }
 
-    /// How late it was woken at worst.
+    /// Returns the longest delay of a wake-up so far.
     pub fn longest(&self) -> Duration {
-        Duration::from_millis(self.longest.load(Ordering::SeqCst))
+        Duration::from_millis(self.longest_ms.load(Ordering::SeqCst))
     }
 }
 
 impl Drop for StallWatch {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.is_stopping.store(true, Ordering::SeqCst);
         self.thread.take().into_iter().for_each(|t| drop(t.join()));
     }
 }
