--- a/crates/dewpier/src/members.rs
+++ b/crates/dewpier/src/members.rs
@@ -22,8 +22,11 @@
 #[derive(Debug)]
 pub struct Members {
     backend_ids: BackendIds,
+    /// Zone names by index.
     zones: Vec<String>,
+    /// The listed nodes by name.
     members: HashMap<String, Member>,
+    /// Whether no list has been taken yet.
     is_first_list: bool,
     /// The planners' budgets of cold nodes, in requests per second by node name.
     budgets: HashMap<String, f64>,
@@ -47,7 +50,7 @@
 
     /// Takes a new list at `now` and returns the update for the engine. Nodes of the first list count as warm. A node
     /// that appears later, serves again after a drain or has another address counts as just started, hence cold. A
-    /// node's number depends on its id alone, not on its row or address. `ages` holds the time since nodes started,
+    /// node's backend id depends on its name alone, not on its row or address. `ages` holds the time since nodes started,
     /// in seconds by name, as far as planners know it.
     pub fn update_nodes(
         &mut self,
@@ -139,7 +142,8 @@
 
     fn apply_list(members: &mut Members, text: &str, now: Time) -> Vec<ListedBackend> {
         let inventory = dewpier_inventory::read(text.as_bytes(), "n.csv", &Options::default()).unwrap();
-        let backends: Vec<_> = inventory.backends.iter().map(|b| (b, b.address.socket().unwrap())).collect();
+        let backends: Vec<_> =
+            inventory.backends.iter().map(|b| (b, b.address.socket_address().unwrap())).collect();
         match members.update_nodes(&backends, &HashMap::new(), now) {
             BackendListUpdate::Full(list) => list,
             other => panic!("{other:?}"),
@@ -190,7 +194,8 @@
             &Options::default(),
         );
         let inventory = inventory.unwrap();
-        let backends: Vec<_> = inventory.backends.iter().map(|b| (b, b.address.socket().unwrap())).collect();
+        let backends: Vec<_> =
+            inventory.backends.iter().map(|b| (b, b.address.socket_address().unwrap())).collect();
         let ages = HashMap::from([("b".to_string(), 3.0)]);
         let BackendListUpdate::Full(list) = members.update_nodes(&backends, &ages, 10.0) else { panic!() };
         assert_eq!([list[0].entry.started, list[1].entry.started], [None, Some(7.0)]);
