--- a/crates/dewpier/tests/levels/forwarder.rs
+++ b/crates/dewpier/tests/levels/forwarder.rs
@@ -1,7 +1,7 @@
 //! A simulated forwarder: its plan follower, its decision module and the engine's handling of leases and send
 //! deadlines.
 
-use dewpier::lists::nodes::backend;
+use dewpier::lists::nodes::backend_from_node;
 use dewpier::members::Members;
 use dewpier_plan::{Counts, Digest, DrainBound, Follower, Node, Slice, Standby, StandbySettings};
 use gannetproxy::engine::{BackendListUpdate, ListedBackend};
@@ -103,12 +103,12 @@
 
     /// Applies a node list: sets the send deadlines and passes the list to the decision module.
     pub fn apply_nodes(&mut self, now: u64, nodes: &[Node], actions: &mut Vec<Action>) {
-        let list: Vec<_> = nodes.iter().map(backend).collect();
+        let list: Vec<_> = nodes.iter().map(backend_from_node).collect();
         let addressed: Vec<_> = list.iter().map(|(b, a)| (b, *a)).collect();
         let age = |n: &Node| Some((n.id.clone(), n.age_ms? as f64 / 1000.0));
         let ages = nodes.iter().filter_map(age).collect();
         let grace = if self.has_lease(now) { self.grace } else { 0 };
-        let update = self.members.news(&addressed, &ages, now as f64 / 1e6);
+        let update = self.members.update_nodes(&addressed, &ages, now as f64 / 1e6);
         let BackendListUpdate::Full(list) = update else { panic!("{update:?}") };
         for (id, deadline) in &mut self.send_deadlines {
             if list.iter().all(|l| l.entry.id != *id) {
@@ -130,7 +130,7 @@
     }
 
     pub fn apply_budgets(&mut self, now: u64, actions: &mut Vec<Action>) {
-        if let BackendListUpdate::Changes(list) = self.members.budgets(self.follower.budgets()) {
+        if let BackendListUpdate::Changes(list) = self.members.update_budgets(self.follower.budgets()) {
             let entries: Vec<BackendEntry> = list.into_iter().map(|l| l.entry).collect();
             self.handle_event(now, Event::List(ListUpdate::Changes(&entries)), actions);
         }
@@ -142,7 +142,7 @@
 
     /// Builds the digest of an interval in microseconds and resets the counts.
     pub fn take_digest(&mut self, interval: u64) -> Digest {
-        let names = self.members.names();
+        let names = self.members.node_names();
         let with_name =
             |(id, counts): (BackendId, Counts)| Some(Counts { id: names.get(&id)?.to_string(), ..counts });
         let nodes = self.counts.drain().filter_map(with_name).collect();
--- a/crates/http/src/backend.rs
+++ b/crates/http/src/backend.rs
@@ -5,7 +5,7 @@
 use crate::limits::{Budget, Permit};
 use crate::payload::Payload;
 use crate::peer::{BackendReply, Connection, ExchangeError, LAST_BYTE_DELAY, connect};
-use dewpier_operate::figures::Attempts;
+use dewpier_operate::metrics::AttemptCounter;
 use dewpier_reuse::{HandshakePrice, LossCost, ReuseHistory, SharedHistory};
 use gannetproxy::engine::{Attempt, Upstream, UpstreamResult};
 use gannetproxy::{Outcome, Report};
@@ -195,7 +195,7 @@
     /// Which responses serve a request.
     pub response_policy: ResponsePolicy,
     /// Counts attempts; probes don't count.
-    pub attempt_counter: Attempts,
+    pub attempt_counter: AttemptCounter,
 }
 
 impl Upstream for HttpUpstream {
@@ -321,7 +321,7 @@
 /// How one exchange is made.
 struct ExchangeOptions<'a> {
     response_policy: ResponsePolicy,
-    attempt_counter: Option<Attempts>,
+    attempt_counter: Option<AttemptCounter>,
     /// The cost of losing the request on a reused connection, or `None` if it must use a new one.
     loss_cost: Option<LossCost>,
     /// Set if a reused connection loses the request.
