--- a/crates/dewpier/tests/bad_backends.rs
+++ b/crates/dewpier/tests/bad_backends.rs
@@ -1,4 +1,4 @@
-//! Backends whose answers come spoilt, or with more than belongs to them.
+//! Backends that send malformed answers, extra bytes, or answers that are late.
 
 mod common;
 
@@ -12,13 +12,13 @@
 
 const GOOD: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
-/// One that answers with these bytes, whatever they are, and keeps the connection.
-fn saying(bytes: &'static str) -> Played {
+/// A backend that answers every request with these bytes and keeps the connection open.
+fn backend_sending(bytes: &'static str) -> Played {
     Played::new(move |_, _| Play::Answer(bytes.to_string()))
 }
 
 #[test]
-fn a_spoilt_answer_has_failed_soon_and_may_have_run() {
+fn malformed_answer_fails_the_request_soon_without_a_retry() {
     let mut long = String::from("HTTP/1.1 200 OK\r\n");
     for i in 0..2000 {
         long += &format!("X-{i}: {}\r\n", "y".repeat(64));
@@ -35,19 +35,19 @@
         "HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n",
         long,
     ] {
-        let backend = saying(bytes);
+        let backend = backend_sending(bytes);
         let proxy = Proxy::for_backends(&[&backend]);
         let start = Instant::now();
         let status = proxy.exchange(&request_text("order", 19_000)).status();
         assert!(status != 200 && status != 429 && status != 503, "{status} for {bytes:.60}");
-        // Far sooner than the 19 s that the client would wait.
+        // The client would wait 19 s.
         assert!(start.elapsed() < Duration::from_secs(10), "{:?} for {bytes:.60}", start.elapsed());
         assert_eq!(backend.count(), 1, "{bytes:.60}");
     }
 }
 
 #[test]
-fn what_comes_behind_a_good_answer_is_not_taken_for_the_next_one() {
+fn bytes_after_an_answer_are_not_used_as_the_next_answer() {
     for extra in ["HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "\u{1}noise"] {
         let backend = Played::new(move |before, _| match before {
             0 => Play::AnswerThen(GOOD.to_string(), Duration::from_millis(5), extra.to_string()),
@@ -63,11 +63,11 @@
 }
 
 #[test]
-fn what_comes_ahead_of_an_answer_is_skipped() {
-    // The answer may follow long after: it has not begun with them.
+fn informational_answers_are_skipped() {
+    // Informational answers do not count as the start of the answer, which may follow much later.
     let backend = Played::new(move |_, _| {
-        let ahead = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
-        Play::AnswerThen(ahead.to_string(), Duration::from_millis(1500), GOOD.to_string())
+        let informational = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
+        Play::AnswerThen(informational.to_string(), Duration::from_millis(1500), GOOD.to_string())
     });
     let proxy = Proxy::for_backends(&[&backend]);
     let reply = proxy.exchange(&request_text("order", 19_000));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_report_that_cannot_be_read_is_ignored() {
+fn unreadable_load_report_is_ignored() {
     for report in ["{", "[]", "{\"avg_ms\":\"x\"}", "{\"avg_ms\":-5}", "{\"avg_ms\":1e999}"] {
         let text = format!("HTTP/1.1 200 OK\r\nX-Pressure: {report}\r\nContent-Length: 5\r\n\r\nhello");
         let backend = Played::new(move |_, _| Play::Answer(text.clone()));
@@ -85,8 +85,8 @@
 }
 
 #[test]
-fn what_was_reset_before_its_last_byte_has_never_run_and_is_sent_again() {
-    // Each connection serves one request and is reset at the first bytes of the next one.
+fn request_reset_before_its_last_byte_is_sent_again() {
+    // Each connection serves one request and is reset when the next one begins.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -95,7 +95,7 @@
                 let mut stream = BufReader::with_capacity(4096, stream);
                 if read(&mut stream).is_some() {
                     stream.get_mut().write_all(GOOD.as_bytes()).unwrap();
-                    // Dropped with something unread, which resets it.
+                    // Dropping the stream with unread bytes resets the connection.
                     let _ = stream.get_mut().read(&mut [0]);
                 }
             });
@@ -105,7 +105,7 @@
     let mut settings = settings();
     settings["caps"]["max-attempts"] = json!(1);
     let proxy = Proxy::start(&settings, &known, idle_discovery().address);
-    // The last byte is held back for a moment only: on a busy machine the reset may come later.
+    // The proxy delays the last byte only briefly: on a busy host the reset may arrive too late.
     wait_for("second answer on a kept connection", || {
         assert_eq!(proxy.exchange(&request_text("order", 9000)).status(), 200);
         std::thread::sleep(Duration::from_millis(100));
@@ -113,23 +113,23 @@
     });
 }
 
-/// Settings of an entry whose requests have one attempt each, and must be answered in `aim` seconds.
-fn entry_with(aim: f64) -> serde_json::Value {
+/// Settings of a first-tier proxy with one attempt per request and an aim of `aim_seconds`.
+fn first_tier_settings(aim_seconds: f64) -> serde_json::Value {
     let mut settings = settings();
     settings["tier"] = json!(0);
     settings["caps"]["max-attempts"] = json!(1);
     for class in settings["classes"].as_array_mut().unwrap() {
-        class["on-time"] = json!(aim);
+        class["on-time"] = json!(aim_seconds);
     }
     settings
 }
 
-/// Backends that answer until `stuck` is set, and then not before `LONG`, or until it is taken back.
-fn sticking<const N: usize>(stuck: &Arc<AtomicBool>, took: Duration) -> [Played; N] {
+/// Backends that answer after `work_time`, and wait while `stuck` is set, for `LONG` at most.
+fn start_backends<const N: usize>(stuck: &Arc<AtomicBool>, work_time: Duration) -> [Played; N] {
     std::array::from_fn(|_| {
         let stuck = stuck.clone();
         Played::new(move |_, _| {
-            std::thread::sleep(took);
+            std::thread::sleep(work_time);
             let start = Instant::now();
             while stuck.load(Ordering::SeqCst) && start.elapsed() < LONG {
                 std::thread::sleep(Duration::from_millis(5));
@@ -139,56 +139,60 @@
     })
 }
 
-fn total(backends: &[Played]) -> usize {
+fn count_requests(backends: &[Played]) -> usize {
     backends.iter().map(Played::count).sum()
 }
 
 #[test]
-fn calls_do_not_pile_up_behind_one_that_stands_still() {
-    // The other one goes on answering, and so may have more in flight than the silent one.
+fn calls_do_not_queue_at_a_hanging_backend() {
+    // The other backend goes on answering and may have more calls in flight.
     let stuck = Arc::new(AtomicBool::new(false));
-    let [bad] = sticking(&stuck, Duration::from_millis(50));
-    let [good] = sticking(&Arc::default(), Duration::from_millis(50));
-    let proxy = Proxy::start(&entry_with(20.0), &known_list(&[&bad, &good]), idle_discovery().address);
+    let [hanging] = start_backends(&stuck, Duration::from_millis(50));
+    let [working] = start_backends(&Arc::default(), Duration::from_millis(50));
+    let proxy = Proxy::start(
+        &first_tier_settings(20.0),
+        &known_list(&[&hanging, &working]),
+        idle_discovery().address,
+    );
     let ask = || proxy.exchange(&request_text("order", 19_000)).status();
-    wait_for("answer of each", || ask() == 200 && bad.count() > 1 && good.count() > 1);
+    wait_for("answer of each", || ask() == 200 && hanging.count() > 1 && working.count() > 1);
     stuck.store(true, Ordering::SeqCst);
     std::thread::scope(|scope| {
-        let before = bad.count();
-        while bad.count() == before {
+        let before = hanging.count();
+        while hanging.count() == before {
             scope.spawn(ask);
             std::thread::sleep(Duration::from_millis(200));
         }
         std::thread::sleep(Duration::from_secs(1));
         for _ in 0..5 {
-            let asked = [(); 3].map(|()| scope.spawn(ask));
-            assert!(asked.into_iter().all(|asked| asked.join().unwrap() == 200));
+            let calls = [(); 3].map(|()| scope.spawn(ask));
+            assert!(calls.into_iter().all(|call| call.join().unwrap() == 200));
         }
-        assert_eq!(bad.count(), before + 1);
+        assert_eq!(hanging.count(), before + 1);
         stuck.store(false, Ordering::SeqCst);
     });
 }
 
 #[test]
-fn a_few_calls_a_backend_are_no_overload_however_far_beyond_the_usual() {
+fn few_calls_per_backend_are_never_an_overload() {
     let stuck = Arc::new(AtomicBool::new(false));
-    let backends: [Played; 4] = sticking(&stuck, Duration::ZERO);
-    let mut settings = entry_with(6.0);
+    let backends: [Played; 4] = start_backends(&stuck, Duration::ZERO);
+    let mut settings = first_tier_settings(6.0);
     settings["n-instances"] = json!(2);
     let proxy = Proxy::start(&settings, &known_list(&backends.each_ref()), idle_discovery().address);
     let ask = || proxy.exchange(&request_text("order", 19_000)).status();
     (0..30).for_each(|_| assert_eq!(ask(), 200));
     stuck.store(true, Ordering::SeqCst);
     std::thread::scope(|scope| {
-        for more in 1..=4 {
+        for stuck_calls in 1..=4 {
             scope.spawn(ask);
-            wait_for("call", || total(&backends) == 30 + more);
+            wait_for("call", || count_requests(&backends) == 30 + stuck_calls);
         }
-        // So many in flight for so long are an excess that lasts.
+        // Long enough to count as a lasting excess of calls in flight.
         std::thread::sleep(Duration::from_secs(3));
         let fifth = scope.spawn(ask);
         let start = Instant::now();
-        while total(&backends) < 35 && start.elapsed() < Duration::from_secs(10) {
+        while count_requests(&backends) < 35 && start.elapsed() < Duration::from_secs(10) {
             std::thread::sleep(Duration::from_millis(5));
         }
         stuck.store(false, Ordering::SeqCst);
@@ -197,30 +201,32 @@
 }
 
 #[test]
-fn a_jam_that_passes_soon_costs_no_refusals() {
+fn short_stall_of_a_backend_rejects_no_request() {
     let stuck = Arc::new(AtomicBool::new(false));
-    let backends: [Played; 1] = sticking(&stuck, Duration::ZERO);
-    let proxy = Proxy::start(&entry_with(20.0), &known_list(&backends.each_ref()), idle_discovery().address);
+    let backends: [Played; 1] = start_backends(&stuck, Duration::ZERO);
+    let proxy =
+        Proxy::start(&first_tier_settings(20.0), &known_list(&backends.each_ref()), idle_discovery().address);
     let ask = || proxy.exchange(&request_text("order", 19_000)).status();
     (0..30).for_each(|_| assert_eq!(ask(), 200));
     stuck.store(true, Ordering::SeqCst);
     std::thread::scope(|scope| {
-        let asked: Vec<_> = (0..30).map(|_| scope.spawn(ask)).collect();
-        wait_for("calls", || total(&backends) > 32);
-        // Time for all of them to come in, and far less than they may wait.
+        let calls: Vec<_> = (0..30).map(|_| scope.spawn(ask)).collect();
+        wait_for("calls", || count_requests(&backends) > 32);
+        // Time for all requests to arrive, far below their deadline.
         std::thread::sleep(Duration::from_millis(500));
-        // Not all are sent to the backend that is jammed.
-        assert!(total(&backends) < 55, "{}", total(&backends));
+        // The stalled backend receives only some of the requests.
+        assert!(count_requests(&backends) < 55, "{}", count_requests(&backends));
         stuck.store(false, Ordering::SeqCst);
-        assert!(asked.into_iter().all(|asked| asked.join().unwrap() == 200));
+        assert!(calls.into_iter().all(|call| call.join().unwrap() == 200));
     });
 }
 
 #[test]
-fn a_jam_that_lasts_is_answered_long_before_the_client_gives_up() {
+fn long_stall_of_a_backend_rejects_requests_long_before_the_client_timeout() {
     let stuck = Arc::new(AtomicBool::new(false));
-    let backends: [Played; 1] = sticking(&stuck, Duration::ZERO);
-    let proxy = Proxy::start(&entry_with(4.0), &known_list(&backends.each_ref()), idle_discovery().address);
+    let backends: [Played; 1] = start_backends(&stuck, Duration::ZERO);
+    let proxy =
+        Proxy::start(&first_tier_settings(4.0), &known_list(&backends.each_ref()), idle_discovery().address);
     let ask = || {
         let start = Instant::now();
         let reply = proxy.exchange(&request_text("order", 19_000));
@@ -229,14 +235,14 @@
     (0..30).for_each(|_| assert_eq!(ask().0, 200));
     stuck.store(true, Ordering::SeqCst);
     std::thread::scope(|scope| {
-        let asked: Vec<_> = (0..30).map(|_| scope.spawn(ask)).collect();
-        let replies = asked.into_iter().map(|asked| asked.join().unwrap());
-        let refused: Vec<_> = replies.filter(|(status, ..)| [429, 503].contains(status)).collect();
+        let calls: Vec<_> = (0..30).map(|_| scope.spawn(ask)).collect();
+        let replies = calls.into_iter().map(|call| call.join().unwrap());
+        let rejected: Vec<_> = replies.filter(|(status, ..)| [429, 503].contains(status)).collect();
         stuck.store(false, Ordering::SeqCst);
-        assert!(refused.len() > 10, "{refused:?}");
+        assert!(rejected.len() > 10, "{rejected:?}");
         assert!(
-            refused.iter().all(|(_, told, took)| *told && *took < Duration::from_secs(10)),
-            "{refused:?}"
+            rejected.iter().all(|(_, has_retry_after, duration)| *has_retry_after && *duration < Duration::from_secs(10)),
+            "{rejected:?}"
         );
     });
 }
--- a/crates/dewpier/tests/bad_clients.rs
+++ b/crates/dewpier/tests/bad_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that stay, say nothing or send what can't be served: they are turned away soon, reach
-//! no backend, and keep no one else out.
+//! Clients that stay idle, send partial or malformed requests: they are rejected soon, reach no backend, and do not
+//! keep other clients from being served.
 
 mod common;
 
@@ -10,77 +10,76 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Until an error or the end of its connection, whichever comes first.
-fn turned_away(stream: &mut BufReader<TcpStream>) -> Option<u16> {
+/// Reads an error answer or the end of the connection, and returns the status of the answer.
+fn read_rejection(stream: &mut BufReader<TcpStream>) -> Option<u16> {
     let status = read(stream).map(|m| m.status());
     assert!(status.is_none_or(|s| s >= 400), "{status:?}");
     status
 }
 
 #[test]
-fn connections_that_stay_without_a_request_make_room_for_others() {
+fn idle_connections_are_closed_for_new_clients() {
     let backend = Played::good("hello");
     let mut config = build_config(&settings(), &known_list(&[&backend]));
     config["limits"]["sockets"] = json!(64);
     let proxy = Proxy::start_with_config(&config, idle_discovery().address);
-    // Asks on a connection of its own until it is served; what is closed or refused for want of
-    // room is tried again.
-    let served = || {
-        let mut kept = proxy.connect();
+    // Sends a request on a new connection until one is served; a closed or rejected one is repeated.
+    let connect_and_serve = || {
+        let mut connection = proxy.connect();
         wait_for("answer", || {
-            let sent = kept.get_mut().write_all(request_text("look", 9000).as_bytes());
-            let served = sent.is_ok() && read(&mut kept).is_some_and(|m| m.status() == 200);
-            if !served {
-                kept = proxy.connect();
+            let sent = connection.get_mut().write_all(request_text("look", 9000).as_bytes());
+            let is_served = sent.is_ok() && read(&mut connection).is_some_and(|m| m.status() == 200);
+            if !is_served {
+                connection = proxy.connect();
                 std::thread::sleep(Duration::from_millis(50));
             }
-            served
+            is_served
         });
-        kept
+        connection
     };
-    // More of either kind than it has descriptors.
-    let asked: Vec<_> = (0..70).map(|_| served()).collect();
-    let mute: Vec<_> = (0..70).map(|_| proxy.connect()).collect();
-    served();
-    drop((asked, mute));
+    // More connections of each kind than the proxy has descriptors.
+    let served: Vec<_> = (0..70).map(|_| connect_and_serve()).collect();
+    let silent: Vec<_> = (0..70).map(|_| proxy.connect()).collect();
+    connect_and_serve();
+    drop((served, silent));
 }
 
 #[test]
-fn who_gets_the_place_of_a_connection_that_never_asked_is_served() {
+fn client_that_replaces_a_silent_connection_is_served() {
     let backend = Played::good("hello");
     let mut config = build_config(&settings(), &known_list(&[&backend]));
-    config["limits"]["sockets"] = json!(64); // room for 21 clients
+    config["limits"]["sockets"] = json!(64); // capacity for 21 clients
     let proxy = Proxy::start_with_config(&config, idle_discovery().address);
-    let mute: Vec<_> = (0..21).map(|_| proxy.connect()).collect();
-    // Longer than a connection may say nothing while others wait for its place.
+    let silent: Vec<_> = (0..21).map(|_| proxy.connect()).collect();
+    // Longer than a silent connection is kept while other clients wait.
     std::thread::sleep(Duration::from_secs(1));
-    let mut asked = Vec::new();
+    let mut served = Vec::new();
     for n in 0..15 {
         let mut stream = proxy.connect();
         assert_eq!(ask(&mut stream, &request_text("look", 9000)).status(), 200, "client {n}");
-        asked.push(stream);
+        served.push(stream);
     }
-    drop(mute);
+    drop(silent);
 }
 
 #[test]
-fn a_newcomer_takes_the_place_of_one_that_rests_between_two_requests() {
+fn new_client_replaces_a_connection_that_is_idle_between_requests() {
     let backend = Played::good("hello");
     let mut config = build_config(&settings(), &known_list(&[&backend]));
-    config["limits"]["sockets"] = json!(64); // room for 21 clients
+    config["limits"]["sockets"] = json!(64); // capacity for 21 clients
     let proxy = Proxy::start_with_config(&config, idle_discovery().address);
-    let mut kept = Vec::new();
+    let mut idle = Vec::new();
     for n in 0..63 {
         let mut stream = proxy.connect();
         assert_eq!(ask(&mut stream, &request_text("look", 9000)).status(), 200, "client {n}");
-        kept.push(stream);
-        // The one that has rested longest does so for less than two seconds, and more than a tenth.
+        idle.push(stream);
+        // The longest idle time stays between 0.1 s and 2 s.
         std::thread::sleep(Duration::from_millis(40));
     }
 }
 
 #[test]
-fn a_connection_with_a_request_in_hand_is_not_closed_to_make_room() {
+fn connection_with_an_open_request_is_not_closed_for_new_clients() {
     let (backend, release) = Played::held("hello");
     let mut config = build_config(&settings(), &known_list(&[&backend]));
     config["limits"]["sockets"] = json!(64);
@@ -88,17 +87,17 @@
     let mut busy = proxy.connect();
     busy.get_mut().write_all(request_text("order", 20_000).as_bytes()).unwrap();
     wait_for("attempt", || backend.count() == 1);
-    let mute: Vec<_> = (0..60).map(|_| proxy.connect()).collect();
-    // Those that say nothing are all closed in time; the one at work is not.
-    for mut stream in mute {
-        assert_eq!(turned_away(&mut stream), None);
+    let silent: Vec<_> = (0..60).map(|_| proxy.connect()).collect();
+    // All silent connections are closed in time; the one with an open request is not.
+    for mut stream in silent {
+        assert_eq!(read_rejection(&mut stream), None);
     }
     release.send(()).unwrap();
     assert_eq!(read(&mut busy).expect("an answer").status(), 200);
 }
 
 #[test]
-fn what_never_comes_whole_is_given_up_within_three_seconds() {
+fn incomplete_requests_are_given_up_within_three_seconds() {
     let backend = Played::good("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let good = request_text("look", 9000);
@@ -109,20 +108,20 @@
         stream.get_mut().write_all(part.as_bytes()).unwrap();
         stream
     });
-    // One that has had an answer before is no better.
+    // The limit also holds on a connection that has already served a request.
     let mut second = proxy.connect();
     assert_eq!(ask(&mut second, &request_text("look", 9000)).status(), 200);
     second.get_mut().write_all(b"GET /api HT").unwrap();
-    let statuses = streams.each_mut().map(turned_away);
+    let statuses = streams.each_mut().map(read_rejection);
     assert_eq!(statuses, [None, None, Some(408)]);
-    turned_away(&mut second);
-    // 3 s is what is owed; a busy machine is given more, and what it was before is far beyond.
+    read_rejection(&mut second);
+    // The limit is 3 s; a busy host may need longer.
     assert!(start.elapsed() < Duration::from_secs(15), "{:?}", start.elapsed());
     assert_eq!(backend.count(), 1);
 }
 
 #[test]
-fn a_connection_at_rest_is_kept() {
+fn idle_connection_is_kept() {
     let backend = Played::good("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let mut stream = proxy.connect();
@@ -132,7 +131,7 @@
 }
 
 #[test]
-fn what_could_be_read_in_two_ways_does_not_go_on() {
+fn requests_with_ambiguous_framing_are_rejected() {
     let backend = Played::good("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let good = request_text("save", 9000);
@@ -152,15 +151,15 @@
         let mut stream = proxy.connect();
         let text = good.replace("Content-Length: 4\r\n\r\nbody", &coding);
         stream.get_mut().write_all(text.as_bytes()).unwrap();
-        turned_away(&mut stream);
-        // Nor does anything behind it.
+        read_rejection(&mut stream);
+        // Bytes after the request are not answered either.
         assert!(read(&mut stream).is_none(), "{coding}");
     }
     assert_eq!(backend.count(), 0);
 }
 
 #[test]
-fn a_spoilt_request_is_refused_and_its_connection_closed() {
+fn malformed_request_is_rejected_and_its_connection_closed() {
     let backend = Played::good("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let (look, save, order) =
@@ -187,30 +186,30 @@
         assert!(read(&mut stream).is_none(), "{text}");
     }
     assert_eq!(backend.count(), 0);
-    // A wait that no class allows is cut to what it does allow.
+    // A remaining time above the maximum of the class is reduced to it.
     assert_eq!(proxy.exchange(&look.replace("9000", "4294967295")).status(), 200);
     let sent = backend.requests.lock().unwrap()[0].clone();
     assert!(sent.header("x-remaining-ms").unwrap().parse::<u64>().unwrap() <= 30_000);
 }
 
 #[test]
-fn a_head_without_end_is_refused() {
+fn endless_request_head_is_rejected() {
     let backend = Played::good("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let mut stream = proxy.connect();
     let _ = stream.get_mut().write_all(b"GET /api HTTP/1.1\r\n");
     for i in 0..2000 {
-        // It may have been closed meanwhile.
+        // The proxy may have closed the connection.
         if stream.get_mut().write_all(format!("X-{i}: {}\r\n", "y".repeat(64)).as_bytes()).is_err() {
             break;
         }
     }
-    turned_away(&mut stream);
+    read_rejection(&mut stream);
     assert_eq!(backend.count(), 0);
 }
 
 #[test]
-fn the_id_of_an_open_request_neither_ends_nor_answers_it() {
+fn duplicate_id_of_an_open_request_is_rejected_without_effect_on_it() {
     let (backend, release) = Played::held("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let text = request_text("order", 20_000);
@@ -224,8 +223,8 @@
 }
 
 #[test]
-fn an_id_used_again_is_not_answered_by_what_is_still_out_of_the_first() {
-    // The first answer is late, and attempts are not cancelled here.
+fn reused_id_is_not_answered_by_a_late_attempt_of_the_first_request() {
+    // The first answer is late, and attempts are not cancelled.
     let backend = Played::new(move |before, _| {
         if before == 0 {
             std::thread::sleep(Duration::from_millis(1500));
--- a/crates/dewpier/tests/client_gone.rs
+++ b/crates/dewpier/tests/client_gone.rs
@@ -1,5 +1,5 @@
-//! Clients that leave: seen in whatever state their request is, also behind bytes that nobody has read, and nothing is
-//! sent for them any more.
+//! Clients that disconnect: the proxy notices in every state of the request, also behind unread bytes, and sends
+//! nothing more for them.
 
 mod common;
 
@@ -12,17 +12,17 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-/// The operators' term is 0.1 s; the rest is for a busy machine, and far below any timer of the requests here.
-const SEEN_WITHIN: Duration = Duration::from_millis(700);
+/// The limit is 0.1 s; the rest allows for a busy host and stays far below all timers of these requests.
+const MAX_DETECTION_TIME: Duration = Duration::from_millis(700);
 
-/// A backend that says nothing, and tells when an attempt there is given up.
-fn silent() -> (Played, Receiver<()>) {
+/// A backend that never answers, and a channel that reports the end of an attempt there.
+fn silent_backend() -> (Played, Receiver<()>) {
     let (ended, end) = channel();
     (Played::new(move |_, _| Play::Silence(ended.clone())), end)
 }
 
-/// What a client may have sent behind its request when it leaves.
-fn behind() -> [(&'static str, Vec<u8>); 5] {
+/// Bytes that a client may have sent after its request before it disconnects.
+fn pipelined_bytes() -> [(&'static str, Vec<u8>); 5] {
     [
         ("nothing", Vec::new()),
         ("half a head", b"GET /api HTTP/1.1\r\nHost: a".to_vec()),
@@ -33,45 +33,49 @@
 }
 
 #[test]
-fn a_client_that_leaves_is_seen_behind_what_it_sent_last() {
-    type Leave = fn(BufReader<TcpStream>);
-    let ways: [(&str, Leave); 2] =
+fn disconnect_is_noticed_behind_pipelined_bytes() {
+    type Disconnect = fn(BufReader<TcpStream>);
+    let disconnects: [(&str, Disconnect); 2] =
         [("closes", |client| drop(client)), ("resets", |client| reset(client.into_inner()))];
-    for (how, leave) in ways {
-        for (what, bytes) in behind() {
-            let (backend, end) = silent();
+    for (how, disconnect) in disconnects {
+        for (description, bytes) in pipelined_bytes() {
+            let (backend, end) = silent_backend();
             let proxy = Proxy::for_backends(&[&backend]);
             let mut client = proxy.connect();
             client.get_mut().write_all(request_text("order", 20_000).as_bytes()).unwrap();
             wait_for("attempt", || backend.count() == 1);
             client.get_mut().write_all(&bytes).unwrap();
-            let left = Instant::now();
-            leave(client);
+            let disconnected_at = Instant::now();
+            disconnect(client);
             heard(&end);
-            assert!(left.elapsed() < SEEN_WITHIN, "{how} behind {what}: {:?}", left.elapsed());
+            assert!(
+                disconnected_at.elapsed() < MAX_DETECTION_TIME,
+                "{how} behind {description}: {:?}",
+                disconnected_at.elapsed()
+            );
         }
     }
 }
 
 #[test]
-fn nothing_is_sent_again_for_a_client_that_has_left() {
-    let ((first, first_end), (second, second_end)) = (silent(), silent());
+fn disconnected_client_gets_no_repeat() {
+    let ((first, first_end), (second, second_end)) = (silent_backend(), silent_backend());
     let proxy = Proxy::for_backends(&[&first, &second]);
     let mut client = proxy.connect();
-    // Its timer for a repeat fires after four tenths of this.
+    // The repeat timer fires after 0.4 of this time.
     client.get_mut().write_all(request_text("look", 2500).as_bytes()).unwrap();
     wait_for("attempt", || first.count() + second.count() == 1);
     client.get_mut().write_all(request_text("look", 2500).as_bytes()).unwrap();
     drop(client);
     let end = if first.count() == 1 { first_end } else { second_end };
     heard(&end);
-    // By the end of its time every timer of it has fired.
+    // All timers of the request have fired by then.
     std::thread::sleep(Duration::from_millis(2700));
-    assert_eq!(first.count() + second.count(), 1, "an attempt after the client had left");
+    assert_eq!(first.count() + second.count(), 1, "an attempt after the client has disconnected");
 }
 
 #[test]
-fn a_request_behind_an_open_one_is_read_as_it_came() {
+fn pipelined_requests_are_served_in_order() {
     let (backend, release) = Played::held("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let mut client = proxy.connect();
@@ -86,7 +90,7 @@
 }
 
 #[test]
-fn what_floods_a_connection_behind_a_request_ends_it_with_the_answer() {
+fn connection_with_too_many_pipelined_bytes_closes_after_the_answer() {
     let (backend, release) = Played::held("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let mut client = proxy.connect();
@@ -100,70 +104,75 @@
     assert_eq!(backend.count(), 1);
 }
 
-/// A backend on which connections come up late: its queue is full of others until it accepts.
-struct Late {
+/// A backend on which connections are established late: its accept queue is full at first.
+struct LateBackend {
     listener: TcpListener,
     address: SocketAddr,
-    _filling: Vec<Socket>,
+    _queue_fillers: Vec<Socket>,
 }
 
-impl Late {
+impl LateBackend {
     fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
-        let filling = (0..4)
+        let fillers = (0..4)
             .map(|_| {
-                let filling = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-                filling.set_nonblocking(true).unwrap();
-                let _ = filling.connect(&address.into()); // under way, or waiting for a place
-                filling
+                let filler = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+                filler.set_nonblocking(true).unwrap();
+                let _ = filler.connect(&address.into()); // pending or queued
+                filler
             })
             .collect();
-        Self { listener, address, _filling: filling }
+        Self { listener, address, _queue_fillers: fillers }
     }
 
-    /// Accepts everything that comes within that time, and tells which bytes came on it.
+    /// Accepts connections for `time` and returns all bytes received on them.
     fn read_for(self, time: Duration) -> Vec<u8> {
         self.listener.set_nonblocking(true).unwrap();
-        let (mut streams, mut came, start) = (Vec::new(), Vec::new(), Instant::now());
+        let (mut streams, mut received, start) = (Vec::new(), Vec::new(), Instant::now());
         while start.elapsed() < time {
             while let Ok((stream, _)) = self.listener.accept() {
                 stream.set_nonblocking(true).unwrap();
                 streams.push(stream);
             }
-            let mut space = [0; 4096];
+            let mut buffer = [0; 4096];
             for stream in &mut streams {
-                while let Ok(read @ 1..) = stream.read(&mut space) {
-                    came.extend_from_slice(&space[..read]);
+                while let Ok(read @ 1..) = stream.read(&mut buffer) {
+                    received.extend_from_slice(&buffer[..read]);
                 }
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        came
+        received
     }
 }
 
 #[test]
 fn a_connection_that_comes_up_after_the_client_has_left_is_not_used() {
-    // Attempts may not be withdrawn here: nothing but the last look before the first byte keeps it back.
-    for (leaves, expected) in [(false, true), (true, false)] {
-        let late = Late::start();
+    // Attempts are not cancelled here: only the check before the first byte prevents the send.
+    for (disconnects, expected) in [(false, true), (true, false)] {
+        let backend = LateBackend::start();
         let mut settings = settings();
         settings["caps"]["cancel"] = json!(false);
         settings["caps"]["connect-timeout"] = json!(20.0);
-        let known = discovery_list(1, true, &[list_entry("s-0", late.address, "SERVING")]);
+        let known = discovery_list(1, true, &[list_entry("s-0", backend.address, "SERVING")]);
         let proxy = Proxy::start(&settings, &known, idle_discovery().address);
         let mut client = proxy.connect();
         client.get_mut().write_all(request_text("order", 20_000).as_bytes()).unwrap();
-        // Another client's answer tells that the request has been read.
+        // An answer to another client shows that the request has been read.
         assert_eq!(proxy.exchange("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
-        let kept = (!leaves).then_some(client);
-        // The system tries again after 1 s and after 3 s.
-        let came = late.read_for(Duration::from_secs(5));
-        assert_eq!(!came.is_empty(), expected, "leaves: {leaves}: {}", String::from_utf8_lossy(&came));
-        drop(kept);
+        let kept_client = (!disconnects).then_some(client);
+        // The operating system retries the connection after 1 s and after 3 s.
+        let received = backend.read_for(Duration::from_secs(5));
+        assert_eq!(
+            !received.is_empty(),
+            expected,
+            "disconnects: {disconnects}: {}",
+            String::from_utf8_lossy(&received)
+        );
+        drop(kept_client);
     }
 }
--- a/crates/dewpier/tests/growth.rs
+++ b/crates/dewpier/tests/growth.rs
@@ -1,5 +1,5 @@
-//! Backends that are replaced by ever new ones: the engine forgets what is gone, and no sooner than
-//! nothing can name it any more.
+//! Backends that are replaced again and again: the engine removes a backend that is gone, but not before its last
+//! attempt has ended.
 
 mod common;
 
@@ -14,12 +14,12 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-fn listed(id: u32, address: SocketAddr) -> ListedBackend {
+fn listed_backend(id: u32, address: SocketAddr) -> ListedBackend {
     ListedBackend { entry: BackendEntry { id: BackendId(id), ..BackendEntry::default() }, address }
 }
 
 #[test]
-fn the_engine_forgets_a_backend_that_is_gone_once_no_attempt_is_out() {
+fn engine_removes_a_backend_that_is_gone_after_its_last_attempt() {
     let (ended, end) = channel();
     let silent = Played::new(move |_, _| Play::Silence(ended.clone()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -33,12 +33,12 @@
             response_policy: ResponsePolicy::Platform,
             attempt_counter: Default::default(),
         };
-        let bounds = EngineLimits { drain_grace: Duration::from_millis(100), max_open_requests: 10 };
-        // The attempt must be out for longer than it takes to forget the others.
+        let limits = EngineLimits { drain_grace: Duration::from_millis(100), max_open_requests: 10 };
+        // The attempt must last longer than the removal of the other backends takes.
         let class = Class { aim: 20.0, deadline: 20.0, ..Class::default() };
         let settings = Settings { classes: vec![class], tier: 1, ..Settings::default() };
-        let engine = Engine::start(settings, bounds, 1, upstream);
-        engine.update_list(BackendListUpdate::Full(vec![listed(1, silent.address)]));
+        let engine = Engine::start(settings, limits, 1, upstream);
+        engine.update_list(BackendListUpdate::Full(vec![listed_backend(1, silent.address)]));
         let payload = Payload {
             method: hyper::Method::GET,
             uri: "/api".parse().unwrap(),
@@ -54,23 +54,23 @@
         while silent.count() == 0 {
             pause().await;
         }
-        for new in 2..50 {
-            engine.update_list(BackendListUpdate::Full(vec![listed(new, silent.address)]));
+        for id in 2..50 {
+            engine.update_list(BackendListUpdate::Full(vec![listed_backend(id, silent.address)]));
         }
-        // Long enough for the grace and the next sweep, over and over.
+        // Waits for the grace period and the next removal.
         let mut waits = 0;
         while (2..49).any(|id| engine.has_backend(BackendId(id))) {
             pause().await;
             waits += 1;
-            assert!(waits < 1000, "they are not forgotten");
+            assert!(waits < 1000, "backends that are gone are not removed");
         }
-        assert!(engine.has_backend(BackendId(49)), "the one that is listed");
-        assert!(engine.has_backend(BackendId(1)), "the one with an attempt out");
+        assert!(engine.has_backend(BackendId(49)), "the listed backend is kept");
+        assert!(engine.has_backend(BackendId(1)), "a backend with an open attempt is kept");
         engine.client_disconnected(id);
         while engine.has_backend(BackendId(1)) {
             pause().await;
             waits += 1;
-            assert!(waits < 2000, "it is not forgotten");
+            assert!(waits < 2000, "the backend is not removed after its last attempt");
         }
     });
     heard(&end);
--- a/crates/dewpier/tests/proxy.rs
+++ b/crates/dewpier/tests/proxy.rs
@@ -1,5 +1,4 @@
-//! The real proxy, from outside: its program between a client, backends and a discovery that the
-//! test plays over loopback sockets.
+//! The proxy's program between a client, mock backends and a mock discovery service over loopback sockets.
 
 mod common;
 
@@ -18,23 +17,26 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_request_goes_on_unchanged_and_so_does_its_answer() {
+fn request_and_answer_are_forwarded_unchanged() {
     let backend = Played::good("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     assert_eq!(proxy.exchange("GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n").status(), 200);
     let text = request_text("save", 9000);
     let answer = proxy.exchange(&text);
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"hello".as_slice()));
-    let seen = backend.requests.lock().unwrap()[0].clone();
-    assert_eq!((seen.first.as_str(), seen.body.as_slice()), ("POST /api?q=1 HTTP/1.1", b"body".as_slice()));
-    assert!(text.contains(&format!("X-Txn: {}\r\n", seen.header("x-txn").unwrap())));
-    assert_eq!(seen.header("idempotency-key"), Some("5c0f6e1a"));
-    let left: u64 = seen.header("x-remaining-ms").unwrap().parse().unwrap();
-    assert!((1..9000).contains(&left), "{left}");
+    let forwarded = backend.requests.lock().unwrap()[0].clone();
+    assert_eq!(
+        (forwarded.first.as_str(), forwarded.body.as_slice()),
+        ("POST /api?q=1 HTTP/1.1", b"body".as_slice())
+    );
+    assert!(text.contains(&format!("X-Txn: {}\r\n", forwarded.header("x-txn").unwrap())));
+    assert_eq!(forwarded.header("idempotency-key"), Some("5c0f6e1a"));
+    let remaining_ms: u64 = forwarded.header("x-remaining-ms").unwrap().parse().unwrap();
+    assert!((1..9000).contains(&remaining_ms), "{remaining_ms}");
 }
 
 #[test]
-fn what_is_malformed_gets_a_plain_4xx() {
+fn malformed_requests_get_status_400() {
     let backend = Played::good("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let good = request_text("look", 9000);
@@ -52,20 +54,20 @@
 }
 
 #[test]
-fn a_bad_configuration_is_told_in_one_line() {
-    let mut lacking = settings();
-    lacking["rules"].as_object_mut().unwrap().remove("cold");
+fn invalid_configuration_is_reported_in_one_line() {
+    let mut incomplete = settings();
+    incomplete["rules"].as_object_mut().unwrap().remove("cold");
     let known = discovery_list(1, true, &[]);
-    for text in ["{".to_string(), build_config(&lacking, &known).to_string()] {
+    for text in ["{".to_string(), build_config(&incomplete, &known).to_string()] {
         let output = command(&text, idle_discovery().address).0.output().unwrap();
-        let told = String::from_utf8(output.stderr).unwrap();
+        let message = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success());
-        assert!(told.starts_with("dewpier: ") && told.lines().count() == 1, "{told}");
+        assert!(message.starts_with("dewpier: ") && message.lines().count() == 1, "{message}");
     }
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed_and_not_sent_again() {
+fn unsafe_request_that_may_have_run_fails_without_a_retry() {
     let backends = [Played::new(|_, _| Play::Close), Played::new(|_, _| Play::Close)];
     let proxy = Proxy::for_backends(&[&backends[0], &backends[1]]);
     let status = proxy.exchange(&request_text("order", 9000)).status();
@@ -74,7 +76,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_met_no_backend_is_refused() {
+fn unsafe_request_that_reached_no_backend_is_rejected() {
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let known = discovery_list(1, true, &[list_entry("s-1", closed, "SERVING")]);
     let proxy = Proxy::start(&settings(), &known, idle_discovery().address);
@@ -82,7 +84,7 @@
 }
 
 #[test]
-fn a_connection_that_the_backend_has_closed_is_not_used_again() {
+fn connection_closed_by_the_backend_is_not_reused() {
     let (closed, end) = channel();
     let backend = Played::new(move |_, _| Play::AnswerAndClose(answer("200 OK", "hello"), closed.clone()));
     let proxy = Proxy::for_backends(&[&backend]);
@@ -94,18 +96,18 @@
 }
 
 #[test]
-fn a_connection_is_used_again() {
+fn connection_is_reused() {
     let backend = Played::good("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     for _ in 0..10 {
         assert_eq!(proxy.exchange(&request_text("order", 9000)).status(), 200);
-        std::thread::sleep(Duration::from_millis(100)); // not before it has settled
+        std::thread::sleep(Duration::from_millis(100)); // a new connection must settle before it is reused
     }
     assert_eq!(backend.connections.load(Ordering::SeqCst), 1);
 }
 
 #[test]
-fn a_connection_near_the_idle_limit_is_not_used_again() {
+fn connection_near_its_idle_limit_is_not_reused() {
     let backend = Played::good("hello");
     let mut settings = settings();
     settings["caps"]["idle-close"] = json!(0.2);
@@ -118,34 +120,34 @@
 }
 
 #[test]
-fn a_silent_backend_leaves_no_client_without_an_answer() {
+fn client_of_a_silent_backend_gets_an_answer() {
     let (ended, end) = channel();
     let backend = Played::new(move |_, _| Play::Silence(ended.clone()));
     let proxy = Proxy::for_backends(&[&backend]);
     let start = Instant::now();
     let status = proxy.exchange(&request_text("order", 1500)).status();
     assert!(status != 200 && status != 429 && status != 503, "{status}");
-    // The proxy counts from when it reads the request, which on a busy machine is later than here.
+    // The proxy counts from when it reads the request, which may be later on a busy host.
     assert!(start.elapsed() < Duration::from_millis(2000), "{:?}", start.elapsed());
     heard(&end);
 }
 
 #[test]
-fn an_attempt_ends_when_its_client_leaves() {
+fn attempt_ends_when_its_client_disconnects() {
     let (ended, end) = channel();
     let backend = Played::new(move |_, _| Play::Silence(ended.clone()));
     let proxy = Proxy::for_backends(&[&backend]);
     let mut client = proxy.connect();
     client.get_mut().write_all(request_text("order", 20_000).as_bytes()).unwrap();
     wait_for("attempt", || backend.count() == 1);
-    let left = Instant::now();
+    let disconnected_at = Instant::now();
     drop(client);
     heard(&end);
-    assert!(left.elapsed() < Duration::from_secs(10));
+    assert!(disconnected_at.elapsed() < Duration::from_secs(10));
 }
 
 #[test]
-fn sigterm_loses_nothing_that_was_taken() {
+fn sigterm_loses_no_accepted_request() {
     let (backend, release) = Played::held("hello");
     let mut proxy = Proxy::for_backends(&[&backend]);
     let mut idle = proxy.connect();
@@ -154,8 +156,7 @@
     busy.get_mut().write_all(request_text("order", 20_000).as_bytes()).unwrap();
     wait_for("attempt", || backend.count() == 1);
     proxy.signal("-TERM");
-    // Requests on old connections and on new ones are served on, each more than once, and the
-    // connections then end.
+    // Existing and new connections each serve more than one further request and are then closed.
     wait_for("stop", || proxy.exchange("GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n").status() == 503);
     let mut new = [proxy.connect(), proxy.connect()];
     let [first, unused] = &mut new;
@@ -164,7 +165,7 @@
         assert_eq!(ask(stream, &request_text("look", 20_000)).status(), 200);
     }
     for stream in [&mut idle, first, unused] {
-        assert!(read(stream).is_none(), "an idle connection is ended");
+        assert!(read(stream).is_none(), "an idle connection is closed");
     }
     release.send(()).unwrap();
     assert_eq!(read(&mut busy).expect("an answer").status(), 200);
@@ -173,12 +174,12 @@
 }
 
 #[test]
-fn a_request_that_never_comes_whole_does_not_hold_up_the_exit() {
+fn incomplete_request_does_not_delay_the_exit() {
     let backend = Played::good("hello");
     let mut proxy = Proxy::for_backends(&[&backend]);
     let mut slow = proxy.connect();
     slow.get_mut().write_all(request_text("look", 9000).strip_suffix("dy").unwrap().as_bytes()).unwrap();
-    // Another connection's answer tells that this one has been accepted before.
+    // An answer on another connection shows that this one has been accepted.
     assert_eq!(proxy.exchange(&request_text("look", 9000)).status(), 200);
     proxy.signal("-TERM");
     wait_for("exit", || proxy.child.try_wait().unwrap().is_some());
@@ -186,10 +187,10 @@
 }
 
 #[test]
-fn nothing_goes_out_on_a_connection_that_comes_up_after_the_grace() {
+fn nothing_is_sent_on_a_connection_established_after_the_grace_period() {
     let backend = Played::good("hello");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let attempt = |last_send: Option<f64>| {
+    let send = |send_deadline: Option<f64>| {
         let connections = Budget::new(4);
         let http = HttpUpstream {
             connections,
@@ -201,8 +202,8 @@
             attempt_counter: Default::default(),
         };
         let gate = std::rc::Rc::new(SendGate::default());
-        gate.set_send_deadline(last_send);
-        let made = Attempt {
+        gate.set_send_deadline(send_deadline);
+        let attempt = Attempt {
             gate,
             backend: BackendId(1),
             clock: Clock::start(),
@@ -220,41 +221,41 @@
             loss_cost: dewpier_reuse::LossCost::NotRetryable,
             lost_on_reused: Default::default(),
         };
-        let attempted = http.attempt(http.create_endpoint(backend.address).into(), payload.into(), made);
-        runtime.block_on(attempted).outcome
+        let result = http.attempt(http.create_endpoint(backend.address).into(), payload.into(), attempt);
+        runtime.block_on(result).outcome
     };
-    assert_eq!(attempt(Some(0.0)), Outcome::NoConnection);
+    assert_eq!(send(Some(0.0)), Outcome::NoConnection);
     assert_eq!(backend.count(), 0);
-    assert_eq!(attempt(None), Outcome::Served);
+    assert_eq!(send(None), Outcome::Served);
 }
 
 #[test]
-fn discovery_that_talks_nonsense_is_asked_again_and_the_last_list_kept() {
+fn invalid_discovery_answers_are_retried_and_the_last_list_is_kept() {
     let (old, new) = (Played::good("old"), Played::good("new"));
-    let news = discovery_list(
+    let changes = discovery_list(
         2,
         false,
         &[list_entry("s-0", old.address, "DELETED"), list_entry("s-1", new.address, "SERVING")],
     );
-    let good = Arc::new(AtomicUsize::new(0));
-    let (may, told) = (good.clone(), news.to_string());
-    let discovery = Played::new(move |before, _| match (before, may.load(Ordering::SeqCst)) {
+    let phase = Arc::new(AtomicUsize::new(0));
+    let (current_phase, text) = (phase.clone(), changes.to_string());
+    let discovery = Played::new(move |before, _| match (before, current_phase.load(Ordering::SeqCst)) {
         (0, _) => Play::Close,
         (1, _) => Play::Answer(answer("503 Service Unavailable", "")),
         (_, 0) => Play::Answer(answer("200 OK", "{\"generation\":")),
-        (_, 1) => Play::Answer(answer("200 OK", &told)),
+        (_, 1) => Play::Answer(answer("200 OK", &text)),
         _ => Play::Silence(channel().0),
     });
     let proxy = Proxy::start(&settings(), &known_list(&[&old]), discovery.address);
     wait_for("further call", || discovery.count() >= 3);
     assert_eq!(proxy.exchange(&request_text("look", 20_000)).body, b"old");
-    good.store(1, Ordering::SeqCst);
-    let asked_for_more = |m: &Message| m.first.contains("since=2&");
-    wait_for("list", || discovery.requests.lock().unwrap().iter().any(asked_for_more));
+    phase.store(1, Ordering::SeqCst);
+    let is_next_watch = |m: &Message| m.first.contains("since=2&");
+    wait_for("list", || discovery.requests.lock().unwrap().iter().any(is_next_watch));
     assert_eq!(proxy.exchange(&request_text("look", 20_000)).body, b"new");
 }
 
-/// What a watch names: the version that it has, and how long it asks to wait, in milliseconds.
+/// Returns the version and the wait in milliseconds that a watch request names.
 fn since_and_wait(first: &str) -> (u64, u64) {
     let numbers =
         first.strip_prefix("GET /api/targets?since=").and_then(|rest| rest.strip_suffix(" HTTP/1.1"));
@@ -263,13 +264,12 @@
 }
 
 #[test]
-fn a_pushed_watch_that_falls_silent_is_made_again_before_its_news_count_as_told() {
-    // They count as told 2 s after the wait that the call named. It named 10 s and was waited for as long as
-    // that and 2 s more, so that a drain was known only after it had counted.
+fn silent_watch_is_repeated_before_its_changes_count_as_received() {
+    // Changes count as received 2 s after the wait that the request names, so that wait must be short.
     let (old, new) = (Played::good("old"), Played::good("new"));
-    let all = discovery_list(7, true, &[list_entry("s-1", new.address, "SERVING")]).to_string();
+    let whole_list = discovery_list(7, true, &[list_entry("s-1", new.address, "SERVING")]).to_string();
     let discovery = Played::new(move |before, _| match before {
-        1 => Play::Answer(answer("200 OK", &all)),
+        1 => Play::Answer(answer("200 OK", &whole_list)),
         _ => Play::Silence(channel().0),
     });
     let proxy = Proxy::start(&settings(), &known_list(&[&old]), discovery.address);
@@ -284,12 +284,12 @@
 }
 
 #[test]
-fn where_the_list_must_be_asked_for_a_call_that_failed_is_made_again() {
+fn failed_list_request_is_repeated_in_subscribe_mode() {
     let (old, new) = (Played::good("old"), Played::good("new"));
-    let all = discovery_list(7, true, &[list_entry("s-1", new.address, "SERVING")]).to_string();
+    let whole_list = discovery_list(7, true, &[list_entry("s-1", new.address, "SERVING")]).to_string();
     let discovery = Played::new(move |before, _| match before {
         0 | 1 => Play::Answer(answer("503 Service Unavailable", "")),
-        2 => Play::Answer(answer("200 OK", &all)),
+        2 => Play::Answer(answer("200 OK", &whole_list)),
         _ => Play::Silence(channel().0),
     });
     let mut settings = settings();
@@ -304,22 +304,22 @@
 }
 
 #[test]
-fn a_list_that_stalls_half_way_is_asked_for_again_long_before_its_wait_is_over() {
+fn stalled_list_answer_is_requested_again_long_before_its_deadline() {
     let (old, new) = (Played::good("old"), Played::good("new"));
-    let news = discovery_list(
+    let changes = discovery_list(
         2,
         false,
         &[list_entry("s-0", old.address, "DELETED"), list_entry("s-1", new.address, "SERVING")],
     );
-    let whole = answer("200 OK", &news.to_string());
+    let whole_answer = answer("200 OK", &changes.to_string());
     let discovery = Played::new(move |before, _| match before {
-        0 => Play::AnswerThen(whole[..whole.len() / 2].to_string(), 4 * LONG, String::new()),
-        1 => Play::Answer(whole.clone()),
+        0 => Play::AnswerThen(whole_answer[..whole_answer.len() / 2].to_string(), 4 * LONG, String::new()),
+        1 => Play::Answer(whole_answer.clone()),
         _ => Play::Silence(channel().0),
     });
     let mut settings = settings();
     settings["registry-mode"] = json!("subscribe");
-    // A call may wait for so long, far longer than this test does; what failed is asked again after a tenth.
+    // The deadline is far longer than this test; a failed request is repeated after a tenth of it.
     settings["rules"]["ask-within"] = json!(40.0);
     let proxy = Proxy::start(&settings, &known_list(&[&old]), discovery.address);
     wait_for("the new list", || proxy.exchange(&request_text("look", 20_000)).body == b"new");
--- a/crates/dewpier/tests/reload.rs
+++ b/crates/dewpier/tests/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration is read again, and the list comes from the discovery named there.
+//! SIGHUP: the proxy reads its configuration again and takes the list from the discovery service named there.
 
 mod common;
 
@@ -6,32 +6,32 @@
 use serde_json::json;
 use std::sync::mpsc::channel;
 
-/// A discovery that has this list, whole, and nothing newer: a call that names another version is told all of it.
-fn having(generation: u64, backend: &Played) -> Played {
-    let all = discovery_list(
+/// A discovery service with one fixed list: a call that names another version receives the whole list.
+fn fixed_discovery(generation: u64, backend: &Played) -> Played {
+    let whole_list = discovery_list(
         generation,
         true,
         &[list_entry(&format!("s-{generation}"), backend.address, "SERVING")],
     )
     .to_string();
     Played::new(move |_, message| match message.first.contains(&format!("since={generation}&")) {
-        false => Play::Answer(answer("200 OK", &all)),
+        false => Play::Answer(answer("200 OK", &whole_list)),
         true => Play::Silence(channel().0),
     })
 }
 
 #[test]
-fn on_sighup_the_list_comes_from_the_discovery_that_the_file_names() {
+fn sighup_takes_the_list_from_the_discovery_service_in_the_configuration() {
     let backends = ["old", "new", "newest"].map(Played::good);
     let mut config = build_config(&settings(), &known_list(&[&backends[0]]));
     let first = idle_discovery();
     let mut proxy = Proxy::start_with_config(&config, first.address);
     wait_for("watch", || first.count() == 1);
     assert_eq!(proxy.exchange(&request_text("look", 9000)).body, b"old");
-    // The versions of the next one are lower: they say nothing beside those of the first.
+    // Versions of different discovery services are not compared: the second one has a lower version.
     let mut discoveries = Vec::new();
     for (generation, name) in [(7, "new"), (3, "newest")] {
-        let discovery = having(generation, &backends[1 + discoveries.len()]);
+        let discovery = fixed_discovery(generation, &backends[1 + discoveries.len()]);
         config["discovery"] = json!(discovery.address.to_string());
         proxy.write_config(&config);
         proxy.signal("-HUP");
@@ -42,7 +42,7 @@
         assert!(requests[1].first.contains(&format!("since={generation}&")), "{}", requests[1].first);
         discoveries.push(discovery);
     }
-    // What can't be used changes nothing, also several times and during a stop.
+    // An invalid configuration changes nothing, also when it is repeated.
     for text in ["{", "{}", &config.to_string().replace("127.0.0.1:", "nowhere:")] {
         proxy.write_config_text(text);
         proxy.signal("-HUP");
@@ -55,18 +55,21 @@
 }
 
 #[test]
-fn a_discovery_that_knows_no_watch_from_the_beginning_is_asked_for_its_list() {
-    for refuses in [true, false] {
+fn discovery_that_cannot_send_changes_since_version_0_is_asked_for_its_list() {
+    for rejects_watch in [true, false] {
         let backends = ["old", "new"].map(Played::good);
-        let all = discovery_list(5, true, &[list_entry("s-new", backends[1].address, "SERVING")]).to_string();
-        let part = backends[0].address;
+        let whole_list =
+            discovery_list(5, true, &[list_entry("s-new", backends[1].address, "SERVING")]).to_string();
+        let partial_address = backends[0].address;
         let discovery = Played::new(move |_, message| match message.first.as_str() {
-            "GET /api/targets HTTP/1.1" => Play::Answer(answer("200 OK", &all)),
-            first if first.contains("since=0&") && refuses => Play::Answer(answer("400 Bad Request", "")),
+            "GET /api/targets HTTP/1.1" => Play::Answer(answer("200 OK", &whole_list)),
+            first if first.contains("since=0&") && rejects_watch => {
+                Play::Answer(answer("400 Bad Request", ""))
+            }
             first if first.contains("since=0&") => {
-                // What changed there since the beginning, and not all that there is.
-                let part = discovery_list(5, false, &[list_entry("s-part", part, "SERVING")]);
-                Play::Answer(answer("200 OK", &part.to_string()))
+                // Only the changes since version 0, not the whole list.
+                let changes = discovery_list(5, false, &[list_entry("s-part", partial_address, "SERVING")]);
+                Play::Answer(answer("200 OK", &changes.to_string()))
             }
             _ => Play::Silence(channel().0),
         });
