--- a/crates/dewpier/tests/discovery_watch.rs
+++ b/crates/dewpier/tests/discovery_watch.rs
@@ -1,5 +1,5 @@
-//! Discovery that falls silent, breaks, or says something else than expected: a change is acted upon in time, counted
-//! from when discovery had it and could be reached. Real processes over loopback.
+//! Discovery services that fall silent, fail or send unexpected answers: the proxy applies a change in time, counted
+//! from when the reachable discovery service had it. Uses real processes over loopback.
 
 mod common;
 
@@ -12,238 +12,257 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Who is told of changes, and who has to ask.
+/// The registry modes: changes are pushed, or the proxy asks for them.
 const MODES: [&str; 2] = ["automatic", "subscribe"];
 
-fn settings_of(mode: &str) -> Value {
+fn settings_with_mode(mode: &str) -> Value {
     let mut settings = settings();
     settings["registry-mode"] = json!(mode);
     settings
 }
 
-fn silence() -> Play {
+fn no_answer() -> Play {
     Play::Silence(channel().0)
 }
 
-/// A discovery whose list changes at one moment, from one backend to another one.
-struct Changing {
+/// A mock discovery service whose list changes once, from one backend to another.
+struct ChangingDiscovery {
     server: Played,
-    /// When it changed.
-    since: Arc<Mutex<Option<Instant>>>,
+    /// When the list changed.
+    changed_at: Arc<Mutex<Option<Instant>>>,
 }
 
-/// What the proxy knows at first, and what discovery has from the change on.
-const OLD: u64 = 1;
-const NEW: u64 = 2;
+/// The version of the list before the change.
+const OLD_VERSION: u64 = 1;
+/// The version of the list after the change.
+const NEW_VERSION: u64 = 2;
 
-impl Changing {
-    /// The list changes while the `good + 1`-th call is out. That one and the ones after it are played by `bad` as
-    /// long as it gives something; then each call is answered with `news`, or with silence where there is none.
+impl ChangingDiscovery {
+    /// Answers `normal_calls` requests with no changes; the list changes during the next one. From then on `fault`
+    /// answers as long as it returns something. Later requests are answered with `change`, or not at all once the proxy
+    /// has the new version.
     fn start(
-        good: usize,
-        bad: impl Fn(usize) -> Option<Play> + Send + Sync + 'static,
-        news: impl Fn() -> Play + Send + Sync + 'static,
+        normal_calls: usize,
+        fault: impl Fn(usize) -> Option<Play> + Send + Sync + 'static,
+        change: impl Fn() -> Play + Send + Sync + 'static,
     ) -> Self {
-        let since: Arc<Mutex<Option<Instant>>> = Arc::default();
-        let changed = since.clone();
+        let changed_at: Arc<Mutex<Option<Instant>>> = Arc::default();
+        let server_changed_at = changed_at.clone();
         let server = Played::new(move |before, message| {
-            let knows_new = message.first.contains(&format!("since={NEW}&"));
-            if before < good {
-                return Play::Answer(answer("200 OK", &discovery_list(OLD, false, &[]).to_string()));
+            let has_new_version = message.first.contains(&format!("since={NEW_VERSION}&"));
+            if before < normal_calls {
+                return Play::Answer(answer("200 OK", &discovery_list(OLD_VERSION, false, &[]).to_string()));
             }
-            changed.lock().unwrap().get_or_insert_with(Instant::now);
-            match bad(before - good) {
+            server_changed_at.lock().unwrap().get_or_insert_with(Instant::now);
+            match fault(before - normal_calls) {
                 Some(play) => play,
-                None if knows_new => silence(),
-                None => news(),
+                None if has_new_version => no_answer(),
+                None => change(),
             }
         });
-        Self { server, since }
+        Self { server, changed_at }
     }
 
-    /// How long after the change the proxy first used the new backend.
-    fn acted_upon(&self, proxy: &Proxy) -> Duration {
-        wait_for("change", || self.since.lock().unwrap().is_some());
+    /// Waits until the proxy uses the new backend and returns the time since the change.
+    fn time_until_applied(&self, proxy: &Proxy) -> Duration {
+        wait_for("change", || self.changed_at.lock().unwrap().is_some());
         wait_for("answer of the new backend", || proxy.exchange(&request_text("look", 9000)).body == b"new");
-        self.since.lock().unwrap().unwrap().elapsed()
+        self.changed_at.lock().unwrap().unwrap().elapsed()
     }
 }
 
-/// The change as entries that changed.
+/// The change as a list of changed entries.
 fn as_changes(old: SocketAddr, new: SocketAddr) -> Value {
-    discovery_list(NEW, false, &[list_entry("s-0", old, "DELETED"), list_entry("s-new", new, "SERVING")])
+    discovery_list(
+        NEW_VERSION,
+        false,
+        &[list_entry("s-0", old, "DELETED"), list_entry("s-new", new, "SERVING")],
+    )
 }
 
-/// The change as a whole list, which no longer names the old backend although it still answers.
+/// The change as a whole list without the old backend, which still answers.
 fn as_whole(_: SocketAddr, new: SocketAddr) -> Value {
-    discovery_list(NEW, true, &[list_entry("s-new", new, "SERVING")])
+    discovery_list(NEW_VERSION, true, &[list_entry("s-new", new, "SERVING")])
 }
 
-/// The old backend drains, and stays up.
+/// The change as a drain of the old backend, which still answers.
 fn as_drain(old: SocketAddr, new: SocketAddr) -> Value {
-    discovery_list(NEW, false, &[list_entry("s-0", old, "DRAINING"), list_entry("s-new", new, "SERVING")])
+    discovery_list(
+        NEW_VERSION,
+        false,
+        &[list_entry("s-0", old, "DRAINING"), list_entry("s-new", new, "SERVING")],
+    )
 }
 
-/// Plays one case in both modes: the change is acted upon in time, and nothing goes to the old backend from then on.
-fn in_time(
-    good: usize,
-    bad: impl Fn(usize) -> Option<Play> + Clone + Send + Sync + 'static,
-    words: fn(SocketAddr, SocketAddr) -> Value,
-    wire: fn(&Value) -> Play,
+/// Runs one case in both modes and checks that the proxy applies the change in time and sends nothing more to the old
+/// backend.
+fn assert_applied_in_time(
+    normal_calls: usize,
+    fault: impl Fn(usize) -> Option<Play> + Clone + Send + Sync + 'static,
+    change: fn(SocketAddr, SocketAddr) -> Value,
+    encode: fn(&Value) -> Play,
 ) {
     std::thread::scope(|scope| {
         for mode in MODES {
-            let bad = bad.clone();
+            let fault = fault.clone();
             scope.spawn(move || {
                 let [old, new] = ["old", "new"].map(Played::good);
                 let (from, to) = (old.address, new.address);
-                let discovery = Changing::start(good, bad, move || wire(&words(from, to)));
-                let proxy = Proxy::start(&settings_of(mode), &known_list(&[&old]), discovery.server.address);
-                let took = discovery.acted_upon(&proxy);
-                assert!(took <= STALENESS_BOUND, "{mode}: {took:?}");
+                let discovery =
+                    ChangingDiscovery::start(normal_calls, fault, move || encode(&change(from, to)));
+                let proxy =
+                    Proxy::start(&settings_with_mode(mode), &known_list(&[&old]), discovery.server.address);
+                let duration = discovery.time_until_applied(&proxy);
+                assert!(duration <= STALENESS_BOUND, "{mode}: {duration:?}");
                 let before = old.count();
                 (0..20).for_each(|_| {
                     assert_eq!(proxy.exchange(&request_text("look", 9000)).body, b"new", "{mode}")
                 });
-                assert_eq!(old.count(), before, "{mode}: sent to what is not in service");
+                assert_eq!(old.count(), before, "{mode}: sent to a backend that is not in service");
             });
         }
     });
 }
 
-fn whole_text(list: &Value) -> Play {
+fn in_one_piece(list: &Value) -> Play {
     Play::Answer(answer("200 OK", &list.to_string()))
 }
 
+/// A fault of the first `calls` requests after the change.
 fn first(calls: usize, play: fn() -> Play) -> impl Fn(usize) -> Option<Play> + Clone + Send + Sync {
     move |call| (call < calls).then(play)
 }
 
 #[test]
-fn a_watch_that_is_silent_from_the_first_second_on() {
-    in_time(0, first(1, silence), as_drain, whole_text);
+fn silent_first_watch_is_recovered_in_time() {
+    assert_applied_in_time(0, first(1, no_answer), as_drain, in_one_piece);
 }
 
 #[test]
-fn a_watch_that_falls_silent_after_it_worked() {
-    in_time(3, first(1, silence), as_drain, whole_text);
+fn silent_later_watch_is_recovered_in_time() {
+    assert_applied_in_time(3, first(1, no_answer), as_drain, in_one_piece);
 }
 
 #[test]
-fn a_watch_and_the_call_after_it_fall_silent() {
-    in_time(1, first(2, silence), as_changes, whole_text);
+fn two_silent_requests_are_recovered_in_time() {
+    assert_applied_in_time(1, first(2, no_answer), as_changes, in_one_piece);
 }
 
 #[test]
-fn an_answer_that_trickles_without_end() {
+fn endless_slow_answer_is_recovered_in_time() {
     let trickle = || {
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{}", " ".repeat(100_000));
         Play::Pieces(text, 1, Duration::from_millis(20))
     };
-    in_time(1, first(1, trickle), as_changes, whole_text);
+    assert_applied_in_time(1, first(1, trickle), as_changes, in_one_piece);
     let head = || {
         Play::Pieces("HTTP/1.1 200 OK\r\nX-A: ".to_string() + &"a".repeat(9000), 1, Duration::from_millis(20))
     };
-    in_time(1, first(1, head), as_whole, whole_text);
+    assert_applied_in_time(1, first(1, head), as_whole, in_one_piece);
 }
 
 #[test]
-fn watches_that_end_with_nothing() {
-    in_time(1, first(4, || Play::Close), as_drain, whole_text);
+fn watches_closed_without_an_answer_are_recovered_in_time() {
+    assert_applied_in_time(1, first(4, || Play::Close), as_drain, in_one_piece);
 }
 
 #[test]
-fn calls_that_are_refused() {
-    in_time(1, first(4, || Play::Answer(answer("503 Service Unavailable", ""))), as_changes, whole_text);
+fn rejected_requests_are_recovered_in_time() {
+    assert_applied_in_time(
+        1,
+        first(4, || Play::Answer(answer("503 Service Unavailable", ""))),
+        as_changes,
+        in_one_piece,
+    );
 }
 
 #[test]
-fn answers_that_make_no_sense_are_refused_whole() {
-    let half = || {
+fn invalid_answers_are_rejected_whole() {
+    let truncated = || {
         Play::Answer(answer("200 OK", r#"{"generation":7,"reset":true,"instances":[{"instanceId":"s-9"}"#))
     };
-    in_time(1, first(3, half), as_changes, whole_text);
-    // One bad entry: nothing of the list is taken in, its version neither.
-    let bad_entry = || {
-        let bad = json!({"instanceId": "s-0", "hostPort": "nowhere", "lifecycle": "SERVING"});
-        Play::Answer(answer("200 OK", &discovery_list(9, true, &[bad]).to_string()))
+    assert_applied_in_time(1, first(3, truncated), as_changes, in_one_piece);
+    // One invalid entry: neither the list nor its version is applied.
+    let invalid_entry = || {
+        let invalid = json!({"instanceId": "s-0", "hostPort": "nowhere", "lifecycle": "SERVING"});
+        Play::Answer(answer("200 OK", &discovery_list(9, true, &[invalid]).to_string()))
     };
-    in_time(1, first(2, bad_entry), as_changes, whole_text);
+    assert_applied_in_time(1, first(2, invalid_entry), as_changes, in_one_piece);
 }
 
 #[test]
-fn a_whole_list_instead_of_changes_leaves_out_what_is_gone() {
-    in_time(0, first(0, silence), as_whole, whole_text);
-    in_time(1, first(1, || Play::Close), as_whole, whole_text);
+fn whole_list_instead_of_changes_removes_missing_backends() {
+    assert_applied_in_time(0, first(0, no_answer), as_whole, in_one_piece);
+    assert_applied_in_time(1, first(1, || Play::Close), as_whole, in_one_piece);
 }
 
 #[test]
-fn lists_may_come_indented_and_in_pieces() {
-    in_time(1, first(1, silence), as_changes, |list| {
+fn indented_and_fragmented_lists_are_accepted() {
+    assert_applied_in_time(1, first(1, no_answer), as_changes, |list| {
         Play::Answer(answer("200 OK", &serde_json::to_string_pretty(list).unwrap()))
     });
-    in_time(1, first(1, silence), as_whole, |list| {
+    assert_applied_in_time(1, first(1, no_answer), as_whole, |list| {
         let text = answer("200 OK", &serde_json::to_string_pretty(list).unwrap());
         Play::Pieces(text, 97, Duration::from_millis(5))
     });
 }
 
 #[test]
-fn discovery_that_is_down_at_the_start() {
+fn discovery_that_is_down_at_the_start_is_used_once_it_returns() {
     std::thread::scope(|scope| {
         for mode in MODES {
             scope.spawn(move || {
                 let [old, new] = ["old", "new"].map(Played::good);
-                // Nobody listens at this address until it is played.
+                // Nothing listens at this address until the mock server starts.
                 let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-                let proxy = Proxy::start(&settings_of(mode), &known_list(&[&old]), address);
+                let proxy = Proxy::start(&settings_with_mode(mode), &known_list(&[&old]), address);
                 assert_eq!(
                     proxy.exchange("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").status(),
                     200,
                     "{mode}"
                 );
                 assert_eq!(proxy.exchange(&request_text("look", 9000)).body, b"old", "{mode}");
-                // Long enough for the calls to have failed often.
+                // Long enough for many failed requests.
                 std::thread::sleep(Duration::from_secs(7));
-                let up = Instant::now();
-                let words = whole_text(&as_drain(old.address, new.address));
-                let Play::Answer(words) = words else { unreachable!() };
+                let started_at = Instant::now();
+                let change = in_one_piece(&as_drain(old.address, new.address));
+                let Play::Answer(change) = change else { unreachable!() };
                 let _server = Played::at(address, move |_, message| {
-                    match message.first.contains(&format!("since={NEW}&")) {
-                        true => silence(),
-                        false => Play::Answer(words.clone()),
+                    match message.first.contains(&format!("since={NEW_VERSION}&")) {
+                        true => no_answer(),
+                        false => Play::Answer(change.clone()),
                     }
                 });
                 wait_for("answer of the new backend", || {
                     proxy.exchange(&request_text("look", 9000)).body == b"new"
                 });
-                assert!(up.elapsed() <= STALENESS_BOUND, "{mode}: {:?}", up.elapsed());
+                assert!(started_at.elapsed() <= STALENESS_BOUND, "{mode}: {:?}", started_at.elapsed());
             });
         }
     });
 }
 
 #[test]
-fn what_the_old_discovery_still_says_after_a_move_is_not_taken_in() {
+fn late_answer_of_the_previous_discovery_is_ignored() {
     for mode in MODES {
         let [old, new] = ["old", "new"].map(Played::good);
         let (release, held) = channel::<()>();
         let held = Mutex::new(held);
-        // Its answer is newer by its number, and comes when the other discovery has been asked.
-        let late = discovery_list(99, true, &[list_entry("s-0", old.address, "SERVING")]).to_string();
-        let said = Arc::new(AtomicBool::new(false));
-        let has_said = said.clone();
+        // The late answer has a higher version and arrives after the second discovery service was asked.
+        let late_list = discovery_list(99, true, &[list_entry("s-0", old.address, "SERVING")]).to_string();
+        let has_answered = Arc::new(AtomicBool::new(false));
+        let answered = has_answered.clone();
         let first = Played::new(move |_, _| {
             let _ = held.lock().unwrap().recv_timeout(LONG);
-            has_said.store(true, Ordering::SeqCst);
-            Play::Answer(answer("200 OK", &late))
+            answered.store(true, Ordering::SeqCst);
+            Play::Answer(answer("200 OK", &late_list))
         });
-        let words = discovery_list(3, true, &[list_entry("s-new", new.address, "SERVING")]).to_string();
+        let new_list = discovery_list(3, true, &[list_entry("s-new", new.address, "SERVING")]).to_string();
         let second = Played::new(move |_, message| match message.first.contains("since=3&") {
-            true => silence(),
-            false => Play::Answer(answer("200 OK", &words)),
+            true => no_answer(),
+            false => Play::Answer(answer("200 OK", &new_list)),
         });
-        let mut config = build_config(&settings_of(mode), &known_list(&[&old]));
+        let mut config = build_config(&settings_with_mode(mode), &known_list(&[&old]));
         let proxy = Proxy::start_with_config(&config, first.address);
         wait_for("call", || first.count() >= 1);
         config["discovery"] = json!(second.address.to_string());
@@ -253,29 +272,30 @@
             proxy.exchange(&request_text("look", 9000)).body == b"new"
         });
         release.send(()).unwrap();
-        wait_for("late answer", || said.load(Ordering::SeqCst));
-        // The next call goes to the second one, with its version.
+        wait_for("late answer", || has_answered.load(Ordering::SeqCst));
+        // The next watch goes to the second discovery service, with its version.
         wait_for("watch", || second.count() >= 3);
         assert_eq!(proxy.exchange(&request_text("look", 9000)).body, b"new", "{mode}");
-        let asked = second.requests.lock().unwrap().clone();
-        assert!(asked[1..].iter().all(|call| call.first.contains("since=3&")), "{mode}: {asked:?}");
+        let requests = second.requests.lock().unwrap().clone();
+        assert!(requests[1..].iter().all(|call| call.first.contains("since=3&")), "{mode}: {requests:?}");
     }
 }
 
 #[test]
-fn one_that_knows_no_backend_is_ready_soon_also_where_discovery_is_slow() {
+fn proxy_without_backends_is_ready_soon_with_a_slow_discovery() {
     const READY_WITHIN: Duration = Duration::from_secs(6);
     for mode in MODES {
         let backend = Played::good("hello");
-        let all = discovery_list(3, true, &[list_entry("s-0", backend.address, "SERVING")]).to_string();
-        // Refused at first, then slow.
+        let whole_list =
+            discovery_list(3, true, &[list_entry("s-0", backend.address, "SERVING")]).to_string();
+        // The first request is rejected, later answers are slow.
         let discovery = Played::new(move |before, message| match before {
             0 => Play::Answer(answer("503 Service Unavailable", "")),
-            _ if message.first.contains("since=3&") => silence(),
-            _ => Play::AnswerThen(String::new(), Duration::from_millis(900), answer("200 OK", &all)),
+            _ if message.first.contains("since=3&") => no_answer(),
+            _ => Play::AnswerThen(String::new(), Duration::from_millis(900), answer("200 OK", &whole_list)),
         });
-        let mut settings = settings_of(mode);
-        // Calls are asked for so rarely that no proxy could wait for the first one.
+        let mut settings = settings_with_mode(mode);
+        // The regular interval between requests is far longer than this test.
         settings["rules"]["ask-within"] = json!(120.0);
         let begun = Instant::now();
         let proxy = Proxy::start(&settings, &discovery_list(1, true, &[]), discovery.address);
--- a/crates/dewpier/tests/streams.rs
+++ b/crates/dewpier/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Bodies and answers of any size through the platform's program, in little memory, over loopback sockets.
+//! Request and answer bodies of any size through the platform's program, with bounded memory, over loopback sockets.
 
 #[path = "common/sockets.rs"]
 mod sockets;
@@ -20,17 +20,18 @@
 use std::time::{Duration, Instant};
 
 const MB: usize = 1 << 20;
-/// Streams at once in each direction, and their size; more by the environment variable `STREAM_MB`.
+/// The number of concurrent streams in each direction.
 const STREAMS: usize = 100;
+/// The size of a stream; the environment variable `STREAM_MB` sets another one.
 const STREAM_MB: usize = 4;
-/// What the process may hold of memory while they are under way, in kB.
-const MOST_KB: u64 = 48 << 10;
+/// The maximum resident memory of the process during the streams, in kB.
+const MAX_MEMORY_KB: u64 = 48 << 10;
 
-fn proxy(bulk: &Bulk) -> Proxy {
-    let listed = discovery_list(1, true, &[list_entry("s-0", bulk.address, "SERVING")]);
+fn start_proxy(bulk: &Bulk) -> Proxy {
+    let list = discovery_list(1, true, &[list_entry("s-0", bulk.address, "SERVING")]);
     let mut settings = settings();
     settings["projects"] = json!([{"name": "acme", "quota-per-s": 100_000.0, "share": 1.0}]);
-    let mut config = build_config(&settings, &listed);
+    let mut config = build_config(&settings, &list);
     config["limits"] = json!({"cores": 1.0, "memory_mb": 48, "sockets": 1024});
     config["operator"] = json!("127.0.0.1:0");
     let proxy = Proxy::start_with_config(&config, idle_discovery().address);
@@ -38,28 +39,28 @@
     proxy
 }
 
-/// How long streams are, in bytes, and who they go through.
-fn streaming() -> (usize, Bulk, Proxy) {
+/// Returns the size of a stream in bytes, the backend and the proxy.
+fn start_streaming() -> (usize, Bulk, Proxy) {
     let mb = std::env::var("STREAM_MB").ok().and_then(|mb| mb.parse().ok()).unwrap_or(STREAM_MB);
     let bulk = Bulk::start();
-    let proxy = proxy(&bulk);
+    let proxy = start_proxy(&bulk);
     (mb * MB, bulk, proxy)
 }
 
-/// A request's head, its framing and its end left off.
+/// The head of a request without its framing header and its end.
 fn head(class: &str, query: &str) -> String {
     let request = request_text(class, 20_000).replace("?q=1", &format!("?{query}"));
     request.split("Content-Length").next().unwrap().to_string()
 }
 
-/// The most memory that the process has held, in kB.
-fn most_held(proxy: &Proxy) -> u64 {
+/// Returns the maximum resident memory of the process so far, in kB.
+fn max_memory_kb(proxy: &Proxy) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap();
     let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
     line.trim().strip_suffix(" kB").unwrap().parse().unwrap()
 }
 
-/// An answer to a request without a body: its status and how its body came.
+/// Sends a request without a body and returns the answer's status and the received body.
 fn fetch(stream: &mut BufReader<TcpStream>, head: &str, wait: impl FnMut(usize)) -> (u16, Came) {
     stream.get_mut().write_all(format!("{head}Content-Length: 0\r\n\r\n").as_bytes()).unwrap();
     let answer = read_head(stream).expect("an answer");
@@ -67,31 +68,31 @@
 }
 
 #[test]
-fn long_answers_pass_by_the_hundred_in_little_memory() {
-    let (size, _bulk, proxy) = streaming();
+fn a_hundred_long_answers_need_little_memory() {
+    let (size, _bulk, proxy) = start_streaming();
     std::thread::scope(|scope| {
         for n in 0..STREAMS {
             let (proxy, framing) = (&proxy, ["length", "chunked", "close"][n % 3]);
             scope.spawn(move || {
                 let mut stream = proxy.connect();
-                let (status, came) =
+                let (status, received) =
                     fetch(&mut stream, &head("order", &format!("size={size}&framing={framing}")), |_| {});
-                assert_eq!((status, came), (200, Came { size, right: true, whole: true }), "{framing}");
-                // The connection goes on.
-                let (status, came) = fetch(&mut stream, &head("look", "size=70000"), |_| {});
-                assert_eq!((status, came.size, came.right), (200, 70_000, true));
+                assert_eq!((status, received), (200, Came { size, right: true, whole: true }), "{framing}");
+                // The connection stays usable.
+                let (status, received) = fetch(&mut stream, &head("look", "size=70000"), |_| {});
+                assert_eq!((status, received.size, received.right), (200, 70_000, true));
             });
         }
     });
-    assert!(most_held(&proxy) < MOST_KB, "{} kB", most_held(&proxy));
+    assert!(max_memory_kb(&proxy) < MAX_MEMORY_KB, "{} kB", max_memory_kb(&proxy));
     wait_for("all counted", || proxy.metric("pending") == 0);
     assert_eq!(proxy.metric("downstream_requests.order.completed"), STREAMS as u64);
     assert_eq!(proxy.metric("upstream_requests"), 2 * STREAMS as u64);
 }
 
 #[test]
-fn long_bodies_pass_by_the_hundred_in_little_memory() {
-    let (size, bulk, proxy) = streaming();
+fn a_hundred_long_request_bodies_need_little_memory() {
+    let (size, bulk, proxy) = start_streaming();
     std::thread::scope(|scope| {
         for n in 0..STREAMS {
             let (proxy, framing) = (&proxy, [Framing::Length, Framing::Chunked][n % 2]);
@@ -100,7 +101,7 @@
                 bulk::write(stream.get_mut(), &head("order", "size=5"), framing, size, None).unwrap();
                 let answer = read(&mut stream).expect("an answer");
                 assert_eq!(answer.status(), 200, "{framing:?}");
-                // The connection goes on, unless it is said to end.
+                // The connection stays usable unless the answer closes it.
                 if answer.header("connection") == Some("close") {
                     stream = proxy.connect();
                 }
@@ -108,16 +109,16 @@
             });
         }
     });
-    assert!(most_held(&proxy) < MOST_KB, "{} kB", most_held(&proxy));
-    let looks = bulk.bodies[1].load(Ordering::SeqCst);
-    assert_eq!(bulk.bodies[0].load(Ordering::SeqCst) + looks, 2 * STREAMS);
-    assert_eq!(looks, STREAMS, "short bodies are others than these");
+    assert!(max_memory_kb(&proxy) < MAX_MEMORY_KB, "{} kB", max_memory_kb(&proxy));
+    let short_bodies = bulk.bodies[1].load(Ordering::SeqCst);
+    assert_eq!(bulk.bodies[0].load(Ordering::SeqCst) + short_bodies, 2 * STREAMS);
+    assert_eq!(short_bodies, STREAMS, "short bodies are counted separately");
 }
 
 #[test]
-fn bodies_of_every_framing_and_size_arrive_as_they_are() {
+fn request_bodies_of_every_framing_and_size_arrive_unchanged() {
     let bulk = Bulk::start();
-    let proxy = proxy(&bulk);
+    let proxy = start_proxy(&bulk);
     let mut stream = proxy.connect();
     let sizes = [0, 1, 65_535, 65_536, 65_537, 131_072, MB + 1];
     for size in sizes {
@@ -126,35 +127,35 @@
                 bulk::write(stream.get_mut(), &head(class, "size=3"), framing, size, None).unwrap();
                 let answer = read(&mut stream).unwrap_or_else(|| panic!("no answer: {size} {framing:?}"));
                 assert_eq!(answer.status(), 200, "{size} {framing:?}");
-                // hyper keeps no connection on which trailers came, and says so.
+                // hyper closes a connection after trailers and announces it.
                 if answer.header("connection") == Some("close") {
                     stream = proxy.connect();
                 }
             }
         }
     }
-    // An empty one goes on without a length.
+    // Empty bodies are forwarded without a length and are not counted.
     assert_eq!(bulk.bodies[0].load(Ordering::SeqCst), (sizes.len() - 1) * 6);
-    // A client of an older version, one that names the host in its target, and one that waits to be told to go on.
+    // An HTTP/1.0 client, a request target with the host, and a client that expects 100-continue.
     let old = head("look", "size=70000&framing=chunked").replace("HTTP/1.1", "HTTP/1.0");
     let mut stream = proxy.connect();
-    let (status, came) = fetch(&mut stream, &old, |_| {});
-    assert_eq!((status, came), (200, Came { size: 70_000, right: true, whole: true }));
-    let whole = head("look", "size=9").replace("GET /", "GET http://other.svc/");
-    assert_eq!(fetch(&mut proxy.connect(), &whole, |_| {}).0, 200);
+    let (status, received) = fetch(&mut stream, &old, |_| {});
+    assert_eq!((status, received), (200, Came { size: 70_000, right: true, whole: true }));
+    let absolute = head("look", "size=9").replace("GET /", "GET http://other.svc/");
+    assert_eq!(fetch(&mut proxy.connect(), &absolute, |_| {}).0, 200);
     let mut stream = proxy.connect();
     let expects =
         format!("{}Expect: 100-continue\r\nContent-Length: 100000\r\n\r\n", head("order", "size=1"));
     stream.get_mut().write_all(expects.as_bytes()).unwrap();
-    assert_eq!(read_head(&mut stream).expect("a word").status(), 100);
-    let mut at = 0;
-    while at < 100_000 {
-        let piece = bulk::part(at, 100_000 - at);
+    assert_eq!(read_head(&mut stream).expect("an interim answer").status(), 100);
+    let mut sent = 0;
+    while sent < 100_000 {
+        let piece = bulk::part(sent, 100_000 - sent);
         stream.get_mut().write_all(piece).unwrap();
-        at += piece.len();
+        sent += piece.len();
     }
     assert_eq!(read(&mut stream).expect("an answer").status(), 200);
-    // Two requests in one piece.
+    // Two requests in one write.
     let mut stream = proxy.connect();
     let mut both = Vec::new();
     bulk::write(&mut both, &head("look", "size=2"), Framing::Length, 100, None).unwrap();
@@ -164,18 +165,18 @@
 }
 
 #[test]
-fn answers_that_break_off_are_seen_to() {
+fn truncated_answers_are_reported_as_truncated() {
     let bulk = Bulk::start();
-    let proxy = proxy(&bulk);
+    let proxy = start_proxy(&bulk);
     let mut rng = Rng::from_env("SEED", 35);
     for n in 0..40 {
         let framing = ["length", "chunked"][n % 2];
         let size = 70_000 + rng.below(MB);
         let cut = 66_000 + rng.below(size - 66_000);
         let query = format!("size={size}&framing={framing}&cut={cut}");
-        let (status, came) = fetch(&mut proxy.connect(), &head("order", &query), |_| {});
-        assert_eq!((status, came.right, came.whole), (200, true, false), "{query}");
-        assert!(came.size <= cut, "{query}: {came:?}");
+        let (status, received) = fetch(&mut proxy.connect(), &head("order", &query), |_| {});
+        assert_eq!((status, received.right, received.whole), (200, true, false), "{query}");
+        assert!(received.size <= cut, "{query}: {received:?}");
     }
     wait_for("all counted", || proxy.metric("pending") == 0);
     assert_eq!(proxy.metric("downstream_requests.order.failed"), 40);
@@ -183,9 +184,9 @@
 }
 
 #[test]
-fn bodies_that_break_off_never_arrive_whole() {
+fn truncated_request_bodies_never_arrive_as_complete() {
     let bulk = Bulk::start();
-    let proxy = proxy(&bulk);
+    let proxy = start_proxy(&bulk);
     let mut rng = Rng::from_env("SEED", 36);
     for n in 0..40 {
         let framing = [Framing::Length, Framing::Chunked][n % 2];
@@ -199,13 +200,13 @@
     }
     wait_for("all ended", || proxy.metric("pending") == 0);
     assert_eq!(bulk.bodies[0].load(Ordering::SeqCst), 0);
-    assert_eq!(proxy.metric("upstream_requests"), 0, "none was written whole");
+    assert_eq!(proxy.metric("upstream_requests"), 0, "no complete request was sent");
 }
 
 #[test]
-fn an_answer_before_the_body_has_come_is_passed_on() {
+fn answer_before_the_end_of_the_request_body_is_forwarded() {
     let bulk = Bulk::start();
-    let proxy = proxy(&bulk);
+    let proxy = start_proxy(&bulk);
     let mut stream = proxy.connect();
     let text = format!("{}Content-Length: {}\r\n\r\n", head("order", "early=1"), 8 * MB);
     stream.get_mut().write_all(text.as_bytes()).unwrap();
@@ -214,36 +215,36 @@
 }
 
 #[test]
-fn slow_peers_are_served_by_their_rate() {
+fn slow_clients_with_a_sufficient_rate_are_served() {
     let bulk = Bulk::start();
-    let proxy = proxy(&bulk);
+    let proxy = start_proxy(&bulk);
     std::thread::scope(|scope| {
-        // 64 kB a second, for 4 s: longer than any fixed time that a short request has.
+        // 64 kB per second for 4 s, longer than any fixed limit of a short request.
         let uploads = scope.spawn(|| {
             let mut stream = proxy.connect();
             let head = format!("{}Content-Length: 256000\r\n\r\n", head("order", "size=5"));
-            for byte in head.as_bytes().chunks(head.len() / 10) {
-                stream.get_mut().write_all(byte).unwrap();
+            for piece in head.as_bytes().chunks(head.len() / 10) {
+                stream.get_mut().write_all(piece).unwrap();
                 std::thread::sleep(Duration::from_millis(150));
             }
-            let mut at = 0;
-            while at < 256_000 {
-                let piece = bulk::part(at, 6400.min(256_000 - at));
+            let mut sent = 0;
+            while sent < 256_000 {
+                let piece = bulk::part(sent, 6400.min(256_000 - sent));
                 stream.get_mut().write_all(piece).unwrap();
-                at += piece.len();
+                sent += piece.len();
                 std::thread::sleep(Duration::from_millis(100));
             }
             assert_eq!(read(&mut stream).expect("an answer").status(), 200);
         });
         let reads = scope.spawn(|| {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let (mut stream, size) = (proxy.connect(), 6 * MB);
             let query = format!("size={size}&framing=chunked");
-            let (status, came) = fetch(&mut stream, &head("order", &query), |read| {
+            let (status, received) = fetch(&mut stream, &head("order", &query), |read| {
                 std::thread::sleep(Duration::from_secs(4).mul_f64(read as f64 / size as f64));
             });
-            assert_eq!((status, came), (200, Came { size, right: true, whole: true }));
-            assert!(begun.elapsed() > Duration::from_secs(3), "it was not slow");
+            assert_eq!((status, received), (200, Came { size, right: true, whole: true }));
+            assert!(started_at.elapsed() > Duration::from_secs(3), "the client did not read slowly");
         });
         uploads.join().unwrap();
         reads.join().unwrap();
@@ -251,29 +252,29 @@
 }
 
 #[test]
-fn long_bodies_that_do_not_come_keep_no_short_one_out() {
+fn stalled_long_bodies_do_not_block_short_requests() {
     let bulk = Bulk::start();
-    let proxy = proxy(&bulk);
-    // Twice as many as there is room for.
-    let mut stay = Vec::new();
-    let mut refused = 0;
+    let proxy = start_proxy(&bulk);
+    // Two times the capacity.
+    let mut stalled = Vec::new();
+    let mut rejected = 0;
     for _ in 0..200 {
         let mut stream = proxy.connect();
         let text = format!("{}Content-Length: {MB}\r\n\r\n", head("order", "size=5"));
         stream.get_mut().write_all(text.as_bytes()).unwrap();
-        // Who is refused is told at once; the others are asked for nothing.
+        // A rejection arrives at once; the other requests get no answer yet.
         stream.get_mut().set_read_timeout(Some(Duration::from_millis(20))).unwrap();
-        refused += usize::from(read(&mut stream).is_some_and(|answer| answer.status() == 503));
-        stay.push(stream);
+        rejected += usize::from(read(&mut stream).is_some_and(|answer| answer.status() == 503));
+        stalled.push(stream);
     }
-    assert!(refused > 0, "there is room for all of them");
+    assert!(rejected > 0, "no request was rejected");
     assert_eq!(proxy.exchange(&request_text("save", 9000)).status(), 200);
 }
 
-/// An upstream whose attempts wait, then want to be the only one.
-struct Waits(Rc<RefCell<Vec<bool>>>);
+/// An upstream whose attempts wait for another attempt and then request the exclusive claim.
+struct ClaimingUpstream(Rc<RefCell<Vec<bool>>>);
 
-impl Upstream for Waits {
+impl Upstream for ClaimingUpstream {
     type Payload = ();
     type Reply = ();
     type Endpoint = ();
@@ -296,18 +297,18 @@
         _: Rc<()>,
         attempt: Attempt<()>,
     ) -> impl Future<Output = UpstreamResult<()>> + 'static {
-        let seen = self.0.clone();
+        let claims = self.0.clone();
         async move {
-            // Until another attempt is out too.
-            let out = seen.clone();
-            out.borrow_mut().push(false);
-            while out.borrow().len() < 2 {
+            // Waits for a second attempt.
+            let started = claims.clone();
+            started.borrow_mut().push(false);
+            while started.borrow().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
-            let only = attempt.exclusive_claim.claim();
-            seen.borrow_mut().push(only);
+            let is_claimed = attempt.exclusive_claim.claim();
+            claims.borrow_mut().push(is_claimed);
             tokio::time::sleep(Duration::from_millis(50)).await;
-            match only {
+            match is_claimed {
                 true => UpstreamResult { reply: Some(()), ..UpstreamResult::without_reply(Outcome::Served) },
                 false => UpstreamResult::without_reply(Outcome::NeverSent),
             }
@@ -320,12 +321,12 @@
 }
 
 #[test]
-fn of_two_attempts_one_alone_gets_a_body_that_goes_once() {
+fn only_one_of_two_attempts_claims_a_body_that_cannot_be_repeated() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let seen: Rc<RefCell<Vec<bool>>> = Rc::default();
+        let claims: Rc<RefCell<Vec<bool>>> = Rc::default();
         let class = Class { aim: 0.2, deadline: 20.0, effect: Effect::Safe, ..Class::default() };
-        // Attempts that lost are not cancelled, so that both get as far.
+        // Attempts are not cancelled, so that both try to claim the body.
         let settings = Settings {
             classes: vec![class],
             can_cancel: false,
@@ -333,19 +334,28 @@
             max_attempts: 4,
             ..Settings::default()
         };
-        let bounds = EngineLimits { drain_grace: LONG, max_open_requests: 10 };
-        let engine = Engine::start(settings, bounds, 7, Waits(seen.clone()));
-        let listed = |n| ListedBackend {
+        let limits = EngineLimits { drain_grace: LONG, max_open_requests: 10 };
+        let engine = Engine::start(settings, limits, 7, ClaimingUpstream(claims.clone()));
+        let listed_backend = |n| ListedBackend {
             entry: BackendEntry { id: BackendId(n), ..BackendEntry::default() },
             address: ([127, 0, 0, 1], 1).into(),
         };
-        engine.update_list(BackendListUpdate::Remembered(vec![listed(1), listed(2), listed(3)]));
+        engine.update_list(BackendListUpdate::Remembered(vec![
+            listed_backend(1),
+            listed_backend(2),
+            listed_backend(3),
+        ]));
         let request = Request { budget: 15.0, ..Request::default() };
         let (_, answer) = engine.submit_request(None, request, ()).unwrap();
-        let answered = tokio::time::timeout(LONG, answer).await.expect("an answer in time");
-        assert!(matches!(answered, Ok(Answer::Served(()))));
+        let result = tokio::time::timeout(LONG, answer).await.expect("an answer in time");
+        assert!(matches!(result, Ok(Answer::Served(()))));
         tokio::time::sleep(Duration::from_millis(200)).await;
-        assert_eq!(seen.borrow().iter().filter(|only| **only).count(), 1, "{:?}", seen.borrow());
-        assert!(seen.borrow().len() >= 4, "a second one was out: {:?}", seen.borrow());
+        assert_eq!(
+            claims.borrow().iter().filter(|is_claimed| **is_claimed).count(),
+            1,
+            "{:?}",
+            claims.borrow()
+        );
+        assert!(claims.borrow().len() >= 4, "there was no second attempt: {:?}", claims.borrow());
     });
 }
