--- a/crates/dewpier/tests/plan.rs
+++ b/crates/dewpier/tests/plan.rs
@@ -1,5 +1,5 @@
-//! Forwarders that go by a planner's plan, over real sockets: nodes drain, the planner is killed
-//! and comes back, all under load.
+//! Forwarders that follow a planner's plan, over real sockets and under load: nodes drain, the planner is killed and
+//! restarted.
 
 use dewpier_standins::backend::Backend;
 use dewpier_standins::load::{Load, Tally};
@@ -12,12 +12,12 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-fn load(address: SocketAddr, name: &'static str) -> Load {
+fn start_load(address: SocketAddr, name: &'static str) -> Load {
     orders(address, name, 4, Duration::from_millis(1))
 }
 
-/// That table with its first `count` rows draining.
-fn draining(table: &str, count: usize) -> String {
+/// Returns the table with its first `count` rows draining.
+fn with_draining_rows(table: &str, count: usize) -> String {
     let row = |(i, l): (usize, &str)| match (1..=count).contains(&i) {
         true => l.replace("serving", "draining") + "\n",
         false => format!("{l}\n"),
@@ -26,70 +26,70 @@
 }
 
 #[test]
-fn forwarders_follow_a_planner_through_drains_and_its_death() {
+fn forwarders_keep_the_last_plan_when_their_planner_dies() {
     let backends: Vec<Backend> =
         (0..6).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
     let file = folder("plan").join("nodes.csv");
     let good = table(&backends);
     std::fs::write(&file, &good).unwrap();
-    let without = |from: usize, to: usize| -> String {
-        let drained = |l: &str| (from..to).any(|i| l.starts_with(&format!("pricing-{i:02}")));
+    let with_drained = |from: usize, to: usize| -> String {
+        let is_drained = |l: &str| (from..to).any(|i| l.starts_with(&format!("pricing-{i:02}")));
         good.lines()
-            .map(|l| if drained(l) { l.replace("serving", "draining") } else { l.into() } + "\n")
+            .map(|l| if is_drained(l) { l.replace("serving", "draining") } else { l.into() } + "\n")
             .collect()
     };
     let mut planner = Served::planner(&own_addresses(1)[0].to_string(), &file);
     let address = planner.address;
     let forwarders = [Served::forwarder("f0", &[address]), Served::forwarder("f1", &[address])];
-    let loads = [load(forwarders[0].address, "f0"), load(forwarders[1].address, "f1")];
+    let loads = [start_load(forwarders[0].address, "f0"), start_load(forwarders[1].address, "f1")];
     wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
 
-    // A drain: from the moment that the planner was told, by its own log.
+    // A node drains; the time counts from when the planner logs the new list.
     let lines = planner.lines();
-    replace(&file, without(0, 1).as_bytes());
-    let (told, _) = planner.logged(lines, "backends from");
+    replace(&file, with_drained(0, 1).as_bytes());
+    let (drained_at, _) = planner.logged(lines, "backends from");
     std::thread::sleep(Duration::from_millis(1200));
-    assert_eq!(late(&backends[0], told), 0);
+    assert_eq!(late(&backends[0], drained_at), 0);
 
-    // Strangers and nonsense at its door change nothing.
-    for nonsense in
+    // Invalid bytes from strangers change nothing.
+    for bytes in
         [&b"\xff\xff\xff\xff"[..], b"\x03\x00\x00\x00abc", b"\x00\x00\x00\x00", b"GET / HTTP/1.1\r\n\r\n"]
     {
         let mut stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(dewpier_standins::LONG)).unwrap();
-        stream.write_all(nonsense).unwrap();
+        stream.write_all(bytes).unwrap();
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer);
         assert!(answer.is_empty(), "{answer:?}");
     }
 
-    // It dies; forwarding goes on by the last plan, and nothing goes to what drains.
+    // The planner dies: forwarders go on with the last plan and send nothing to the draining node.
     planner.child.kill().unwrap();
     planner.child.wait().unwrap();
-    // Which of them it goes to is the module's affair.
+    // The decision module chooses among the remaining nodes.
     let sum = |from: usize| backends.iter().skip(from).map(Backend::count).sum::<usize>();
     let before = sum(1);
     wait_for("load without planner", || sum(1) > before + 500);
-    assert_eq!(late(&backends[0], told), 0);
+    assert_eq!(late(&backends[0], drained_at), 0);
 
-    // Another one takes its place, with a drain more, and one that is over.
-    replace(&file, without(1, 2).as_bytes());
-    let again = Served::planner(&address.to_string(), &file);
+    // A new planner starts with another drain and without the first one.
+    replace(&file, with_drained(1, 2).as_bytes());
+    let restarted = Served::planner(&address.to_string(), &file);
     for forwarder in &forwarders {
         wait_for("the new plan", || {
             forwarder.log().iter().filter(|l| l.contains("backends from")).count() >= 3
         });
     }
-    let known = Instant::now();
+    let second_drained_at = Instant::now();
     std::thread::sleep(Duration::from_millis(1200));
-    assert_eq!(late(&backends[1], known), 0);
+    assert_eq!(late(&backends[1], second_drained_at), 0);
     let before = backends[0].count();
-    wait_for("the one that is back", || backends[0].count() > before + 5);
+    wait_for("load on the returned node", || backends[0].count() > before + 5);
 
     let mut tally = Tally::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
-    // Between the end of the lease and the word that all are silent a request may be refused, which
-    // is harmless; none is left without an answer.
+    // Requests may be rejected between the end of the lease and the detection that all planners are silent; every
+    // request gets an answer.
     assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
     assert!(tally.served > 1000 && tally.refused < tally.served / 50, "{} refused", tally.refused);
     let mut orders: HashMap<String, usize> = HashMap::new();
@@ -98,30 +98,30 @@
     }
     assert!(orders.len() > 100 && orders.values().all(|n| *n == 1), "an order ran twice");
     forwarders.into_iter().for_each(Served::stop);
-    again.stop();
+    restarted.stop();
 }
 
 #[test]
-fn a_shorter_bound_on_drains_is_kept_also_under_a_planner_with_a_longer_one() {
+fn forwarder_keeps_its_shorter_drain_bound_under_a_planner_with_a_longer_one() {
     let bound = Duration::from_millis(250);
-    for planners in ["drain_ms = 250", ""] {
+    for planner_settings in ["drain_ms = 250", ""] {
         let backends: Vec<Backend> =
             (0..4).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
         let file = folder("bound").join("nodes.csv");
         let good = table(&backends);
         std::fs::write(&file, &good).unwrap();
-        let mut planner = Served::planner_with("127.0.0.1:0", &file, planners);
-        // Of what is sent each tenth of a second some would be late if its planner's lease held to its end.
+        let mut planner = Served::planner_with("127.0.0.1:0", &file, planner_settings);
+        // Requests would be late if the forwarder used the planner's lease to its end.
         let settings = format!("drain_ms = 250\n{}", watched(&file));
         let forwarder = Served::forwarder_with("f0", &[planner.address], &settings);
-        let load = load(forwarder.address, "f0");
+        let load = start_load(forwarder.address, "f0");
         wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
         for drained in 0..2 {
-            let text = draining(&good, drained + 1);
+            let text = with_draining_rows(&good, drained + 1);
             let lines = planner.lines();
-            // The second one is told to a planner that can't pass it on, and does not answer either.
+            // The second drain is read by a planner that is killed before it can announce it.
             replace(&file, text.as_bytes());
-            let (told, _) = planner.logged(lines, "backends from");
+            let (drained_at, _) = planner.logged(lines, "backends from");
             if drained == 1 {
                 planner.child.kill().unwrap();
                 planner.child.wait().unwrap();
@@ -130,7 +130,7 @@
             let sum = || backends.iter().skip(2).map(Backend::count).sum::<usize>();
             let before = sum();
             wait_for("load on the rest", || sum() > before + 300);
-            assert_eq!(late_by(&backends[drained], told, bound), 0, "{planners}");
+            assert_eq!(late_by(&backends[drained], drained_at, bound), 0, "{planner_settings}");
         }
         let tally = load.stop();
         assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_forwarder_that_stood_still_sends_nothing_to_what_drained_meanwhile() {
+fn resumed_forwarder_sends_nothing_to_nodes_drained_meanwhile() {
     let backends: Vec<Backend> =
         (0..4).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
     let file = folder("paused").join("nodes.csv");
@@ -147,22 +147,22 @@
     std::fs::write(&file, &good).unwrap();
     let planner = Served::planner("127.0.0.1:0", &file);
     let forwarder = Served::forwarder("f0", &[planner.address]);
-    let load = load(forwarder.address, "f0");
+    let load = start_load(forwarder.address, "f0");
     wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
     for drained in 0..2 {
         forwarder.signal("-STOP");
-        std::thread::sleep(Duration::from_millis(100)); // what it had begun is through
-        let text = draining(&good, drained + 1);
+        std::thread::sleep(Duration::from_millis(100)); // open attempts end
+        let text = with_draining_rows(&good, drained + 1);
         let lines = planner.lines();
         replace(&file, text.as_bytes());
-        let (told, _) = planner.logged(lines, "backends from");
+        let (drained_at, _) = planner.logged(lines, "backends from");
         std::thread::sleep(Duration::from_millis(1500));
-        // Its clients' requests have been waiting in its sockets all the while.
+        // Its clients' requests wait in its sockets.
         forwarder.signal("-CONT");
         let sum = || backends.iter().skip(2).map(Backend::count).sum::<usize>();
         let before = sum();
         wait_for("load on the rest", || sum() > before + 40);
-        assert_eq!(late(&backends[drained], told), 0);
+        assert_eq!(late(&backends[drained], drained_at), 0);
     }
     let tally = load.stop();
     assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
@@ -171,78 +171,78 @@
 }
 
 #[test]
-fn a_forwarder_whose_planner_is_gone_turns_to_its_own_watch_and_back() {
+fn forwarder_without_a_planner_uses_its_own_watch_until_the_planner_returns() {
     let backends: Vec<Backend> =
         (0..6).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
     let file = folder("standby").join("nodes.csv");
     let good = table(&backends);
     std::fs::write(&file, &good).unwrap();
-    let without = |n: usize| -> String {
-        let drained = |l: &str| (0..n).any(|i| l.starts_with(&format!("pricing-{i:02}")));
+    let with_drained = |n: usize| -> String {
+        let is_drained = |l: &str| (0..n).any(|i| l.starts_with(&format!("pricing-{i:02}")));
         good.lines()
-            .map(|l| if drained(l) { l.replace("serving", "draining") } else { l.into() } + "\n")
+            .map(|l| if is_drained(l) { l.replace("serving", "draining") } else { l.into() } + "\n")
             .collect()
     };
     let mut planner = Served::planner_with("127.0.0.1:0", &file, "lease_ms = 250");
     let address = planner.address;
-    // Its wait may be longer than what is left of the lease: requests that come then are held back.
+    // The random delay may exceed the remaining lease: requests are queued meanwhile.
     let settings = |socket: &Path| {
         format!("own_watch_spread_ms = 400\nstatus = \"{}\"\n{}", socket.display(), watched(&file))
     };
-    // The name of a socket must be short.
+    // The path of a Unix socket must be short.
     let socket = |name: &str| std::env::temp_dir().join(format!("dewpier-{}-{name}", std::process::id()));
     let forwarders: Vec<Served> =
         ["f0", "f1"].map(|name| Served::forwarder_with(name, &[address], &settings(&socket(name)))).into();
     let loads: Vec<Load> =
-        forwarders.iter().zip(["f0", "f1"]).map(|(f, name)| load(f.address, name)).collect();
+        forwarders.iter().zip(["f0", "f1"]).map(|(f, name)| start_load(f.address, name)).collect();
     wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
-    let shows = |words: &[&str]| {
-        let shown = Command::new(env!("CARGO_BIN_EXE_dewpier"))
+    let assert_shown = |words: &[&str]| {
+        let output = Command::new(env!("CARGO_BIN_EXE_dewpier"))
             .args(["plan", "show", "--config"])
             .arg(&forwarders[0].config)
             .output()
             .unwrap();
-        let text = String::from_utf8(shown.stdout).unwrap();
-        assert!(shown.status.success() && words.iter().all(|w| text.contains(w)), "{words:?} {text}");
+        let text = String::from_utf8(output.stdout).unwrap();
+        assert!(output.status.success() && words.iter().all(|w| text.contains(w)), "{words:?} {text}");
     };
-    shows(&["f0: by planners, plan ", " ms ago", "it holds for ", "pricing-00", "serving"]);
-    // Killed right after it was told of a drain, and then once more with news that nobody is told of.
+    assert_shown(&["f0: by planners, plan ", " ms ago", "it holds for ", "pricing-00", "serving"]);
+    // The planner is killed right after it has read a drain. Another node drains while no planner runs.
     let lines = planner.lines();
-    replace(&file, without(1).as_bytes());
-    let (told, _) = planner.logged(lines, "backends from");
+    replace(&file, with_drained(1).as_bytes());
+    let (drained_at, _) = planner.logged(lines, "backends from");
     planner.child.kill().unwrap();
     planner.child.wait().unwrap();
     for forwarder in &forwarders {
         forwarder.logged(0, "backends from its own watch");
     }
-    shows(&["f0: by own watch", "it holds for ", "draining"]);
+    assert_shown(&["f0: by own watch", "it holds for ", "draining"]);
     let before: usize = backends.iter().skip(1).map(Backend::count).sum();
     wait_for("load by its own watch", || {
         backends.iter().skip(1).map(Backend::count).sum::<usize>() > before + 500
     });
-    assert_eq!(late(&backends[0], told), 0);
+    assert_eq!(late(&backends[0], drained_at), 0);
     let lines: Vec<usize> = forwarders.iter().map(Served::lines).collect();
-    replace(&file, without(2).as_bytes());
+    replace(&file, with_drained(2).as_bytes());
     for (forwarder, from) in forwarders.iter().zip(&lines) {
         forwarder.logged(*from, "backends from its own watch");
     }
-    let told_two = Instant::now();
+    let second_drained_at = Instant::now();
     std::thread::sleep(Duration::from_millis(1200));
-    assert_eq!(late(&backends[1], told_two), 0);
-    // The planner is back, with what the forwarders know already: nothing moves.
-    let again = Served::planner_with(&address.to_string(), &file, "lease_ms = 250");
+    assert_eq!(late(&backends[1], second_drained_at), 0);
+    // The planner returns with the list that the forwarders have already.
+    let restarted = Served::planner_with(&address.to_string(), &file, "lease_ms = 250");
     for forwarder in &forwarders {
         forwarder.logged(0, "planners are back");
     }
     let counts = || backends.iter().skip(2).map(Backend::count).collect::<Vec<_>>();
     let before = counts();
     wait_for("load by planners", || counts().iter().zip(&before).all(|(now, then)| *now > then + 50));
-    assert_eq!((late(&backends[0], told), late(&backends[1], told_two)), (0, 0));
+    assert_eq!((late(&backends[0], drained_at), late(&backends[1], second_drained_at)), (0, 0));
     let mut tally = Tally::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
     assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
     assert!(tally.refused <= 20, "{} of {} refused", tally.refused, tally.all());
     forwarders.into_iter().for_each(Served::stop);
-    again.stop();
+    restarted.stop();
     ["f0", "f1"].iter().for_each(|name| std::fs::remove_file(socket(name)).unwrap());
 }
--- a/crates/dewpier/tests/planners.rs
+++ b/crates/dewpier/tests/planners.rs
@@ -1,5 +1,5 @@
-//! Three planners that agree, and forwarders that follow them, over real sockets: planners are killed one
-//! by one and all at once while nodes drain, under load.
+//! Three planners and the forwarders that follow them, over real sockets and under load: planners are killed one by one
+//! and all at once, and partitioned, while nodes drain.
 
 use dewpier_standins::backend::Backend;
 use dewpier_standins::load::{Load, Tally};
@@ -11,29 +11,32 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Where three planners are: for forwarders, and for each other.
-struct Places {
+/// The addresses of three planners.
+struct PlannerAddresses {
+    /// For forwarders.
     listen: Vec<SocketAddr>,
-    talk: Vec<SocketAddr>,
+    /// For the other planners.
+    cluster: Vec<SocketAddr>,
 }
 
-impl Places {
+impl PlannerAddresses {
     fn new() -> Self {
         let mut listen = own_addresses(6);
-        let talk = listen.split_off(3);
-        Self { listen, talk }
+        let cluster = listen.split_off(3);
+        Self { listen, cluster }
     }
 
     fn start(&self, number: usize, file: &Path) -> Served {
-        self.start_by(number, file, &self.talk, 3000)
+        self.start_with(number, file, &self.cluster, 3000)
     }
 
-    /// One that reaches the others at these addresses, and expels who is silent for so many milliseconds.
-    fn start_by(&self, number: usize, file: &Path, talk: &[SocketAddr], expel_after: u64) -> Served {
-        let talk: Vec<String> = talk.iter().map(|a| format!("\"{a}\"")).collect();
+    /// Starts a planner that reaches the others at these addresses and expels planners that are silent for
+    /// `expel_after_ms`.
+    fn start_with(&self, number: usize, file: &Path, cluster: &[SocketAddr], expel_after_ms: u64) -> Served {
+        let cluster: Vec<String> = cluster.iter().map(|a| format!("\"{a}\"")).collect();
         let settings = format!(
-            "number = {number}\n[cluster]\nplanners = [{}]\nexpel_after_ms = {expel_after}\n",
-            talk.join(", ")
+            "number = {number}\n[cluster]\nplanners = [{}]\nexpel_after_ms = {expel_after_ms}\n",
+            cluster.join(", ")
         );
         Served::planner_with(&self.listen[number].to_string(), file, &settings)
     }
@@ -44,24 +47,25 @@
     planner.child.wait().unwrap();
 }
 
-fn load(address: SocketAddr, name: &'static str) -> Load {
+fn start_load(address: SocketAddr, name: &'static str) -> Load {
     orders(address, name, 2, Duration::from_millis(2))
 }
 
 /// The plan that a planner logged last.
-fn plan(planner: &Served) -> Option<String> {
+fn last_plan(planner: &Served) -> Option<String> {
     planner.log().iter().rev().find_map(|l| l.split("plan ").nth(1).map(str::to_string))
 }
 
-fn agree(planners: &[Served], draining: usize) {
-    let words = format!("{draining} of them draining");
-    wait_for(&format!("agreement on {words}"), || {
-        let plans: Vec<_> = planners.iter().map(plan).collect();
-        plans.iter().all(|p| p.is_some() && *p == plans[0] && p.as_ref().unwrap().ends_with(&words))
+/// Waits until all planners have the same plan with that number of draining nodes.
+fn wait_for_agreement(planners: &[Served], draining: usize) {
+    let plan_end = format!("{draining} of them draining");
+    wait_for(&format!("agreement on {plan_end}"), || {
+        let plans: Vec<_> = planners.iter().map(last_plan).collect();
+        plans.iter().all(|p| p.is_some() && *p == plans[0] && p.as_ref().unwrap().ends_with(&plan_end))
     });
 }
 
-fn orders_ran_once(backends: &[Backend]) {
+fn assert_orders_ran_once(backends: &[Backend]) {
     let mut orders: HashMap<String, usize> = HashMap::new();
     for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order) {
         *orders.entry(order).or_default() += 1;
@@ -70,286 +74,308 @@
 }
 
 #[test]
-fn planners_are_killed_one_by_one_while_nodes_drain() {
+fn drains_hold_when_planners_are_killed_one_by_one() {
     let backends: Vec<Backend> =
         (0..8).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
     let file = folder("one-by-one").join("nodes.csv");
     let good = table(&backends);
     std::fs::write(&file, &good).unwrap();
-    let places = Places::new();
-    let mut planners: Vec<Served> = (0..3).map(|n| places.start(n, &file)).collect();
-    agree(&planners, 0);
-    let forwarders: Vec<Served> = ["f0", "f1"].map(|f| Served::forwarder(f, &places.listen)).into();
-    let loads: Vec<Load> = forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| load(f.address, n)).collect();
+    let addresses = PlannerAddresses::new();
+    let mut planners: Vec<Served> = (0..3).map(|n| addresses.start(n, &file)).collect();
+    wait_for_agreement(&planners, 0);
+    let forwarders: Vec<Served> = ["f0", "f1"].map(|f| Served::forwarder(f, &addresses.listen)).into();
+    let loads: Vec<Load> =
+        forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| start_load(f.address, n)).collect();
     wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
-    let mut told = Vec::new();
+    let mut drained_at = Vec::new();
     for n in 0..3 {
-        // Each is told of a drain and killed in that moment. The two others go on.
+        // Each planner is killed as soon as it has read a drain. The two others go on.
         let lines = planners[n].lines();
-        let now: Vec<usize> = (0..=n).collect();
-        replace(&file, drained(&good, &now).as_bytes());
+        let draining: Vec<usize> = (0..=n).collect();
+        replace(&file, drained(&good, &draining).as_bytes());
         let (at, _) = planners[n].logged(lines, "backends from");
         kill(&mut planners[n]);
-        told.push(at);
+        drained_at.push(at);
         std::thread::sleep(Duration::from_millis(1000));
-        for (i, at) in told.iter().enumerate() {
-            assert_eq!(late(&backends[i], *at), 0, "of {i} after planner {n} was killed");
+        for (i, at) in drained_at.iter().enumerate() {
+            assert_eq!(late(&backends[i], *at), 0, "late sends to node {i} after planner {n} was killed");
         }
-        // It comes back empty, and catches up.
-        planners[n] = places.start(n, &file);
-        agree(&planners, n + 1);
+        // It restarts without state and catches up.
+        planners[n] = addresses.start(n, &file);
+        wait_for_agreement(&planners, n + 1);
     }
-    // What drained comes back, once all three say so.
+    // The drained nodes return once all three planners list them.
     replace(&file, good.as_bytes());
-    agree(&planners, 0);
+    wait_for_agreement(&planners, 0);
     let counts = |from: usize| backends.iter().take(from).map(Backend::count).sum::<usize>();
     let before = counts(3);
-    wait_for("those that are back", || counts(3) > before + 5);
+    wait_for("load on the returned nodes", || counts(3) > before + 5);
     let mut tally = Tally::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
     assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
     assert!(tally.served > 500 && tally.refused <= 4, "{} of {} refused", tally.refused, tally.all());
-    orders_ran_once(&backends);
+    assert_orders_ran_once(&backends);
     forwarders.into_iter().chain(planners).for_each(Served::stop);
 }
 
 #[test]
-fn all_planners_are_killed_at_once_while_nodes_drain_and_come_back() {
+fn drains_hold_when_all_planners_are_killed_and_restarted() {
     let backends: Vec<Backend> =
         (0..8).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
     let file = folder("all-at-once").join("nodes.csv");
     let good = table(&backends);
     std::fs::write(&file, &good).unwrap();
-    let places = Places::new();
-    let mut planners: Vec<Served> = (0..3).map(|n| places.start(n, &file)).collect();
-    agree(&planners, 0);
-    let own = watched(&file);
+    let addresses = PlannerAddresses::new();
+    let mut planners: Vec<Served> = (0..3).map(|n| addresses.start(n, &file)).collect();
+    wait_for_agreement(&planners, 0);
+    let own_inventory = watched(&file);
     let forwarders: Vec<Served> =
-        ["f0", "f1"].map(|f| Served::forwarder_with(f, &places.listen, &own)).into();
-    let loads: Vec<Load> = forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| load(f.address, n)).collect();
+        ["f0", "f1"].map(|f| Served::forwarder_with(f, &addresses.listen, &own_inventory)).into();
+    let loads: Vec<Load> =
+        forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| start_load(f.address, n)).collect();
     wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
     let lines: Vec<usize> = planners.iter().map(Served::lines).collect();
     replace(&file, drained(&good, &[0]).as_bytes());
-    let told = planners.iter().zip(&lines).map(|(p, from)| p.logged(*from, "backends from").0).min().unwrap();
+    let drained_at =
+        planners.iter().zip(&lines).map(|(p, from)| p.logged(*from, "backends from").0).min().unwrap();
     planners.iter_mut().for_each(kill);
     for forwarder in &forwarders {
         forwarder.logged(0, "from its own watch");
     }
-    // One more drains while there is no planner at all.
+    // Another node drains while no planner runs.
     let lines: Vec<usize> = forwarders.iter().map(Served::lines).collect();
     replace(&file, drained(&good, &[0, 1]).as_bytes());
     for (forwarder, from) in forwarders.iter().zip(&lines) {
         forwarder.logged(*from, "from its own watch");
     }
-    let told_two = Instant::now();
+    let second_drained_at = Instant::now();
     std::thread::sleep(Duration::from_millis(1000));
-    assert_eq!((late(&backends[0], told), late(&backends[1], told_two)), (0, 0));
-    // They begin a group anew, whose plans are newer than those before.
-    let planners: Vec<Served> = (0..3).map(|n| places.start(n, &file)).collect();
+    assert_eq!((late(&backends[0], drained_at), late(&backends[1], second_drained_at)), (0, 0));
+    // The planners found a new group, whose plans are newer than the previous ones.
+    let planners: Vec<Served> = (0..3).map(|n| addresses.start(n, &file)).collect();
     for forwarder in &forwarders {
         forwarder.logged(0, "planners are back");
     }
-    agree(&planners, 2);
+    wait_for_agreement(&planners, 2);
     std::thread::sleep(Duration::from_millis(1000));
-    assert_eq!((late(&backends[0], told), late(&backends[1], told_two)), (0, 0));
+    assert_eq!((late(&backends[0], drained_at), late(&backends[1], second_drained_at)), (0, 0));
     let lines = planners[1].lines();
     replace(&file, drained(&good, &[0, 1, 2]).as_bytes());
-    let (told_three, _) = planners[1].logged(lines, "backends from");
+    let (third_drained_at, _) = planners[1].logged(lines, "backends from");
     std::thread::sleep(Duration::from_millis(1000));
-    assert_eq!(late(&backends[2], told_three), 0);
+    assert_eq!(late(&backends[2], third_drained_at), 0);
     let mut tally = Tally::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
     assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
     assert!(tally.served > 500 && tally.refused <= 8, "{} of {} refused", tally.refused, tally.all());
-    orders_ran_once(&backends);
+    assert_orders_ran_once(&backends);
     forwarders.into_iter().chain(planners).for_each(Served::stop);
 }
 
-/// Each planner is cut off from the two others in turn, so that one of them leads; in one round just what
-/// it is answered is held back. A drain that only it is told of meanwhile holds, and so does one that only
-/// the others are told of.
+/// Each planner in turn is partitioned from the two others; in one round only its incoming messages are held back. A
+/// drain that only it has read holds, and so does a drain that only the others have read.
 #[test]
-fn planners_that_the_network_cuts_apart_keep_drains_and_agree_once_it_is_mended() {
+fn partitioned_planners_keep_drains_and_agree_after_the_partition() {
     let backends: Vec<Backend> =
         (0..8).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
     let good = table(&backends);
     let files: Vec<_> = (0..3).map(|n| folder(&format!("cut-{n}")).join("nodes.csv")).collect();
     files.iter().for_each(|file| std::fs::write(file, &good).unwrap());
-    let places = Places::new();
-    // The way from each to each other is one of its own.
-    let ways: Vec<Vec<Relay>> =
-        (0..3).map(|_| (0..3).map(|to| Relay::start(places.talk[to])).collect()).collect();
+    let addresses = PlannerAddresses::new();
+    // A relay for each direction between two planners.
+    let relays: Vec<Vec<Relay>> =
+        (0..3).map(|_| (0..3).map(|to| Relay::start(addresses.cluster[to])).collect()).collect();
     let planners: Vec<Served> = (0..3)
         .map(|n| {
-            let reached = |to: usize| if to == n { places.talk[n] } else { ways[n][to].address };
-            places.start_by(n, &files[n], &(0..3).map(reached).collect::<Vec<_>>(), 60_000)
+            let address = |to: usize| if to == n { addresses.cluster[n] } else { relays[n][to].address };
+            addresses.start_with(n, &files[n], &(0..3).map(address).collect::<Vec<_>>(), 60_000)
         })
         .collect();
-    agree(&planners, 0);
-    let forwarders: Vec<Served> = ["f0", "f1"].map(|f| Served::forwarder(f, &places.listen)).into();
-    let loads: Vec<Load> = forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| load(f.address, n)).collect();
+    wait_for_agreement(&planners, 0);
+    let forwarders: Vec<Served> = ["f0", "f1"].map(|f| Served::forwarder(f, &addresses.listen)).into();
+    let loads: Vec<Load> =
+        forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| start_load(f.address, n)).collect();
     wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
     let mut drained_nodes: Vec<(usize, Instant)> = Vec::new();
-    let write = |at: &[usize], drains: &[usize]| {
-        let lines: Vec<usize> = at.iter().map(|n| planners[*n].lines()).collect();
-        at.iter().for_each(|n| replace(&files[*n], drained(&good, drains).as_bytes()));
-        let read = at.iter().zip(&lines).map(|(n, from)| planners[*n].logged(*from, "backends from").0);
-        read.min().unwrap()
+    let write = |planner_numbers: &[usize], drains: &[usize]| {
+        let lines: Vec<usize> = planner_numbers.iter().map(|n| planners[*n].lines()).collect();
+        planner_numbers.iter().for_each(|n| replace(&files[*n], drained(&good, drains).as_bytes()));
+        let read_at =
+            planner_numbers.iter().zip(&lines).map(|(n, from)| planners[*n].logged(*from, "backends from").0);
+        read_at.min().unwrap()
     };
-    for (alone, own_ways) in ways.iter().enumerate() {
-        let others: Vec<usize> = (0..3).filter(|n| *n != alone).collect();
-        let cut = |on: bool| {
+    for (isolated, own_relays) in relays.iter().enumerate() {
+        let others: Vec<usize> = (0..3).filter(|n| *n != isolated).collect();
+        let set_partition = |on: bool| {
             for other in &others {
-                own_ways[*other].cut(on && alone != 1, on);
-                ways[*other][alone].cut(on && alone != 1, on);
+                own_relays[*other].cut(on && isolated != 1, on);
+                relays[*other][isolated].cut(on && isolated != 1, on);
             }
         };
         let before: Vec<usize> = drained_nodes.iter().map(|(node, _)| *node).collect();
         let with = |node: usize| [&before[..], &[node]].concat();
-        cut(true);
+        set_partition(true);
         std::thread::sleep(Duration::from_millis(400));
-        drained_nodes.push((2 * alone, write(&[alone], &with(2 * alone))));
-        drained_nodes.push((2 * alone + 1, write(&others, &with(2 * alone + 1))));
-        let words = format!("{} of them draining", before.len() + 1);
-        let of = |n: usize| plan(&planners[n]);
+        drained_nodes.push((2 * isolated, write(&[isolated], &with(2 * isolated))));
+        drained_nodes.push((2 * isolated + 1, write(&others, &with(2 * isolated + 1))));
+        let plan_end = format!("{} of them draining", before.len() + 1);
+        let plan_of = |n: usize| last_plan(&planners[n]);
         wait_for("agreement of the others", || {
-            let [one, other] = [of(others[0]), of(others[1])];
-            one == other && one.is_some_and(|p| p.ends_with(&words))
+            let [one, other] = [plan_of(others[0]), plan_of(others[1])];
+            one == other && one.is_some_and(|p| p.ends_with(&plan_end))
         });
         std::thread::sleep(Duration::from_millis(1000));
-        assert_ne!(of(alone), of(others[0]), "{alone} is cut off");
+        assert_ne!(plan_of(isolated), plan_of(others[0]), "planner {isolated} is partitioned");
         for (node, at) in &drained_nodes {
-            assert_eq!(late(&backends[*node], *at), 0, "of {node} while {alone} is cut off");
+            assert_eq!(
+                late(&backends[*node], *at),
+                0,
+                "late sends to node {node} while planner {isolated} is partitioned"
+            );
         }
-        cut(false);
+        set_partition(false);
         let all: Vec<usize> = drained_nodes.iter().map(|(node, _)| *node).collect();
         write(&[0, 1, 2], &all);
-        agree(&planners, all.len());
+        wait_for_agreement(&planners, all.len());
         for (node, at) in &drained_nodes {
-            assert_eq!(late(&backends[*node], *at), 0, "of {node} after {alone} is back");
+            assert_eq!(
+                late(&backends[*node], *at),
+                0,
+                "late sends to node {node} after the partition of planner {isolated}"
+            );
         }
     }
     write(&[0, 1, 2], &[]);
-    agree(&planners, 0);
+    wait_for_agreement(&planners, 0);
     let before = backends[0].count();
-    wait_for("those that are back", || backends[0].count() > before + 2);
+    wait_for("load on the returned nodes", || backends[0].count() > before + 2);
     let mut tally = Tally::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
     assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
     assert!(tally.served > 500 && tally.refused <= 8, "{} of {} refused", tally.refused, tally.all());
-    orders_ran_once(&backends);
+    assert_orders_ran_once(&backends);
     forwarders.into_iter().chain(planners).for_each(Served::stop);
 }
 
 #[test]
-fn what_one_planner_alone_was_told_of_holds_until_it_is_expelled() {
+fn drain_read_by_one_planner_holds_until_that_planner_is_expelled() {
     let backends: Vec<Backend> =
         (0..4).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
     let good = table(&backends);
-    // Each has a copy of the inventory of its own.
+    // Each planner has its own copy of the inventory.
     let files: Vec<_> = (0..3).map(|n| folder(&format!("copy-{n}")).join("nodes.csv")).collect();
     files.iter().for_each(|file| std::fs::write(file, &good).unwrap());
-    let places = Places::new();
-    let mut planners: Vec<Served> = (0..3).map(|n| places.start(n, &files[n])).collect();
-    agree(&planners, 0);
-    let forwarder = Served::forwarder("f0", &places.listen);
-    let load = load(forwarder.address, "f0");
+    let addresses = PlannerAddresses::new();
+    let mut planners: Vec<Served> = (0..3).map(|n| addresses.start(n, &files[n])).collect();
+    wait_for_agreement(&planners, 0);
+    let forwarder = Served::forwarder("f0", &addresses.listen);
+    let load = start_load(forwarder.address, "f0");
     wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
     let lines = planners[2].lines();
     replace(&files[2], drained(&good, &[0]).as_bytes());
-    let (told, _) = planners[2].logged(lines, "backends from");
-    agree(&planners, 1);
-    // The others see something new, and not that; and their word does not bring it back.
+    let (drained_at, _) = planners[2].logged(lines, "backends from");
+    wait_for_agreement(&planners, 1);
+    // The other planners read another change without this drain, which must not cancel it.
     replace(&files[0], drained(&good, &[1]).as_bytes());
-    agree(&planners, 2);
+    wait_for_agreement(&planners, 2);
     std::thread::sleep(Duration::from_millis(700));
-    assert_eq!(late(&backends[0], told), 0);
-    let gone = planners.pop().unwrap();
-    let at = Instant::now();
-    drop(gone);
-    agree(&planners, 1);
-    assert!(at.elapsed() > Duration::from_millis(2500), "it was expelled after {:?}", at.elapsed());
+    assert_eq!(late(&backends[0], drained_at), 0);
+    let killed = planners.pop().unwrap();
+    let killed_at = Instant::now();
+    drop(killed);
+    wait_for_agreement(&planners, 1);
+    assert!(
+        killed_at.elapsed() > Duration::from_millis(2500),
+        "the planner was expelled after {:?}",
+        killed_at.elapsed()
+    );
     let before = backends[0].count();
-    wait_for("the one that only the dead one had drained", || backends[0].count() > before + 2);
+    wait_for("load on the node that only the expelled planner had drained", || {
+        backends[0].count() > before + 2
+    });
     let tally = load.stop();
     assert_eq!((tally.failed, tally.lost, tally.refused), (0, 0, 0), "of {}", tally.all());
     planners.push(forwarder);
     planners.into_iter().for_each(Served::stop);
 }
 
-/// Forwarders that use a part of the fleet: no more nodes than that hear of them, whichever source tells
-/// them, and a drained member's place is taken.
+/// Forwarders with a slice connect only to the nodes of that slice with either list source, and replace a drained node.
 #[test]
-fn forwarders_of_a_part_keep_to_it_over_drains_and_the_loss_of_all_planners() {
-    const PART: usize = 6;
+fn forwarder_keeps_its_slice_over_drains_and_the_loss_of_all_planners() {
+    const SLICE_SIZE: usize = 6;
     let backends: Vec<Backend> =
         (0..24).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
     let file = folder("part").join("nodes.csv");
     let good = table(&backends);
     std::fs::write(&file, &good).unwrap();
-    let places = Places::new();
-    let mut planners: Vec<Served> = (0..3).map(|n| places.start(n, &file)).collect();
-    agree(&planners, 0);
-    let settings = format!("nodes = {PART}\n{}", watched(&file));
-    let forwarder = Served::forwarder_with("f0", &places.listen, &settings);
-    let load = load(forwarder.address, "f0");
-    let used = || -> Vec<usize> { (0..24).filter(|i| backends[*i].count() > 0).collect() };
+    let addresses = PlannerAddresses::new();
+    let mut planners: Vec<Served> = (0..3).map(|n| addresses.start(n, &file)).collect();
+    wait_for_agreement(&planners, 0);
+    let settings = format!("nodes = {SLICE_SIZE}\n{}", watched(&file));
+    let forwarder = Served::forwarder_with("f0", &addresses.listen, &settings);
+    let load = start_load(forwarder.address, "f0");
+    let used_nodes = || -> Vec<usize> { (0..24).filter(|i| backends[*i].count() > 0).collect() };
     wait_for("load", || backends.iter().map(Backend::count).sum::<usize>() > 500);
-    let first = used();
-    assert!((2..=PART).contains(&first.len()), "{first:?}");
-    // One that it uses drains: the next one takes its place.
-    let drains = first[0];
+    let first_used = used_nodes();
+    assert!((2..=SLICE_SIZE).contains(&first_used.len()), "{first_used:?}");
+    // A used node drains: the next node replaces it.
+    let drained_node = first_used[0];
     let lines: Vec<usize> = planners.iter().map(Served::lines).collect();
-    replace(&file, drained(&good, &[drains]).as_bytes());
-    let told = planners.iter().zip(&lines).map(|(p, from)| p.logged(*from, "backends from").0).min().unwrap();
-    agree(&planners, 1);
+    replace(&file, drained(&good, &[drained_node]).as_bytes());
+    let drained_at =
+        planners.iter().zip(&lines).map(|(p, from)| p.logged(*from, "backends from").0).min().unwrap();
+    wait_for_agreement(&planners, 1);
     std::thread::sleep(Duration::from_millis(1000));
-    assert_eq!(late(&backends[drains], told), 0);
+    assert_eq!(late(&backends[drained_node], drained_at), 0);
     planners.iter_mut().for_each(kill);
     forwarder.logged(0, "from its own watch");
     let before: Vec<usize> = backends.iter().map(Backend::count).collect();
     wait_for("load by its own watch", || {
         backends.iter().zip(&before).map(|(b, n)| b.count() - n).sum::<usize>() > 500
     });
-    assert_eq!(late(&backends[drains], told), 0);
-    let last = used();
-    assert!(last.len() <= PART + 1, "{first:?}, then {last:?}: its own watch has the same part");
+    assert_eq!(late(&backends[drained_node], drained_at), 0);
+    let last_used = used_nodes();
+    assert!(
+        last_used.len() <= SLICE_SIZE + 1,
+        "{first_used:?}, then {last_used:?}: expected the same slice from its own watch"
+    );
     let descriptors = std::fs::read_dir(format!("/proc/{}/fd", forwarder.child.id())).map(|d| d.count());
-    let descriptors = descriptors.unwrap_or(0); // told where the system tells it
-    assert!(descriptors < 64, "{descriptors} descriptors for {PART} nodes");
+    let descriptors = descriptors.unwrap_or(0); // 0 without /proc
+    assert!(descriptors < 64, "{descriptors} descriptors for {SLICE_SIZE} nodes");
     let tally = load.stop();
     assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
     assert!(tally.refused <= 4, "{} of {} refused", tally.refused, tally.all());
-    orders_ran_once(&backends);
+    assert_orders_ran_once(&backends);
     forwarder.stop();
 }
 
 #[test]
-fn all_forwarders_together_spare_a_node_that_has_just_started() {
+fn forwarders_together_limit_the_load_on_a_cold_node() {
     let backends: Vec<Backend> =
         (0..7).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
     let file = folder("cold").join("nodes.csv");
     std::fs::write(&file, table(&backends[..6])).unwrap();
-    let places = Places::new();
-    let planners: Vec<Served> = (0..3).map(|n| places.start(n, &file)).collect();
-    agree(&planners, 0);
-    // Short enough to see it end.
+    let addresses = PlannerAddresses::new();
+    let planners: Vec<Served> = (0..3).map(|n| addresses.start(n, &file)).collect();
+    wait_for_agreement(&planners, 0);
+    // Short enough to end within this test.
     let forwarders: Vec<Served> = ["f0", "f1", "f2"]
-        .map(|f| Served::forwarder_with(f, &places.listen, "[backends]\ncold_ms = 4000\n"))
+        .map(|f| Served::forwarder_with(f, &addresses.listen, "[backends]\ncold_ms = 4000\n"))
         .into();
     let loads: Vec<Load> =
-        forwarders.iter().zip(["f0", "f1", "f2"]).map(|(f, n)| load(f.address, n)).collect();
+        forwarders.iter().zip(["f0", "f1", "f2"]).map(|(f, n)| start_load(f.address, n)).collect();
     wait_for("load on all", || backends.iter().take(6).all(|b| b.count() > 200));
     replace(&file, table(&backends).as_bytes());
-    wait_for("the new one", || backends[6].count() > 0);
+    wait_for("load on the new node", || backends[6].count() > 0);
     let (from, to) = (Instant::now(), Duration::from_secs(2));
     std::thread::sleep(to);
-    let within = |b: &Backend| b.arrivals().iter().filter(|a| a.at >= from && a.at < from + to).count();
-    let cold = within(&backends[6]);
-    let usual = backends.iter().take(6).map(within).sum::<usize>() / 6;
-    // A fifth at first and three fifths after two seconds of four, times 3, is what tips it over.
-    assert!(cold <= 3 * 2 * usual / 5, "{cold} against {usual}");
-    assert!(cold > 0 && usual > 50, "{cold} against {usual}");
+    let count_arrivals =
+        |b: &Backend| b.arrivals().iter().filter(|a| a.at >= from && a.at < from + to).count();
+    let cold = count_arrivals(&backends[6]);
+    let warm_average = backends.iter().take(6).map(count_arrivals).sum::<usize>() / 6;
+    // The cold node has 1/5 of its capacity at first and 3/5 after 2 s of 4 s; 3 times its capacity overloads it.
+    assert!(cold <= 3 * 2 * warm_average / 5, "{cold} against {warm_average}");
+    assert!(cold > 0 && warm_average > 50, "{cold} against {warm_average}");
     let mut tally = Tally::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
     assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
--- a/crates/dewpier/tests/secured.rs
+++ b/crates/dewpier/tests/secured.rs
@@ -1,4 +1,4 @@
-//! Planners and forwarders that show each other certificates, and strangers who can't move traffic.
+//! Planners and forwarders with TLS certificates: strangers and certificates of the wrong role are rejected.
 
 use dewpier_plan::io::{CertificateFiles, Planner, Role, Security};
 use dewpier_plan::{Node, Plan, Version};
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// An authority and the certificates that it has signed, in a folder.
+/// A certificate authority and the certificates that it has signed, in a folder.
 struct Authority {
     folder: PathBuf,
     issuer: Issuer<'static, KeyPair>,
@@ -30,26 +30,26 @@
         authority
     }
 
-    /// Signs a new certificate for that part.
-    fn sign(&self, file: &str, part: Role) {
+    /// Signs a new certificate for a role.
+    fn sign(&self, file: &str, role: Role) {
         let key = KeyPair::generate().unwrap();
-        let params = CertificateParams::new(vec![part.name().to_string()]).unwrap();
+        let params = CertificateParams::new(vec![role.name().to_string()]).unwrap();
         let certificate = params.signed_by(&key, &self.issuer).unwrap();
         std::fs::write(self.folder.join(format!("{file}.pem")), certificate.pem()).unwrap();
         std::fs::write(self.folder.join(format!("{file}.key")), key.serialize_pem()).unwrap();
     }
 
-    fn files(&self, part: &str) -> CertificateFiles {
-        let file = |name: &str| self.folder.join(name);
+    fn files(&self, name: &str) -> CertificateFiles {
+        let file = |file_name: &str| self.folder.join(file_name);
         CertificateFiles {
             authority: file("authority.pem"),
-            certificate: file(&format!("{part}.pem")),
-            key: file(&format!("{part}.key")),
+            certificate: file(&format!("{name}.pem")),
+            key: file(&format!("{name}.key")),
         }
     }
 
-    fn settings(&self, table: &str, part: &str) -> String {
-        let CertificateFiles { authority, certificate, key } = self.files(part);
+    fn settings(&self, table: &str, name: &str) -> String {
+        let CertificateFiles { authority, certificate, key } = self.files(name);
         format!(
             "[{table}]\nauthority = \"{}\"\ncertificate = \"{}\"\nkey = \"{}\"\n",
             authority.display(),
@@ -59,25 +59,25 @@
     }
 }
 
-fn planner(number: usize, talk: &[SocketAddr], authority: &Authority, file: &Path) -> Served {
-    let talk: Vec<String> = talk.iter().map(|a| format!("\"{a}\"")).collect();
+fn start_planner(number: usize, cluster: &[SocketAddr], authority: &Authority, file: &Path) -> Served {
+    let cluster: Vec<String> = cluster.iter().map(|a| format!("\"{a}\"")).collect();
     let settings = format!(
         "number = {number}\n[cluster]\nplanners = [{}]\n{}",
-        talk.join(", "),
+        cluster.join(", "),
         authority.settings("tls", "planner")
     );
     Served::planner_with("127.0.0.1:0", file, &settings)
 }
 
-/// Connects as one with these files, and tells what the other side has to say.
-fn heard(address: SocketAddr, files: CertificateFiles, says: &'static [u8]) -> Vec<u8> {
+/// Connects with these certificates, sends a message and returns the bytes of the answer.
+fn exchange(address: SocketAddr, files: CertificateFiles, message: &'static [u8]) -> Vec<u8> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         use tokio::io::{AsyncReadExt, AsyncWriteExt};
         let stream = tokio::net::TcpStream::connect(address).await.unwrap();
         let mut answer = Vec::new();
         if let Ok(mut stream) = Security::read(files).unwrap().connect(stream, Role::Planner).await {
-            let _ = stream.write_all(says).await;
+            let _ = stream.write_all(message).await;
             let _ = stream.flush().await;
             let _ = tokio::time::timeout(LONG, stream.read_to_end(&mut answer)).await.unwrap();
         }
@@ -86,19 +86,19 @@
 }
 
 #[test]
-fn planners_and_forwarders_of_one_authority_work_together_and_strangers_are_refused() {
+fn planners_and_forwarders_of_one_authority_cooperate_and_strangers_are_rejected() {
     let backends: Vec<Backend> =
         (0..4).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
     let file = folder("secured").join("nodes.csv");
     let good = table(&backends);
     std::fs::write(&file, &good).unwrap();
     let (ours, theirs) = (Authority::new("ours"), Authority::new("theirs"));
-    let talk = own_addresses(3);
-    let planners: Vec<Served> = (0..3).map(|n| planner(n, &talk, &ours, &file)).collect();
+    let cluster = own_addresses(3);
+    let planners: Vec<Served> = (0..3).map(|n| start_planner(n, &cluster, &ours, &file)).collect();
     let addresses: Vec<SocketAddr> = planners.iter().map(|p| p.address).collect();
     let settings = ours.settings("planners.tls", "forwarder");
     let forwarder = Served::forwarder_with("f0", &addresses, &settings);
-    let ask = |n: usize| {
+    let send_request = |n: usize| {
         let mut stream = TcpStream::connect(forwarder.address).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
         write!(stream, "GET /{n} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").unwrap();
@@ -106,32 +106,31 @@
         stream.read_to_string(&mut answer).unwrap();
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     };
-    (0..20).for_each(ask);
+    (0..20).for_each(send_request);
 
-    // Strangers: who speaks plainly, whose certificate another authority has signed, and who has one of
-    // ours for another part.
+    // Rejected: plaintext, certificates of another authority, and certificates of the wrong role.
     let lines = planners[0].lines();
     let mut plain = TcpStream::connect(addresses[0]).unwrap();
     plain.set_read_timeout(Some(LONG)).unwrap();
     plain.write_all(b"\x06\x00\x00\x00\x08\x01\x12\x02\x0a\x00").unwrap();
     let mut answer = Vec::new();
     let _ = plain.read_to_end(&mut answer);
-    assert!(answer.len() < 64, "an alert at most: {answer:?}");
+    assert!(answer.len() < 64, "expected at most a TLS alert: {answer:?}");
     planners[0].logged(lines, "a follower is refused");
     for (files, address, words) in [
         (theirs.files("forwarder"), addresses[1], "a follower is refused"),
         (ours.files("planner"), addresses[1], "a follower is refused"),
-        (ours.files("forwarder"), talk[1], "a planner is refused"),
-        (theirs.files("planner"), talk[1], "a planner is refused"),
+        (ours.files("forwarder"), cluster[1], "a planner is refused"),
+        (theirs.files("planner"), cluster[1], "a planner is refused"),
     ] {
         let lines = planners[1].lines();
-        // The authority of the other side is not checked here: this one wants to be let in.
+        // The stranger trusts the planner's authority, so that only the planner rejects the connection.
         let files = CertificateFiles { authority: ours.files("planner").authority, ..files };
-        assert_eq!(heard(address, files, b"\x06\x00\x00\x00\x08\x01\x12\x02\x0a\x00"), b"");
+        assert_eq!(exchange(address, files, b"\x06\x00\x00\x00\x08\x01\x12\x02\x0a\x00"), b"");
         planners[1].logged(lines, words);
     }
 
-    // A drain goes through as ever, also after new certificates were put in place.
+    // Drains are still sent after the certificates are replaced.
     ours.sign("planner", Role::Planner);
     ours.sign("forwarder", Role::Forwarder);
     planners.iter().for_each(|p| p.signal("-HUP"));
@@ -139,13 +138,13 @@
     let lines = forwarder.lines();
     replace(&file, good.replacen("serving", "draining", 1).as_bytes());
     forwarder.logged(lines, "3 of them serving");
-    (20..40).for_each(ask);
+    (20..40).for_each(send_request);
     planners.into_iter().for_each(Served::stop);
     forwarder.stop();
 }
 
 #[test]
-fn a_forwarder_does_not_follow_who_only_passes_for_a_planner() {
+fn forwarder_does_not_follow_a_planner_with_an_invalid_certificate() {
     let (ours, theirs) = (Authority::new("mine"), Authority::new("false"));
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
     let node = Node {
@@ -167,41 +166,43 @@
         addresses.push(listener.local_addr().unwrap());
         runtime.spawn(planner.serve(listener, Security::read(files).unwrap()));
     }
-    // By the two false ones it has no list; when a true one comes it has.
+    // The forwarder gets no list from the two false planners, and a list from the true one.
     let settings = ours.settings("planners.tls", "forwarder");
     let config = folder("lured").join("f.toml");
     let text = |addresses: &[SocketAddr]| {
-        let listed: Vec<String> = addresses.iter().map(|a| format!("\"{a}\"")).collect();
-        let listed = listed.join(", ");
-        format!("listen = \"127.0.0.1:0\"\n[planners]\nname = \"f\"\naddresses = [{listed}]\n{settings}")
+        let quoted: Vec<String> = addresses.iter().map(|a| format!("\"{a}\"")).collect();
+        let quoted = quoted.join(", ");
+        format!("listen = \"127.0.0.1:0\"\n[planners]\nname = \"f\"\naddresses = [{quoted}]\n{settings}")
     };
     std::fs::write(&config, text(&addresses[..2])).unwrap();
-    let mut lured = std::process::Command::new(env!("CARGO_BIN_EXE_dewpier"))
+    let mut forwarder = std::process::Command::new(env!("CARGO_BIN_EXE_dewpier"))
         .args(["forwarder", "--config"])
         .arg(&config)
         .stderr(std::process::Stdio::piped())
         .spawn()
         .unwrap();
-    let mut log = lured.stderr.take().unwrap();
-    let (told, lines) = std::sync::mpsc::channel();
+    let mut log = forwarder.stderr.take().unwrap();
+    let (log_sender, log_text) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let mut text = String::new();
         let _ = log.read_to_string(&mut text);
-        let _ = told.send(text);
+        let _ = log_sender.send(text);
     });
     std::thread::sleep(Duration::from_secs(2));
-    lured.kill().unwrap();
-    lured.wait().unwrap();
-    let text = lines.recv_timeout(LONG).unwrap();
+    forwarder.kill().unwrap();
+    forwarder.wait().unwrap();
+    let text = log_text.recv_timeout(LONG).unwrap();
     assert!(!text.contains("backends from"), "{text}");
     assert!(addresses[..2].iter().all(|a| text.contains(&format!("planner {a}: "))), "{text}");
-    let followed = Served::forwarder_with("f1", &addresses, &settings);
-    wait_for("the true one", || followed.log().iter().any(|l| l.contains("1 backends from")));
-    followed.stop();
+    let following = Served::forwarder_with("f1", &addresses, &settings);
+    wait_for("the list of the true planner", || {
+        following.log().iter().any(|l| l.contains("1 backends from"))
+    });
+    following.stop();
 }
 
 #[test]
-fn files_that_cannot_be_used_are_told_with_their_names() {
+fn unusable_certificate_files_are_reported_with_their_names() {
     let ours = Authority::new("broken");
     std::fs::write(ours.folder.join("empty.pem"), "").unwrap();
     let good = ours.files("planner");
@@ -221,8 +222,8 @@
             "planner.pem: cannot be used: ",
         ),
     ] {
-        let told = Security::read(files).unwrap_err().to_string();
-        assert!(told.contains(words), "{words}: {told}");
+        let message = Security::read(files).unwrap_err().to_string();
+        assert!(message.contains(words), "{words}: {message}");
     }
     assert!(Security::read(good).is_ok());
 }
--- a/crates/dewpier/tests/serve.rs
+++ b/crates/dewpier/tests/serve.rs
@@ -1,4 +1,4 @@
-//! `dewpier serve` from outside: plain clients, and an inventory that is rewritten under load.
+//! `dewpier serve` with plain clients and an inventory that changes under load.
 
 use dewpier_standins::backend::Backend;
 use dewpier_standins::load::{Load, Tally};
@@ -17,41 +17,41 @@
     (0..count).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect()
 }
 
-fn plain(method: &str, path: &str, headers: &str) -> String {
+fn format_request(method: &str, path: &str, headers: &str) -> String {
     format!("{method} {path} HTTP/1.1\r\nHost: shop\r\n{headers}Content-Length: 0\r\n\r\n")
 }
 
-/// Gets, and an order now and then, which must not run twice.
-fn mixed(address: std::net::SocketAddr, clients: usize) -> Load {
+/// Starts clients that send quotes, and orders with every fifth request.
+fn start_load(address: std::net::SocketAddr, clients: usize) -> Load {
     let script = |client: usize, n: u64| match n % 5 {
-        0 => plain("POST", "/orders", &format!("X-Order: {client}-{n}\r\n")),
-        _ => plain("GET", "/quotes/7", ""),
+        0 => format_request("POST", "/orders", &format!("X-Order: {client}-{n}\r\n")),
+        _ => format_request("GET", "/quotes/7", ""),
     };
     Load::start(address, clients, Duration::from_millis(1), Arc::new(script))
 }
 
-/// Nothing was dropped, and no order ran twice.
+/// Checks that all requests were served and that no order ran more than once.
 #[track_caller]
-fn whole(tally: &Tally, backends: &[Backend]) {
+fn assert_all_served(tally: &Tally, backends: &[Backend]) {
     assert_eq!((tally.refused, tally.failed, tally.lost), (0, 0, 0), "of {}", tally.all());
     assert!(tally.served > 0);
-    no_order_twice(backends);
+    assert_orders_ran_once(backends);
 }
 
 #[track_caller]
-fn no_order_twice(backends: &[Backend]) {
-    let mut seen: HashMap<String, usize> = HashMap::new();
+fn assert_orders_ran_once(backends: &[Backend]) {
+    let mut runs: HashMap<String, usize> = HashMap::new();
     for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order) {
-        *seen.entry(order).or_default() += 1;
+        *runs.entry(order).or_default() += 1;
     }
-    assert!(!seen.is_empty());
-    let twice: Vec<_> = seen.iter().filter(|(_, n)| **n > 1).collect();
-    assert!(twice.is_empty(), "{twice:?}");
+    assert!(!runs.is_empty());
+    let duplicates: Vec<_> = runs.iter().filter(|(_, n)| **n > 1).collect();
+    assert!(duplicates.is_empty(), "{duplicates:?}");
 }
 
 #[test]
-fn plain_clients_are_served_and_see_what_backends_say() {
-    let play = |_: usize, message: &dewpier_standins::message::Message| {
+fn clients_get_the_answers_of_backends() {
+    let respond = |_: usize, message: &dewpier_standins::message::Message| {
         let path = message.first.split(' ').nth(1).unwrap_or_default().to_string();
         Play::Answer(match path.as_str() {
             "/found" => "HTTP/1.1 302 Found\r\nLocation: /there\r\nConnection: x-hop\r\nX-Hop: 1\r\n\
@@ -64,9 +64,9 @@
             _ => answer("200 OK", "hello"),
         })
     };
-    // A repeat goes to another backend.
-    let backends = [Played::new(play), Played::new(play)];
-    let asked = || backends.iter().map(Played::count).sum::<usize>();
+    // A repeat goes to the other backend.
+    let backends = [Played::new(respond), Played::new(respond)];
+    let count_requests = || backends.iter().map(Played::count).sum::<usize>();
     let settings = "default_port = 80\n[[class]]\nname = \"quote\"\neffect = \"keyed\"\nwindow_ms = 5000\n\
                     match = [{ methods = [\"POST\"], path = \"/quotes\" }]\n\
                     [[class]]\nname = \"brief\"\neffect = \"safe\"\ndeadline_ms = 900\naim_ms = 900\n\
@@ -74,39 +74,42 @@
     let table = format!("address\n{}\n{}\n", backends[0].address, backends[1].address);
     let served = Served::start("nodes.csv", table.as_bytes(), settings);
     let mut client = served.connect();
-    let answer = ask(&mut client, &plain("GET", "/x", ""));
+    let answer = ask(&mut client, &format_request("GET", "/x", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"hello".as_slice()));
-    let answer = ask(&mut client, &plain("GET", "/found", ""));
+    let answer = ask(&mut client, &format_request("GET", "/found", ""));
     let cookies: Vec<_> = answer.headers.iter().filter(|(n, _)| n == "set-cookie").collect();
     assert_eq!((answer.status(), answer.header("location"), cookies.len()), (302, Some("/there"), 2));
-    assert_eq!(answer.header("x-hop"), None, "a header of the connection");
-    assert_eq!(ask(&mut client, &plain("GET", "/none", "")).status(), 404);
-    // An error is the answer if nothing better comes; what may have run is not sent again.
-    let before = asked();
-    let answer = ask(&mut client, &plain("POST", "/broken", ""));
+    assert_eq!(answer.header("x-hop"), None, "a header of the connection is not forwarded");
+    assert_eq!(ask(&mut client, &format_request("GET", "/none", "")).status(), 404);
+    // The error of an unsafe request is forwarded; it may have run and is not sent again.
+    let before = count_requests();
+    let answer = ask(&mut client, &format_request("POST", "/broken", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (500, b"sorry".as_slice()));
-    assert_eq!(asked() - before, 1);
-    // A 503 that does not say that the request was turned away promises nothing.
-    assert_eq!(ask(&mut client, &plain("POST", "/busy", "")).status(), 502);
-    assert_eq!(asked() - before, 2);
+    assert_eq!(count_requests() - before, 1);
+    // A 503 without the header of a rejection does not prove that the request was not run.
+    assert_eq!(ask(&mut client, &format_request("POST", "/busy", "")).status(), 502);
+    assert_eq!(count_requests() - before, 2);
     let before = before + 1;
-    let answer = ask(&mut served.connect(), &plain("GET", "/broken", ""));
+    let answer = ask(&mut served.connect(), &format_request("GET", "/broken", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (500, b"sorry".as_slice()));
-    assert_eq!(asked() - before, 3, "a safe request is tried again");
+    assert_eq!(count_requests() - before, 3, "a safe request is sent again");
     let mut client = served.connect();
-    assert_eq!(ask(&mut client, &plain("POST", "/quotes/1", "Idempotency-Key: k\r\n")).status(), 200);
-    let answer = ask(&mut client, &plain("POST", "/quotes/1", ""));
+    assert_eq!(
+        ask(&mut client, &format_request("POST", "/quotes/1", "Idempotency-Key: k\r\n")).status(),
+        200
+    );
+    let answer = ask(&mut client, &format_request("POST", "/quotes/1", ""));
     assert_eq!(answer.status(), 400, "{}", String::from_utf8_lossy(&answer.body));
     let mut client = served.connect();
-    client.get_mut().write_all(plain("HEAD", "/head", "").as_bytes()).unwrap();
+    client.get_mut().write_all(format_request("HEAD", "/head", "").as_bytes()).unwrap();
     let head = read_head(&mut client).unwrap();
     assert_eq!((head.status(), head.header("content-length")), (200, Some("1234")));
-    assert_eq!(ask(&mut client, &plain("GET", "/x", "")).body, b"hello");
+    assert_eq!(ask(&mut client, &format_request("GET", "/x", "")).body, b"hello");
     served.stop();
 }
 
 #[test]
-fn what_cannot_be_used_is_told_at_the_start_with_its_place_and_status_2() {
+fn invalid_input_ends_the_start_with_its_place_and_status_2() {
     let folder = folder("bad");
     let run = |args: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_dewpier")).args(args).output().unwrap();
@@ -119,7 +122,7 @@
     let (csv, toml) = (folder.join("n.csv"), folder.join("d.toml"));
     let (csv_name, toml_name) = (csv.to_str().unwrap(), toml.to_str().unwrap());
     std::fs::write(&toml, "listen = \"127.0.0.1:0\"\n[inventory]\nfile = \"n.csv\"\n").unwrap();
-    for (text, told) in [
+    for (text, message) in [
         (
             "id,address\na,10.0.0.1\n",
             "2:3: port: expected a port from 1 to 65535, found none in '10.0.0.1'\n",
@@ -130,7 +133,7 @@
         ),
     ] {
         std::fs::write(&csv, text).unwrap();
-        let expected = (Some(2), String::new(), format!("{csv_name}:{told}"));
+        let expected = (Some(2), String::new(), format!("{csv_name}:{message}"));
         assert_eq!(run(&["inventory", "check", csv_name]), expected);
         assert_eq!(run(&["check", "--config", toml_name]), expected);
         assert_eq!(run(&["serve", "--config", toml_name]), expected);
@@ -141,39 +144,39 @@
                 {\"id\":\"b\",\"address\":\"[::1]:2\",\"zone\":\"z\",\"cell\":0,\"weight\":1.0,\"state\":\"serving\"}]}\n";
     assert_eq!(run(&["inventory", "check", csv_name, "--json"]), (Some(0), json.to_string(), String::new()));
     assert_eq!(run(&["check", "--config", toml_name]).0, Some(0));
-    let (code, _, told) = run(&["inventory", "check", csv_name, "--format", "list"]);
-    assert!(code == Some(2) && told.starts_with(&format!("{csv_name}:")), "{told}");
-    let (code, _, told) = run(&["inventory", "check", "/no/such/file"]);
-    assert!(code == Some(2) && told.starts_with("/no/such/file: cannot read it: "), "{told}");
+    let (code, _, message) = run(&["inventory", "check", csv_name, "--format", "list"]);
+    assert!(code == Some(2) && message.starts_with(&format!("{csv_name}:")), "{message}");
+    let (code, _, message) = run(&["inventory", "check", "/no/such/file"]);
+    assert!(code == Some(2) && message.starts_with("/no/such/file: cannot read it: "), "{message}");
     std::fs::write(&toml, "listen = 1\n[inventory]\nfile = \"n.csv\"\n").unwrap();
-    let (code, _, told) = run(&["serve", "--config", toml_name]);
-    assert!(code == Some(2) && told.starts_with(&format!("{toml_name}:1:10: ")), "{told}");
+    let (code, _, message) = run(&["serve", "--config", toml_name]);
+    assert!(code == Some(2) && message.starts_with(&format!("{toml_name}:1:10: ")), "{message}");
     std::fs::write(&csv, "id,address\na,pricing-1.example.org:80\n").unwrap();
     std::fs::write(&toml, "listen = \"127.0.0.1:0\"\n[inventory]\nfile = \"n.csv\"\n").unwrap();
-    let (code, _, told) = run(&["serve", "--config", toml_name]);
+    let (code, _, message) = run(&["serve", "--config", toml_name]);
     assert!(
-        code == Some(2) && told.contains("2:1: expected an IP address") && told.contains("look-up"),
-        "{told}"
+        code == Some(2) && message.contains("2:1: expected an IP address") && message.contains("look-up"),
+        "{message}"
     );
 }
 
 #[test]
-fn names_are_looked_up_where_that_is_asked_for() {
+fn host_names_are_resolved_with_the_setting_look_up() {
     let backend = Backend::start("b", Duration::ZERO);
     let table = format!("id,address\na,localhost:{}\n", backend.address.port());
     let served = Served::start("n.csv", table.as_bytes(), "names = \"look-up\"");
-    assert_eq!(ask(&mut served.connect(), &plain("GET", "/", "")).status(), 200);
-    // Two names of one address are one node under two ids.
+    assert_eq!(ask(&mut served.connect(), &format_request("GET", "/", "")).status(), 200);
+    // Two ids with the same address are rejected.
     let lines = served.lines();
-    let both = format!("{table}b,127.0.0.1:{}\n", backend.address.port());
-    replace(&served.file, both.as_bytes());
-    let (_, told) = served.logged(lines, "the last good list serves on");
-    assert!(told.contains("expected one node an address"), "{told}");
-    assert_eq!(ask(&mut served.connect(), &plain("GET", "/", "")).status(), 200);
+    let duplicate_address = format!("{table}b,127.0.0.1:{}\n", backend.address.port());
+    replace(&served.file, duplicate_address.as_bytes());
+    let (_, line) = served.logged(lines, "the last good list serves on");
+    assert!(line.contains("expected one node an address"), "{line}");
+    assert_eq!(ask(&mut served.connect(), &format_request("GET", "/", "")).status(), 200);
 }
 
-/// Ways to break any text.
-fn damaged(rng: &mut Rng, good: &str, n: usize) -> (&'static str, Vec<u8>) {
+/// Damages any text in the `n`-th way; returns the name of the damage and the new bytes.
+fn damage_text(rng: &mut Rng, good: &str, n: usize) -> (&'static str, Vec<u8>) {
     let bytes = good.as_bytes();
     match n % 6 {
         0 => ("cut", bytes[..rng.below(bytes.len())].to_vec()),
@@ -208,8 +211,8 @@
     }
 }
 
-/// Ways to break a table.
-fn broken_table(rng: &mut Rng, good: &str, n: usize) -> (&'static str, Vec<u8>) {
+/// Damages a table in the `n`-th way; returns the name of the damage and the new bytes.
+fn damage_table(rng: &mut Rng, good: &str, n: usize) -> (&'static str, Vec<u8>) {
     let rows: Vec<&str> = good.lines().collect();
     let row = 1 + rng.below(rows.len() - 1);
     let join = |rows: Vec<String>| (rows.join("\n") + "\n").into_bytes();
@@ -237,12 +240,12 @@
         4 => ("quote", edit(&|r: &str| r.replacen(',', ",\"", 1 + row % 5))),
         5 if row.is_multiple_of(2) => ("ragged", edit(&|r: &str| format!("{r},more"))),
         5 => ("ragged", edit(&|r: &str| r.rsplit_once(',').unwrap().0.into())),
-        _ => damaged(rng, good, n),
+        _ => damage_text(rng, good, n),
     }
 }
 
-/// An Ansible inventory of these backends.
-fn groups(backends: &[Backend]) -> String {
+/// Writes an Ansible inventory of these backends.
+fn ansible_inventory(backends: &[Backend]) -> String {
     let host = |(i, b): (usize, &Backend)| {
         format!(
             "        pricing-{i:02}: # түйін\n          ansible_host: 127.0.0.1\n          ansible_port: {}\n",
@@ -253,49 +256,49 @@
         + &backends.iter().enumerate().map(host).collect::<String>()
 }
 
-/// Ways to break one.
-fn broken_groups(rng: &mut Rng, good: &str, n: usize) -> (&'static str, Vec<u8>) {
+/// Damages an Ansible inventory in the `n`-th way; returns the name of the damage and the new bytes.
+fn damage_yaml(rng: &mut Rng, good: &str, n: usize) -> (&'static str, Vec<u8>) {
     let lines: Vec<&str> = good.lines().collect();
-    // The lines of a host are three, behind five of the head.
+    // A host takes three lines, after five lines of the head.
     let host = 5 + 3 * rng.below((lines.len() - 5) / 3);
-    let with = |i: usize, new: String| {
+    let replace_line = |i: usize, new: String| {
         let all = lines.iter().enumerate().map(|(k, l)| if k == i { new.clone() } else { l.to_string() });
         (all.collect::<Vec<_>>().join("\n") + "\n").into_bytes()
     };
     let ports = &["012", "22:22", "0x50", "80.5", "no", "[80]", "{}", "&a *a", "*b"];
     let port = |word: &&str| format!("          ansible_port: {word}");
     match n % 14 {
-        0 => ("key doubled", with(host + 2, format!("{}\n{}", lines[host + 2], lines[host + 2]))),
-        1 => ("host doubled", with(host + 2, format!("{}\n{}", lines[host + 2], lines[host]))),
-        2 => ("port", with(host + 2, port(rng.pick(ports)))),
-        3 => ("quote", with(1, lines[1].replacen('"', "", 1))),
-        4 => ("second document", with(host, format!("---\n{}", lines[host]))),
-        5 => ("tab", with(host + 1, lines[host + 1].replacen("          ", "\t", 1))),
-        6 => ("misspelt", with(4, "      host:".into())),
-        7 => ("bomb", with(1, "  vars: {a: &a [x,x,x,x,x,x,x,x,x], b: &b [*a,*a,*a,*a,*a,*a,*a,*a,*a], c: &c [*b,*b,*b,*b,*b,*b,*b,*b,*b], d: &d [*c,*c,*c,*c,*c,*c,*c,*c,*c], e: &e [*d,*d,*d,*d,*d,*d,*d,*d,*d], f: &f [*e,*e,*e,*e,*e,*e,*e,*e,*e], g: &g [*f,*f,*f,*f,*f,*f,*f,*f,*f], h: [*g,*g,*g,*g,*g,*g,*g,*g,*g]}".into())),
-        _ => damaged(rng, good, n),
+        0 => ("key doubled", replace_line(host + 2, format!("{}\n{}", lines[host + 2], lines[host + 2]))),
+        1 => ("host doubled", replace_line(host + 2, format!("{}\n{}", lines[host + 2], lines[host]))),
+        2 => ("port", replace_line(host + 2, port(rng.pick(ports)))),
+        3 => ("quote", replace_line(1, lines[1].replacen('"', "", 1))),
+        4 => ("second document", replace_line(host, format!("---\n{}", lines[host]))),
+        5 => ("tab", replace_line(host + 1, lines[host + 1].replacen("          ", "\t", 1))),
+        6 => ("misspelt", replace_line(4, "      host:".into())),
+        7 => ("bomb", replace_line(1, "  vars: {a: &a [x,x,x,x,x,x,x,x,x], b: &b [*a,*a,*a,*a,*a,*a,*a,*a,*a], c: &c [*b,*b,*b,*b,*b,*b,*b,*b,*b], d: &d [*c,*c,*c,*c,*c,*c,*c,*c,*c], e: &e [*d,*d,*d,*d,*d,*d,*d,*d,*d], f: &f [*e,*e,*e,*e,*e,*e,*e,*e,*e], g: &g [*f,*f,*f,*f,*f,*f,*f,*f,*f], h: [*g,*g,*g,*g,*g,*g,*g,*g,*g]}".into())),
+        _ => damage_text(rng, good, n),
     }
 }
 
-type Breaks = fn(&mut Rng, &str, usize) -> (&'static str, Vec<u8>);
+type Damage = fn(&mut Rng, &str, usize) -> (&'static str, Vec<u8>);
 
-/// Breaks an inventory in so many ways under steady load: each is refused, or read as what it is.
+/// Damages an inventory under steady load: each damaged file is rejected, or read exactly as it is on disk.
 #[track_caller]
-fn break_under_load(name: &str, backends: &[Backend], good: &str, ways: usize, breaks: Breaks) {
-    // Only SIGHUP reads here: what each does is then known. One node may go, as a cut at the end of
-    // the last row but one looks like that.
+fn damage_under_load(name: &str, backends: &[Backend], good: &str, cases: usize, damage: Damage) {
+    // The file is read on SIGHUP only, so that the result of each damage is known. One node may be missing, as a file
+    // cut after its last but one row is valid.
     let settings = "settle_ms = 60000\npoll_ms = 3600000\nmax_vanish = 0.0";
     let served = Served::start(name, good.as_bytes(), settings);
-    let load = mixed(served.address, 4);
+    let load = start_load(served.address, 4);
     let mut rng = Rng::from_env("INVENTORY_SEED", 20_261);
-    let ways = std::env::var("INVENTORY_WAYS").ok().and_then(|n| n.parse().ok()).unwrap_or(ways);
-    let (mut refused, mut read) = (0, 0);
-    for n in 0..ways {
-        let (how, text) = breaks(&mut rng, good, n);
+    let cases = std::env::var("INVENTORY_WAYS").ok().and_then(|n| n.parse().ok()).unwrap_or(cases);
+    let (mut rejected, mut read) = (0, 0);
+    for n in 0..cases {
+        let (kind, text) = damage(&mut rng, good, n);
         if text == good.as_bytes() {
             continue;
         }
-        // In place, by rename, and by a link that is pointed elsewhere.
+        // In place, by rename, and by a changed symbolic link.
         match n / 14 % 3 {
             0 => std::fs::write(&served.file, &text).unwrap(),
             1 => replace(&served.file, &text),
@@ -309,65 +312,64 @@
         }
         let lines = served.lines();
         served.signal("-HUP");
-        let (_, told) = served.logged(lines, "");
-        let shown = served.file.display().to_string();
-        let whole = dewpier_inventory::read(&text, &shown, &Default::default());
-        if told.contains("the last good list serves on") {
-            refused += 1;
-            let reason = told.split(&shown).nth(1).unwrap_or_default();
-            assert!(reason.contains("expected"), "{how}: {told}");
+        let (_, line) = served.logged(lines, "");
+        let file_name = served.file.display().to_string();
+        let inventory = dewpier_inventory::read(&text, &file_name, &Default::default());
+        if line.contains("the last good list serves on") {
+            rejected += 1;
+            let reason = line.split(&file_name).nth(1).unwrap_or_default();
+            assert!(reason.contains("expected"), "{kind}: {line}");
             assert!(
                 reason.contains("found") || reason.contains("twice") || reason.contains("that of"),
-                "{how}: {told}"
+                "{kind}: {line}"
             );
             continue;
         }
-        // Read right: the very text on disk, whole, and at most one node gone.
+        // The file was read: all its nodes are listed, and at most one node is missing.
         read += 1;
-        let count: usize = told.trim_start_matches("dewpier: ").split(' ').next().unwrap().parse().unwrap();
-        assert_eq!(whole.unwrap().backends.len(), count, "{how}");
-        assert!(told.contains("backends from") && count + 1 >= backends.len(), "{how}: {told}");
+        let count: usize = line.trim_start_matches("dewpier: ").split(' ').next().unwrap().parse().unwrap();
+        assert_eq!(inventory.unwrap().backends.len(), count, "{kind}");
+        assert!(line.contains("backends from") && count + 1 >= backends.len(), "{kind}: {line}");
         replace(&served.file, good.as_bytes());
         let lines = served.lines();
         served.signal("-HUP");
         served.logged(lines, &format!("{} backends from", backends.len()));
     }
-    println!("{refused} refused, {read} read");
-    assert!(refused > ways / 2 && refused + read > ways * 9 / 10, "{refused} refused, {read} read");
+    println!("{rejected} rejected, {read} read");
+    assert!(rejected > cases / 2 && rejected + read > cases * 9 / 10, "{rejected} rejected, {read} read");
     let tally = load.stop();
-    // What a flipped bit left readable may have named an address where nothing listens: then another
-    // node answers.
+    // A flipped bit may yield a valid address without a listener: then another node answers.
     assert_eq!((tally.failed, tally.lost, tally.refused), (0, 0, 0), "of {}", tally.all());
     assert!(tally.served > 100, "{}", tally.served);
-    no_order_twice(backends);
+    assert_orders_ran_once(backends);
     served.stop();
 }
 
 #[test]
-fn a_broken_table_is_refused_or_read_right_and_the_last_good_list_serves_on() {
+fn damaged_table_is_rejected_or_read_exactly_while_the_last_good_list_serves() {
     let backends = backends(12);
-    break_under_load("nodes.csv", &backends, &table(&backends), 330, broken_table);
+    damage_under_load("nodes.csv", &backends, &table(&backends), 330, damage_table);
 }
 
 #[test]
-fn a_broken_yaml_inventory_is_refused_or_read_right_and_the_last_good_list_serves_on() {
+fn damaged_yaml_inventory_is_rejected_or_read_exactly_while_the_last_good_list_serves() {
     let backends = backends(12);
-    break_under_load("hosts.yaml", &backends, &groups(&backends), 210, broken_groups);
+    damage_under_load("hosts.yaml", &backends, &ansible_inventory(&backends), 210, damage_yaml);
 }
 
 #[test]
-fn a_file_caught_halfway_through_a_write_in_place_is_not_taken() {
+fn partially_written_file_is_not_applied() {
     let backends = backends(8);
     let good = table(&backends);
     let served = Served::start("nodes.csv", good.as_bytes(), "settle_ms = 400\npoll_ms = 100");
-    let load = mixed(served.address, 2);
-    // Row by row, each within the settle time, a dozen times: no part of it may be seen.
+    let load = start_load(served.address, 2);
+    // Writes row by row with pauses below the settling time: no partial file may be applied.
     let mut file = std::fs::File::create(&served.file).unwrap();
-    let turned: Vec<&str> = good.lines().collect();
+    let rows: Vec<&str> = good.lines().collect();
     for _ in 0..2 {
         file.set_len(0).unwrap();
         std::io::Seek::rewind(&mut file).unwrap();
-        for line in &turned {
+        for line in &rows {
             file.write_all(line.as_bytes()).unwrap();
             std::thread::sleep(Duration::from_millis(20));
             file.write_all(b"\n").unwrap();
@@ -377,26 +379,26 @@
         .unwrap();
     drop(file);
     served.logged(0, "9 backends from");
-    let seen: Vec<String> = served.log().into_iter().filter(|l| l.contains("backends from")).collect();
-    assert_eq!(seen.len(), 2, "nothing in between: {seen:?}");
+    let lists: Vec<String> = served.log().into_iter().filter(|l| l.contains("backends from")).collect();
+    assert_eq!(lists.len(), 2, "a partial file was applied: {lists:?}");
     assert!(!served.log().iter().any(|l| l.contains("serves on")), "{:?}", served.log());
-    // A writer that stops in the middle of a line is seen by that, whatever the rest looks like:
-    // 127.0.0.1:80 is a port as good as 127.0.0.1:8080.
+    // A file without a complete last line is rejected, even if the partial line is valid: 127.0.0.1:80 may be a part of
+    // 127.0.0.1:8080.
     let lines = served.lines();
     let cut = good.trim_end().rfind(',').unwrap();
     std::fs::write(&served.file, &good[..cut]).unwrap();
-    let (_, told) = served.logged(lines, "serves on");
-    assert!(told.contains("values, as the header has") || told.contains("complete last line"), "{told}");
+    let (_, line) = served.logged(lines, "serves on");
+    assert!(line.contains("values, as the header has") || line.contains("complete last line"), "{line}");
     let lines = served.lines();
     std::fs::write(&served.file, good.trim_end()).unwrap();
-    let (_, told) = served.logged(lines, "serves on");
-    assert!(told.contains(":9:") && told.contains("complete last line"), "{told}");
-    // One that stops between lines, by how much is gone; and that can be confirmed.
+    let (_, line) = served.logged(lines, "serves on");
+    assert!(line.contains(":9:") && line.contains("complete last line"), "{line}");
+    // A file cut between lines is rejected for the number of missing nodes, which the operator can confirm.
     let lines = served.lines();
     let half: String = good.lines().take(4).map(|l| format!("{l}\n")).collect();
     std::fs::write(&served.file, &half).unwrap();
-    let (_, told) = served.logged(lines, "serves on");
-    assert!(told.contains("found 6 missing") && told.contains("confirm"), "{told}");
+    let (_, line) = served.logged(lines, "serves on");
+    assert!(line.contains("found 6 missing") && line.contains("confirm"), "{line}");
     let lines = served.lines();
     let confirm = |file: &std::path::Path| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dewpier"));
@@ -404,29 +406,29 @@
     };
     confirm(&served.file);
     served.logged(lines, "3 backends from");
-    // It confirmed that text and no other.
+    // The confirmation covers only that text.
     let lines = served.lines();
     std::fs::write(&served.file, good.lines().take(2).map(|l| format!("{l}\n")).collect::<String>()).unwrap();
     served.logged(lines, "found 2 missing");
-    // A file that is gone changes nothing.
+    // A deleted file changes nothing.
     let lines = served.lines();
     std::fs::remove_file(&served.file).unwrap();
     served.logged(lines, "cannot read it");
     let tally = load.stop();
     assert_eq!((tally.refused, tally.failed, tally.lost), (0, 0, 0), "of {}", tally.all());
-    no_order_twice(&backends);
+    assert_orders_ran_once(&backends);
     served.stop();
 }
 
 #[test]
-fn a_node_that_the_file_drains_or_drops_gets_nothing_new_after_the_grace() {
+fn drained_or_removed_node_gets_no_request_after_the_grace_period() {
     let backends = backends(6);
     let good = table(&backends);
     let served = Served::start("nodes.csv", good.as_bytes(), "settle_ms = 20\nmax_vanish = 0.9");
-    let load = mixed(served.address, 8);
-    let spread = |from: usize| backends[from..].iter().all(|b| b.count() > 20);
-    wait_for("load on all", || spread(0));
-    // One drains and one is dropped, at once; then the others carry on.
+    let load = start_load(served.address, 8);
+    let has_load = |from: usize| backends[from..].iter().all(|b| b.count() > 20);
+    wait_for("load on all", || has_load(0));
+    // One node drains and one is removed; the others go on serving.
     let text: String = good
         .lines()
         .filter(|l| !l.starts_with("pricing-01"))
@@ -437,27 +439,29 @@
     let (accepted, _) = served.logged(lines, "5 backends from");
     std::thread::sleep(Duration::from_millis(1500));
     let grace = Duration::from_millis(500);
-    for drained in &backends[..2] {
-        let late = drained.arrivals().iter().filter(|a| a.at > accepted + grace).count();
+    for node in &backends[..2] {
+        let late = node.arrivals().iter().filter(|a| a.at > accepted + grace).count();
         assert_eq!(late, 0);
     }
-    let since: Vec<usize> = backends[2..].iter().map(|b| b.count()).collect();
-    wait_for("load on the rest", || backends[2..].iter().zip(&since).all(|(b, s)| b.count() > s + 20));
-    // They come back, and are used again.
+    let counts: Vec<usize> = backends[2..].iter().map(|b| b.count()).collect();
+    wait_for("load on the rest", || {
+        backends[2..].iter().zip(&counts).all(|(b, count)| b.count() > count + 20)
+    });
+    // Both nodes return and are used again.
     let before = [backends[0].count(), backends[1].count()];
     replace(&served.file, good.as_bytes());
-    let start = Instant::now();
+    let returned_at = Instant::now();
     wait_for("return", || backends.iter().zip(before).take(2).all(|(b, n)| b.count() > n));
-    println!("both are back after {:?}", start.elapsed());
-    whole(&load.stop(), &backends);
+    println!("both nodes are used again after {:?}", returned_at.elapsed());
+    assert_all_served(&load.stop(), &backends);
     served.stop();
 }
 
 #[test]
-fn a_backend_that_dies_costs_no_order_a_second_run() {
+fn backend_crash_does_not_run_an_order_again() {
     let backends = backends(4);
     let served = Served::start("nodes.csv", table(&backends).as_bytes(), "");
-    let load = mixed(served.address, 8);
+    let load = start_load(served.address, 8);
     wait_for("load on all", || backends.iter().all(|b| b.count() > 20));
     for backend in &backends[..2] {
         backend.kill();
@@ -466,7 +470,7 @@
     }
     std::thread::sleep(Duration::from_millis(200));
     let tally = load.stop();
-    assert_eq!(tally.lost, 0, "each has one answer, {} of them a failure", tally.failed);
-    no_order_twice(&backends);
+    assert_eq!(tally.lost, 0, "every request must have an answer; {} failed", tally.failed);
+    assert_orders_ran_once(&backends);
     served.stop();
 }
--- a/crates/dewpier/tests/stopping.rs
+++ b/crates/dewpier/tests/stopping.rs
@@ -1,5 +1,5 @@
-//! A rolling restart where two proxies are all there is: one stops while the other has just begun, and the front
-//! does not deal to that one yet. No request is without an answer, and no order runs twice.
+//! A rolling restart of two proxies behind a load balancer that notices stops and starts late: every request is
+//! answered, and no order runs more than once.
 
 use dewpier_standins::faulty::Faulty;
 use dewpier_standins::relay::Relay;
@@ -9,46 +9,52 @@
 
 const CLIENTS: usize = 8;
 
-/// After SIGTERM to the first proxy: when the second one gets it, when the first one is started again, and how
-/// long the front takes to notice that one proxy stops and that another is there.
-const SECOND: Duration = Duration::from_millis(3000);
-const STARTED: Duration = Duration::from_millis(4400);
-const NOTICES_STOP: Duration = Duration::from_millis(300);
-const NOTICES_START: Duration = Duration::from_millis(800);
+/// The time from SIGTERM of the first proxy to SIGTERM of the second one.
+const SECOND_STOP_AFTER: Duration = Duration::from_millis(3000);
+/// The time from SIGTERM of the first proxy to its restart.
+const RESTART_AFTER: Duration = Duration::from_millis(4400);
+/// How long the load balancer takes to notice a stopping proxy.
+const STOP_NOTICE_DELAY: Duration = Duration::from_millis(300);
+/// How long the load balancer takes to notice a new proxy.
+const START_NOTICE_DELAY: Duration = Duration::from_millis(800);
 
 #[test]
-fn two_proxies_that_restart_one_after_the_other_answer_everything() {
+fn rolling_restart_of_two_proxies_answers_every_request() {
     let nodes = [1, 2, 3].map(|seed| Faulty::start(seed, 0.0, &[]));
     let rows: String = nodes.iter().enumerate().map(|(i, n)| format!("node-{i},{}\n", n.address)).collect();
     let start = || Served::start("nodes.csv", format!("id,address\n{rows}").as_bytes(), "");
     let (first, second) = (start(), start());
-    let front = Relay::dealing(vec![first.address, second.address]);
+    let balancer = Relay::dealing(vec![first.address, second.address]);
     let accounts = std::thread::scope(|scope| {
-        let shop = scope.spawn(|| play(front.address, CLIENTS, 6000, Duration::from_millis(10)));
-        std::thread::sleep(Duration::from_millis(500)); // answers tell how long answers take
-        let began = Instant::now();
-        let at = |when: Duration| std::thread::sleep(when.saturating_sub(began.elapsed()));
+        let clients = scope.spawn(|| play(balancer.address, CLIENTS, 6000, Duration::from_millis(10)));
+        std::thread::sleep(Duration::from_millis(500)); // the proxies learn the response times
+        let signalled_at = Instant::now();
+        let wait_until = |when: Duration| std::thread::sleep(when.saturating_sub(signalled_at.elapsed()));
         let to_second = vec![second.address];
         first.signal("-TERM");
-        at(NOTICES_STOP);
-        front.deal(to_second);
-        at(SECOND);
+        wait_until(STOP_NOTICE_DELAY);
+        balancer.deal(to_second);
+        wait_until(SECOND_STOP_AFTER);
         second.signal("-TERM");
-        at(SECOND + NOTICES_STOP);
-        front.deal(Vec::new());
-        at(STARTED);
-        let again = start();
-        at(STARTED + NOTICES_START);
-        front.deal(vec![again.address]);
-        let accounts = shop.join().expect("the shop closes");
-        again.stop();
+        wait_until(SECOND_STOP_AFTER + STOP_NOTICE_DELAY);
+        balancer.deal(Vec::new());
+        wait_until(RESTART_AFTER);
+        let restarted = start();
+        wait_until(RESTART_AFTER + START_NOTICE_DELAY);
+        balancer.deal(vec![restarted.address]);
+        let accounts = clients.join().expect("the clients end");
+        restarted.stop();
         accounts
     });
     assert_eq!(twice(&nodes), Vec::<String>::new());
     for account in [&accounts.safe, &accounts.orders] {
         assert_eq!((account.served, account.all()), (3000, 3000), "{account:?}");
-        // Each client loses its connection to each of the two once, and may be asking just then.
+        // Each client may lose one request with its connection to each of the two proxies.
         assert!(account.crossed <= 2 * CLIENTS as u64, "{}", account.crossed);
     }
-    assert!(accounts.span > STARTED + NOTICES_START, "it was over before the restarts: {:?}", accounts.span);
+    assert!(
+        accounts.span > RESTART_AFTER + START_NOTICE_DELAY,
+        "the load ended before the restarts: {:?}",
+        accounts.span
+    );
 }
