--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Twelve processes of the program before eight nodes, with little traffic each, that tell each other what they
-//! see; nodes turn bad, and links between the processes fail.
+//! Twelve processes of the program with eight nodes and little traffic share evidence; nodes turn bad, and links between
+//! the processes fail.
 
 use dewpier_peers::{Key, Peers, Process, ProxyId, Topic, TopicHandler};
 use dewpier_standins::backend::Backend;
@@ -17,148 +17,158 @@
 
 const PROXIES: usize = 12;
 const NODES: usize = 8;
-/// Settings of all, in milliseconds.
-const EVERY: u64 = 100;
-const STALE: u64 = 16_000;
-const SILENT: u64 = 500;
-/// As long as less than one attempt in twenty goes wrong at other nodes, whatever the machine does, so many proxies are
-/// enough: each adds at least ln(0.5 / 0.05) to the 9.2 that one false verdict in 10,000 asks for. A node is in the
-/// subsets of four or five of the proxies, three nodes in each.
-const ENOUGH: usize = 4;
-/// For timers and machines that are late.
+/// The interval between datagrams, in milliseconds.
+const SEND_INTERVAL_MS: u64 = 100;
+/// The age at which evidence expires, in milliseconds.
+const STALE_MS: u64 = 16_000;
+/// The time after which an unanswered attempt counts as silent, in milliseconds.
+const SILENT_MS: u64 = 500;
+/// The number of proxies whose evidence suffices for a verdict while less than one attempt in twenty fails at other nodes:
+/// each adds at least ln(0.5 / 0.05) to the required 9.2. A node is in the subsets of four or five proxies.
+const SUFFICIENT_PROXIES: usize = 4;
+/// Extra time for late timers and a busy host.
 const SLACK: Duration = Duration::from_secs(3);
 
-struct World(Stage);
+/// A running fleet.
+struct Fleet(Stage);
 
-impl World {
+impl Fleet {
     fn start(seed: u64, empty: usize) -> Self {
         let ms = Duration::from_millis;
         let size = Size { proxies: PROXIES, nodes: NODES, length_ms: 0, apart_ms: 0 };
-        let settings =
-            Settings { every: ms(EVERY), stale: ms(STALE), silent: ms(SILENT), empty, ..Settings::default() };
+        let settings = Settings {
+            every: ms(SEND_INTERVAL_MS),
+            stale: ms(STALE_MS),
+            silent: ms(SILENT_MS),
+            empty,
+            ..Settings::default()
+        };
         Self(Stage::start(seed, size, settings))
     }
 
-    /// What a proxy holds. The bound on staleness is checked with it.
+    /// Returns the verdicts of a proxy and checks the age of their evidence.
     fn held(&self, proxy: usize) -> Vec<Held> {
         let held = self.0.held(proxy).expect("an answer in time");
-        let most = Duration::from_millis(STALE / 2 + EVERY + 1000);
-        let old = held.iter().find(|h| h.oldest > most);
-        assert!(old.is_none(), "proxy {proxy}: rests on an old word: {old:?}");
+        let max_age = Duration::from_millis(STALE_MS / 2 + SEND_INTERVAL_MS + 1000);
+        let old = held.iter().find(|h| h.oldest > max_age);
+        assert!(old.is_none(), "proxy {proxy}: verdict with expired evidence: {old:?}");
         held
     }
 
-    fn keeps(&self, proxy: usize, node: usize) -> bool {
+    fn ejects(&self, proxy: usize, node: usize) -> bool {
         self.held(proxy).iter().any(|h| h.node == node && h.out)
     }
 
-    fn keep_out(&self, node: usize) -> usize {
-        (0..PROXIES).filter(|p| self.keeps(*p, node)).count()
+    fn count_ejecting(&self, node: usize) -> usize {
+        (0..PROXIES).filter(|p| self.ejects(*p, node)).count()
     }
 
-    /// When so many different proxies had sent to a node since then within the time in which attempts count, at the
-    /// stand-in.
-    fn seen_by(&self, node: usize, since: Instant, count: usize) -> Option<Instant> {
-        let window = Duration::from_millis(STALE / 2);
+    /// Returns when the mock node had received requests of `count` proxies after `since` within the evidence window.
+    fn reached_by(&self, node: usize, since: Instant, count: usize) -> Option<Instant> {
+        let window = Duration::from_millis(STALE_MS / 2);
         let mut arrivals = self.0.nodes[node].arrivals();
         arrivals.retain(|a| a.at > since);
-        let met = |until: Instant| {
+        let count_senders = |until: Instant| {
             let within = arrivals.iter().filter(|a| a.at <= until && a.at + window > until);
             within.map(|a| &a.order).collect::<HashSet<_>>().len()
         };
-        arrivals.iter().map(|a| a.at).find(|at| met(*at) >= count)
+        arrivals.iter().map(|a| a.at).find(|at| count_senders(*at) >= count)
     }
 }
 
-/// Plays a node that turns bad; true where the bound was kept.
-fn turns_bad(world: &World, node: usize, lost: f64, bad: impl Fn(&Backend)) -> bool {
+/// Makes a node bad; returns whether it was avoided within the bound.
+fn is_avoided_in_time(fleet: &Fleet, node: usize, lost: f64, make_bad: impl Fn(&Backend)) -> bool {
     let since = Instant::now();
-    bad(&world.0.nodes[node]);
+    make_bad(&fleet.0.nodes[node]);
     loop {
-        if world.keep_out(node) * 20 >= PROXIES * 19 {
+        if fleet.count_ejecting(node) * 20 >= PROXIES * 19 {
             return true;
         }
-        let met = world.seen_by(node, since, ENOUGH);
-        if met.is_some_and(|met| met.elapsed() > world.0.bounds().avoided(lost) + SLACK) {
+        let reached_at = fleet.reached_by(node, since, SUFFICIENT_PROXIES);
+        if reached_at.is_some_and(|at| at.elapsed() > fleet.0.bounds().avoided(lost) + SLACK) {
             break;
         }
-        assert!(met.is_some() || since.elapsed() < 2 * LONG, "too few proxies send there to try anything");
+        assert!(reached_at.is_some() || since.elapsed() < 2 * LONG, "too few proxies send to the node");
         std::thread::sleep(Duration::from_millis(20));
     }
     for proxy in 0..PROXIES {
-        println!("{proxy}: {}", world.0.call(proxy, "verdicts").unwrap_or_default());
+        println!("{proxy}: {}", fleet.0.call(proxy, "verdicts").unwrap_or_default());
     }
-    println!("{}", world.0.call(0, "vars").unwrap_or_default());
+    println!("{}", fleet.0.call(0, "vars").unwrap_or_default());
     false
 }
 
 #[test]
-fn a_node_that_turns_bad_is_avoided_within_the_bound_and_not_where_nothing_is_heard() {
-    let world = World::start(1, 0);
-    assert!(turns_bad(&world, 2, 0.0, |b| b.slow(Duration::from_secs(60))), "it hangs");
-    assert!(world.held(0).iter().any(|h| h.node == 2 && h.kind == "silent"));
-    // Half of all datagrams are lost, some come twice, and they overtake each other.
+fn bad_node_is_avoided_within_the_bound_unless_all_datagrams_are_lost() {
+    let fleet = Fleet::start(1, 0);
+    assert!(is_avoided_in_time(&fleet, 2, 0.0, |b| b.slow(Duration::from_secs(60))), "a hanging node");
+    assert!(fleet.held(0).iter().any(|h| h.node == 2 && h.kind == "silent"));
+    // Half of all datagrams are lost, some are duplicated, and some are reordered.
     let delay = Duration::from_millis(50);
-    world.0.mesh.set(Way { lost: 500, doubled: 200, delay, cut: false }, |_, _| true);
-    assert!(turns_bad(&world, 5, 0.5, |b| b.fail(true)), "it answers 500");
-    assert!(world.0.figure(3, "datagrams_refused.doubled") > Some(0));
-    // Where the proxies don't hear each other none condemns anything, as one alone is not believed.
-    world.0.mesh.set(Way { cut: true, ..Way::default() }, |_, _| true);
-    world.0.nodes[2].slow(Duration::from_millis(30));
-    world.0.nodes[5].fail(false);
-    wait_for("verdicts to lapse", || (0..PROXIES).all(|p| !world.keeps(p, 2) && !world.keeps(p, 5)));
-    assert!(!turns_bad(&world, 6, 0.0, |b| b.fail(true)), "the bound holds without what keeps it");
+    fleet.0.mesh.set(Way { lost: 500, doubled: 200, delay, cut: false }, |_, _| true);
+    assert!(is_avoided_in_time(&fleet, 5, 0.5, |b| b.fail(true)), "a node that answers 500");
+    assert!(fleet.0.figure(3, "datagrams_refused.doubled") > Some(0));
+    // Without datagrams no proxy ejects a node, as its own evidence does not suffice.
+    fleet.0.mesh.set(Way { cut: true, ..Way::default() }, |_, _| true);
+    fleet.0.nodes[2].slow(Duration::from_millis(30));
+    fleet.0.nodes[5].fail(false);
+    wait_for("verdicts to expire", || (0..PROXIES).all(|p| !fleet.ejects(p, 2) && !fleet.ejects(p, 5)));
+    assert!(
+        !is_avoided_in_time(&fleet, 6, 0.0, |b| b.fail(true)),
+        "the bound must not hold without datagrams"
+    );
 }
 
 #[test]
-fn cut_off_lied_to_and_standing_still_proxies_go_by_nothing_old_or_false() {
-    // One of the three that have to agree is a liar: all nodes fail, it says, and it holds a verdict on each. Its word
-    // brings none about, and one that stands is lifted by the trials of others.
-    let world = World::start(2, 1);
-    let liar = Liar::start(&world);
-    // One hears nobody, one is heard by nobody, so that nobody answers its questions.
-    world.0.mesh.set(Way { cut: true, ..Way::default() }, |from, to| to == 4 || from == 5);
-    world.0.nodes[2].fail(true);
-    wait_for("a verdict of all that hear", || {
-        (0..PROXIES).filter(|p| ![4, 5].contains(p)).all(|p| world.keeps(p, 2))
+fn partitioned_deceived_and_suspended_proxies_use_no_expired_or_false_evidence() {
+    // One proxy reports falsely that all nodes fail. Its reports alone cause no verdict, and trials of other proxies end an
+    // existing one.
+    let fleet = Fleet::start(2, 1);
+    let false_reporter = FalseReporter::start(&fleet);
+    // Proxy 4 receives nothing, and nothing of proxy 5 arrives.
+    fleet.0.mesh.set(Way { cut: true, ..Way::default() }, |from, to| to == 4 || from == 5);
+    fleet.0.nodes[2].fail(true);
+    wait_for("a verdict of all connected proxies", || {
+        (0..PROXIES).filter(|p| ![4, 5].contains(p)).all(|p| fleet.ejects(p, 2))
     });
-    assert!(!world.keeps(4, 2), "it hears nobody");
-    // One stands still while it holds the verdict; meanwhile the node recovers and everybody knows.
-    world.0.signal(7, "-STOP");
-    world.0.nodes[2].fail(false);
-    let stopped = Instant::now();
-    // A liar's word keeps it up until two trials go well within half of the bound. Who is drawn to try may not have
-    // the node in its subset, so that several turns, of a quarter of the bound each, can go by.
-    let lifted = || (0..PROXIES).filter(|p| *p != 7).all(|p| !world.keeps(p, 2));
-    while !lifted() {
-        assert!(stopped.elapsed() < 4 * LONG, "trials lift it");
+    assert!(!fleet.ejects(4, 2), "proxy 4 receives no evidence");
+    // Proxy 7 is suspended with the verdict; meanwhile the node recovers.
+    fleet.0.signal(7, "-STOP");
+    fleet.0.nodes[2].fail(false);
+    let suspended_at = Instant::now();
+    // False reports keep the verdict until two trials succeed within half of the bound. A proxy drawn for trials may not
+    // have the node in its subset, so that several turns of a quarter of the bound may pass.
+    let is_lifted = || (0..PROXIES).filter(|p| *p != 7).all(|p| !fleet.ejects(p, 2));
+    while !is_lifted() {
+        assert!(suspended_at.elapsed() < 4 * LONG, "trials must end the verdict");
         std::thread::sleep(Duration::from_millis(50));
     }
-    println!("trials lifted it after {:?}", stopped.elapsed());
-    std::thread::sleep(Duration::from_millis(STALE / 2 + 500).saturating_sub(stopped.elapsed()));
-    world.0.signal(7, "-CONT");
-    // Its socket is full of what was said then. Its first judgement is a round away.
-    std::thread::sleep(Duration::from_millis(5 * EVERY));
-    assert!(!world.keeps(7, 2), "after it stood still");
-    world.0.mesh.set(Way::default(), |_, _| true);
-    wait_for("talk of all with all", || {
-        (0..PROXIES).all(|p| world.0.figure(p, "partners_answering") == Some(PROXIES as u64))
+    println!("trials ended the verdict after {:?}", suspended_at.elapsed());
+    std::thread::sleep(Duration::from_millis(STALE_MS / 2 + 500).saturating_sub(suspended_at.elapsed()));
+    fleet.0.signal(7, "-CONT");
+    // The socket of the resumed proxy is full of old datagrams; its next verdicts follow within a round.
+    std::thread::sleep(Duration::from_millis(5 * SEND_INTERVAL_MS));
+    assert!(!fleet.ejects(7, 2), "the resumed proxy uses old evidence");
+    fleet.0.mesh.set(Way::default(), |_, _| true);
+    wait_for("datagrams between all proxies", || {
+        (0..PROXIES).all(|p| fleet.0.figure(p, "partners_answering") == Some(PROXIES as u64))
     });
-    // A busy machine may make three others complain of a node now and then, never for long.
-    wait_for("the liar alone to be disbelieved", || (0..NODES).all(|node| world.keep_out(node) == 0));
-    assert!(liar.heard() > 0, "it was listened to");
+    // A busy host may cause short verdicts.
+    wait_for("no verdict from the false reports", || (0..NODES).all(|node| fleet.count_ejecting(node) == 0));
+    assert!(false_reporter.accepted() > 0, "the false reports must arrive");
 }
 
-/// A process that has the key and says that all nodes fail.
-struct Liar {
-    over: Arc<AtomicBool>,
+/// A process with the key of the fleet that reports that all nodes fail.
+struct FalseReporter {
+    is_over: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<u64>>,
-    taken: Arc<std::sync::atomic::AtomicU64>,
+    accepted: Arc<std::sync::atomic::AtomicU64>,
 }
 
-struct Lies(Vec<NodeId>, u32);
+/// Writes false evidence on these nodes, with increasing version numbers.
+struct FalseEvidence(Vec<NodeId>, u32);
 
-impl TopicHandler for Lies {
+impl TopicHandler for FalseEvidence {
     fn topic(&self) -> Topic {
         dewpier_verdicts::EVIDENCE_TOPIC
     }
@@ -167,9 +177,9 @@
         let mut bytes = Vec::new();
         self.1 += 1;
         for node in &self.0 {
-            let tally = AttemptCounts { failed: 200, ..AttemptCounts::default() };
+            let counts = AttemptCounts { failed: 200, ..AttemptCounts::default() };
             let claim = Some((Claim { severe: true, kind: Kind::Gone }, 0));
-            EvidenceEntry { version: self.1, node: *node, counts: tally, claim, ..EvidenceEntry::default() }
+            EvidenceEntry { version: self.1, node: *node, counts, claim, ..EvidenceEntry::default() }
                 .write(&mut bytes);
         }
         bytes
@@ -180,62 +190,63 @@
     }
 }
 
-impl Liar {
-    fn start(world: &World) -> Self {
+impl FalseReporter {
+    fn start(fleet: &Fleet) -> Self {
         let name = |i: usize| ProxyId::from_name(&format!("proxy-{i}"));
-        let socket = UdpSocket::bind(world.0.mesh.listen[PROXIES]).unwrap();
+        let socket = UdpSocket::bind(fleet.0.mesh.listen[PROXIES]).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
-        let to: Vec<(ProxyId, SocketAddr)> =
-            (0..PROXIES).map(|i| (name(i), world.0.mesh.inlet(PROXIES, i))).collect();
+        let destinations: Vec<(ProxyId, SocketAddr)> =
+            (0..PROXIES).map(|i| (name(i), fleet.0.mesh.inlet(PROXIES, i))).collect();
         let id = |(i, b): (usize, &Backend)| NodeId::new(&format!("pricing-{i:02}"), &b.address.to_string());
-        let nodes: Vec<NodeId> = world.0.nodes.iter().enumerate().map(id).collect();
-        let over = Arc::new(AtomicBool::new(false));
-        let taken = Arc::new(std::sync::atomic::AtomicU64::new(0));
-        let (known, count) = (over.clone(), taken.clone());
+        let nodes: Vec<NodeId> = fleet.0.nodes.iter().enumerate().map(id).collect();
+        let is_over = Arc::new(AtomicBool::new(false));
+        let accepted = Arc::new(std::sync::atomic::AtomicU64::new(0));
+        let (is_stopped, count) = (is_over.clone(), accepted.clone());
         let thread = std::thread::spawn(move || {
             let start = Instant::now();
-            let (every, stale) = (Duration::from_millis(EVERY), Duration::from_secs(4));
-            let me = Process { proxy: name(PROXIES), incarnation: 1 };
+            let (send_interval, max_echo_age) =
+                (Duration::from_millis(SEND_INTERVAL_MS), Duration::from_secs(4));
+            let own_process = Process { proxy: name(PROXIES), incarnation: 1 };
             let key = Key::from_secret(SECRET);
-            let others = (0..PROXIES).map(name).collect();
+            let fleet = (0..PROXIES).map(name).collect();
             let settings = dewpier_peers::Settings {
-                own_process: me,
-                fleet: others,
-                send_interval: every,
-                max_echo_age: stale,
+                own_process,
+                fleet,
+                send_interval,
+                max_echo_age,
                 max_datagrams_per_second: 10_000,
                 key,
             };
-            let (mut peers, mut lies) = (Peers::new(settings, Duration::ZERO), Lies(nodes, 0));
+            let (mut peers, mut evidence) = (Peers::new(settings, Duration::ZERO), FalseEvidence(nodes, 0));
             let mut next = Duration::ZERO;
             let mut buffer = [0; 300];
-            while !known.load(Ordering::SeqCst) {
+            while !is_stopped.load(Ordering::SeqCst) {
                 if let Ok(length) = socket.recv(&mut buffer) {
-                    let _ = peers.receive(&buffer[..length], start.elapsed(), &mut [&mut lies]);
+                    let _ = peers.receive(&buffer[..length], start.elapsed(), &mut [&mut evidence]);
                     count.store(peers.counts.accepted, Ordering::SeqCst);
                 }
                 if start.elapsed() >= next {
-                    next = start.elapsed() + every;
-                    for out in peers.write_round(start.elapsed(), &mut [&mut lies]) {
-                        let at = to.iter().find(|(name, _)| *name == out.to).unwrap().1;
-                        let _ = socket.send_to(&out.bytes, at);
+                    next = start.elapsed() + send_interval;
+                    for datagram in peers.write_round(start.elapsed(), &mut [&mut evidence]) {
+                        let address = destinations.iter().find(|(name, _)| *name == datagram.to).unwrap().1;
+                        let _ = socket.send_to(&datagram.bytes, address);
                     }
                 }
             }
             peers.counts.accepted
         });
-        Self { over, thread: Some(thread), taken }
+        Self { is_over, thread: Some(thread), accepted }
     }
 
-    /// Datagrams that answered it: whoever sent them took its own for good.
-    fn heard(&self) -> u64 {
-        self.taken.load(Ordering::SeqCst)
+    /// Returns the number of accepted datagrams; their senders accepted the false reports.
+    fn accepted(&self) -> u64 {
+        self.accepted.load(Ordering::SeqCst)
     }
 }
 
-impl Drop for Liar {
+impl Drop for FalseReporter {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.is_over.store(true, Ordering::SeqCst);
         self.thread.take().into_iter().for_each(|t| drop(t.join()));
     }
 }
--- a/crates/dewpier/tests/kept.rs
+++ b/crates/dewpier/tests/kept.rs
@@ -1,6 +1,6 @@
-//! Connections that backends close, reset or forget between two requests: no order runs twice, nothing is
-//! lost, safe requests are served while one backend works, and orders fail only until it is learnt that
-//! kept connections swallow them.
+//! Backends that close, reset or forget idle connections between two requests: no order runs more than once, every
+//! request is answered, safe requests are served while one backend works, and orders fail only until the proxy has
+//! learnt the idle timeout.
 
 use dewpier_standins::faulty::{FAULTS, Fault, Faulty};
 use dewpier_standins::shop::{Accounts, play, twice};
@@ -10,14 +10,14 @@
 const CLASSES: &str = "[[class]]\nname = \"quote\"\neffect = \"safe\"\naim_ms = 5000\ndeadline_ms = 20000\nmatch = [{ methods = [\"GET\"] }]\n\
 [[class]]\nname = \"order\"\neffect = \"unsafe\"\naim_ms = 5000\ndeadline_ms = 20000\nmatch = [{ methods = [\"POST\"] }]\n";
 
-fn served(nodes: &[Faulty]) -> Served {
+fn start_proxy(nodes: &[Faulty]) -> Served {
     let rows: String = nodes.iter().enumerate().map(|(i, n)| format!("node-{i},{}\n", n.address)).collect();
     Served::start("nodes.csv", format!("id,address\n{rows}").as_bytes(), CLASSES)
 }
 
-/// Plays a shop before these backends, and checks what must hold whatever they do.
-fn shop(nodes: &[Faulty], clients: usize, requests: u64, pause: Duration) -> Accounts {
-    let proxy = served(nodes);
+/// Sends quotes and orders to these backends, and checks that every request is answered and no order runs more than once.
+fn run_clients(nodes: &[Faulty], clients: usize, requests: u64, pause: Duration) -> Accounts {
+    let proxy = start_proxy(nodes);
     let accounts = play(proxy.address, clients, requests, pause);
     assert_eq!(twice(nodes), Vec::<String>::new());
     for account in [&accounts.safe, &accounts.orders] {
@@ -26,77 +26,78 @@
     accounts
 }
 
-fn sound(seed: u64) -> Faulty {
+fn healthy(seed: u64) -> Faulty {
     Faulty::start(seed, 0.0, &[])
 }
 
 #[test]
-fn connections_closed_when_idle_cost_nothing() {
-    // Two limits at once, and clients that ask right around the shorter one.
-    let nodes = [sound(1), sound(2)];
+fn connections_closed_by_idle_timeouts_fail_no_request() {
+    // Two idle timeouts, and clients with pauses near the shorter one.
+    let nodes = [healthy(1), healthy(2)];
     nodes[0].closes_after(Duration::from_millis(300));
     nodes[1].closes_after(Duration::from_millis(1000));
-    let accounts = shop(&nodes, 4, 120, Duration::from_millis(290));
+    let accounts = run_clients(&nodes, 4, 120, Duration::from_millis(290));
     assert_eq!((accounts.safe.served, accounts.orders.served), (60, 60), "{accounts:?}");
 }
 
 #[test]
-fn connections_closed_right_before_they_are_asked_on_cost_nothing() {
-    let nodes = [sound(1), sound(2)];
+fn connections_closed_right_before_a_request_fail_no_request() {
+    let nodes = [healthy(1), healthy(2)];
     nodes.iter().for_each(|n| n.closes_after(Duration::from_secs(5)));
-    let accounts = shop(&nodes, 16, 48, Duration::from_millis(5050));
+    let accounts = run_clients(&nodes, 16, 48, Duration::from_millis(5050));
     assert_eq!((accounts.safe.served, accounts.orders.served), (24, 24), "{accounts:?}");
 }
 
 #[test]
-fn connections_closed_behind_each_tenth_answer_cost_nothing() {
+fn connections_closed_after_each_tenth_answer_fail_no_request() {
     let nodes = [1, 2].map(|seed| Faulty::start(seed, 0.1, &[Fault::Closed]));
-    let accounts = shop(&nodes, 8, 1000, Duration::from_millis(2));
+    let accounts = run_clients(&nodes, 8, 1000, Duration::from_millis(2));
     assert_eq!((accounts.safe.served, accounts.orders.served), (500, 500), "{accounts:?}");
 }
 
 #[test]
-fn connections_that_swallow_what_comes_late_are_learnt() {
-    let nodes = [sound(1), sound(2)];
+fn idle_timeout_of_connections_that_lose_late_requests_is_learnt() {
+    let nodes = [healthy(1), healthy(2)];
     nodes.iter().for_each(|n| n.swallows_after(Duration::from_millis(100)));
-    // Each waits longer than a connection is good for.
-    let accounts = shop(&nodes, 2, 160, Duration::from_millis(130));
+    // The pauses are longer than the connections stay usable.
+    let accounts = run_clients(&nodes, 2, 160, Duration::from_millis(130));
     assert_eq!(accounts.safe.served, 80, "{accounts:?}");
-    // Nearly all of them would be lost on kept connections.
+    // Without learning nearly all orders would fail on idle connections.
     assert!(accounts.orders.failed <= 16, "{accounts:?}");
 }
 
 #[test]
-fn what_one_kept_connection_lost_goes_on_a_new_one() {
-    let nodes = [sound(1), sound(2)];
-    // The resets come too late to tell them from those of a busy backend, so that nothing is learnt of them.
+fn safe_request_lost_on_a_stale_connection_is_repeated_on_a_new_one() {
+    let nodes = [healthy(1), healthy(2)];
+    // The resets are too late to distinguish from those of a busy backend, so that the proxy learns nothing from them.
     for node in &nodes {
         node.swallows_after(Duration::from_millis(100));
         node.swallows_for(Duration::from_millis(60));
     }
-    let proxy = served(&nodes);
+    let proxy = start_proxy(&nodes);
     play(proxy.address, 16, 32, Duration::from_millis(10));
-    let kept = nodes.each_ref().map(Faulty::connected);
-    assert!(kept.iter().all(|kept| *kept > 1), "both nodes have kept connections: {kept:?}");
+    let connected = nodes.each_ref().map(Faulty::connected);
+    assert!(connected.iter().all(|count| *count > 1), "both nodes need idle connections: {connected:?}");
     std::thread::sleep(Duration::from_millis(200));
     let quote = play(proxy.address, 1, 1, Duration::ZERO);
     assert_eq!(quote.safe.served, 1, "{quote:?}");
 }
 
 #[test]
-fn a_backend_that_resets_one_write_in_ten_fails_no_safe_request() {
-    let nodes = [Faulty::start(1, 0.1, &[Fault::ResetBefore]), sound(2)];
-    let accounts = shop(&nodes, 8, 1000, Duration::from_millis(2));
+fn backend_that_resets_one_request_in_ten_fails_no_safe_request() {
+    let nodes = [Faulty::start(1, 0.1, &[Fault::ResetBefore]), healthy(2)];
+    let accounts = run_clients(&nodes, 8, 1000, Duration::from_millis(2));
     assert_eq!(accounts.safe.served, 500, "{accounts:?}");
 }
 
 #[test]
-fn safe_calls_are_served_between_unlike_nodes() {
-    let part = |i: usize| if i < 3 { 0.25 } else { 0.04 };
-    let nodes: Vec<Faulty> = (0..5).map(|i| Faulty::start(10 + i as u64, part(i), &FAULTS)).collect();
-    let accounts = shop(&nodes, 24, 2000, Duration::ZERO);
+fn safe_requests_are_served_when_some_nodes_fail_often() {
+    let fault_fraction = |i: usize| if i < 3 { 0.25 } else { 0.04 };
+    let nodes: Vec<Faulty> =
+        (0..5).map(|i| Faulty::start(10 + i as u64, fault_fraction(i), &FAULTS)).collect();
+    let accounts = run_clients(&nodes, 24, 2000, Duration::ZERO);
     let unserved = accounts.safe.all() - accounts.safe.served;
-    // Aimed at is one in 200; before, it was one in 30.
+    // The target is one in 200.
     assert!(unserved <= 15, "{accounts:?}");
-    assert_eq!(accounts.safe.told_when, accounts.safe.refused, "each is told when to come again");
+    assert_eq!(accounts.safe.told_when, accounts.safe.refused, "each rejection names the time of a retry");
 }
--- a/crates/dewpier/tests/mysql.rs
+++ b/crates/dewpier/tests/mysql.rs
@@ -1,5 +1,4 @@
-//! `dewpier serve` with a front for MySQL clients, from outside: a real client library, stand-in servers, an
-//! inventory that is rewritten, and the stop.
+//! `dewpier serve` with a MySQL front: a real client library, mock servers, a changing inventory, and the stop.
 
 use dewpier_standins::mysql::{Asked, MySqlServer, Reply};
 use dewpier_standins::wait_for;
@@ -11,14 +10,14 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-fn answer(asked: &Asked) -> Reply {
-    match asked.text.starts_with("SELECT") {
+fn answer(statement: &Asked) -> Reply {
+    match statement.text.starts_with("SELECT") {
         true => Reply::Rows(vec!["a"], vec![vec![Some("7".into())]]),
         false => Reply::Late(Duration::from_millis(300), Box::new(Reply::Ok(1, 0))),
     }
 }
 
-fn inventory(servers: &[(&MySqlServer, &str)]) -> String {
+fn inventory_text(servers: &[(&MySqlServer, &str)]) -> String {
     let row = |(i, (server, state)): (usize, &(&MySqlServer, &str))| {
         format!("s{i},127.0.0.1,{},{state}\n", server.address.port())
     };
@@ -38,21 +37,21 @@
 }
 
 #[test]
-fn a_front_for_mysql_clients_is_served_beside_http_and_follows_its_own_inventory() {
+fn mysql_front_serves_next_to_http_and_follows_its_own_inventory() {
     let servers = [MySqlServer::start("elm", answer), MySqlServer::start("elm", answer)];
     let folder = folder("mysql");
     let write = |name: &str, text: &str| std::fs::write(folder.join(name), text).unwrap();
-    let mut hashing = Command::new(env!("CARGO_BIN_EXE_dewpier"))
+    let mut hash_command = Command::new(env!("CARGO_BIN_EXE_dewpier"))
         .args(["mysql", "hash"])
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
-    hashing.stdin.take().unwrap().write_all(b"oak\n").unwrap();
-    let hash = String::from_utf8(hashing.wait_with_output().unwrap().stdout).unwrap();
+    hash_command.stdin.take().unwrap().write_all(b"oak\n").unwrap();
+    let hash = String::from_utf8(hash_command.wait_with_output().unwrap().stdout).unwrap();
     write("users.toml", &format!("[users]\nplanner = \"{}\"\n", hash.trim()));
     write("password", "elm\n");
-    write("servers.csv", &inventory(&[(&servers[0], "serving"), (&servers[1], "serving")]));
+    write("servers.csv", &inventory_text(&[(&servers[0], "serving"), (&servers[1], "serving")]));
     write("nodes.csv", "id,address,port\nb,127.0.0.1,1\n");
     let file = |name: &str| folder.join(name).display().to_string();
     let settings = format!(
@@ -65,31 +64,31 @@
     let proxy = Served::of(&folder.join("nodes.csv"), &settings);
     let (_, line) = proxy.logged(0, "listening for MySQL on ");
     let address: SocketAddr = line.rsplit(' ').next().unwrap().parse().unwrap();
-    let mut first = client(address).unwrap();
+    let mut connection = client(address).unwrap();
     for _ in 0..20 {
-        assert_eq!(first.query_first::<String, _>("SELECT a FROM t").unwrap().as_deref(), Some("7"));
+        assert_eq!(connection.query_first::<String, _>("SELECT a FROM t").unwrap().as_deref(), Some("7"));
     }
-    first.query_drop("INSERT INTO t VALUES (1)").unwrap();
+    connection.query_drop("INSERT INTO t VALUES (1)").unwrap();
 
     let from = proxy.lines();
-    write("servers.csv", &inventory(&[(&servers[0], "draining"), (&servers[1], "serving")]));
+    write("servers.csv", &inventory_text(&[(&servers[0], "draining"), (&servers[1], "serving")]));
     proxy.logged(from, "1 of them serving");
     std::thread::sleep(Duration::from_millis(500));
     let before = servers[0].statements().len();
     for _ in 0..20 {
-        first.query_drop("SELECT a FROM t").unwrap();
+        connection.query_drop("SELECT a FROM t").unwrap();
     }
     assert_eq!(servers[0].statements().len(), before);
 
-    let running = std::thread::spawn(move || first.query_drop("INSERT INTO t VALUES (2)"));
+    let running = std::thread::spawn(move || connection.query_drop("INSERT INTO t VALUES (2)"));
     wait_for("statement", || servers[1].count("INSERT INTO t VALUES (2)") == 1);
     proxy.stop();
-    assert!(running.join().unwrap().is_ok(), "it was taken");
+    assert!(running.join().unwrap().is_ok(), "the accepted statement must be answered");
     assert!(client(address).is_err());
 }
 
 #[test]
-fn the_checked_example_is_good_and_what_is_wrong_is_told_with_its_place() {
+fn example_configuration_is_valid_and_errors_are_reported_with_their_place() {
     let deploy = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy"));
     let check = |path: &Path| {
         let output = Command::new(env!("CARGO_BIN_EXE_dewpier"))
@@ -103,8 +102,8 @@
             String::from_utf8(output.stderr).unwrap(),
         )
     };
-    let (code, told, _) = check(&deploy.join("mysql.toml"));
-    assert!(code == Some(0) && told.contains("3 backends"), "{told}");
+    let (code, output, _) = check(&deploy.join("mysql.toml"));
+    assert!(code == Some(0) && output.contains("3 backends"), "{output}");
     let good = std::fs::read_to_string(deploy.join("mysql.toml")).unwrap();
     let folder = folder("checked");
     for name in ["nodes.csv", "mysql-servers.csv", "mysql-replicas.csv", "mysql-users.toml", "mysql-password"]
@@ -122,7 +121,7 @@
         assert!(good.contains(from), "{from}");
         let path = folder.join("mysql.toml");
         std::fs::write(&path, good.replace(from, to)).unwrap();
-        let (code, _, told) = check(&path);
-        assert!(code == Some(2) && told.contains(place) && told.contains(words), "{to}: {told}");
+        let (code, _, message) = check(&path);
+        assert!(code == Some(2) && message.contains(place) && message.contains(words), "{to}: {message}");
     }
 }
--- a/crates/dewpier/tests/rulings.rs
+++ b/crates/dewpier/tests/rulings.rs
@@ -1,5 +1,5 @@
-//! What an operator says of a node at one of eight processes holds at all that hear it, ends everywhere in time, and is
-//! heard by who starts anew.
+//! Operator overrides: an override set at one of eight processes holds at all processes that receive it, ends everywhere
+//! in time, and reaches restarted processes.
 
 use dewpier_standins::mesh::Way;
 use dewpier_standins::wait_for;
@@ -8,19 +8,19 @@
 use std::time::{Duration, Instant};
 
 const PROXIES: usize = 8;
-/// For machines and timers that are late.
+/// Extra time for late timers and a busy host.
 const SLACK: Duration = Duration::from_secs(2);
 
-fn out(stage: &Stage, proxy: usize, node: usize) -> bool {
+fn is_ejected(stage: &Stage, proxy: usize, node: usize) -> bool {
     let held = stage.held(proxy).expect("an answer in time");
     held.iter().any(|h| h.node == node && h.out)
 }
 
-fn says(stage: &Stage, proxy: usize, call: &str) -> String {
+fn call(stage: &Stage, proxy: usize, call: &str) -> String {
     stage.call(proxy, call).expect("an answer in time")
 }
 
-/// Proxies that have sent to a node since then.
+/// Returns the proxies that have sent to a node after `since`.
 fn senders(stage: &Stage, node: usize, since: Instant) -> Vec<String> {
     let arrivals = stage.nodes[node].arrivals().into_iter().filter(|a| a.at > since);
     let mut senders: Vec<String> =
@@ -39,71 +39,80 @@
 }
 
 #[test]
-fn an_operators_word_holds_everywhere_and_ends_in_time() {
+fn override_holds_at_all_proxies_and_ends_in_time() {
     let stage = start(3);
-    let all = |out: &dyn Fn(usize) -> bool| (0..PROXIES).all(out);
-    // Seven of eight nodes would be far more than a verdict may keep out.
+    let all_proxies = |condition: &dyn Fn(usize) -> bool| (0..PROXIES).all(condition);
+    // Overrides have no limit on the number of avoided nodes, unlike verdicts.
     for node in 0..3 {
-        assert!(says(&stage, node, &format!("avoid 600 pricing-{node:02}")).starts_with("YES"));
+        assert!(call(&stage, node, &format!("avoid 600 pricing-{node:02}")).starts_with("YES"));
     }
-    let said = Instant::now();
-    wait_for("all to go by it", || all(&|p| (0..3).all(|node| out(&stage, p, node))));
-    // One round to say it, one to judge, by loopback.
-    assert!(said.elapsed() < settings().every * 2 + SLACK, "{:?}", said.elapsed());
+    let set_at = Instant::now();
+    wait_for("the override at all proxies", || {
+        all_proxies(&|p| (0..3).all(|node| is_ejected(&stage, p, node)))
+    });
+    // One round to send the override and one to apply it.
+    assert!(set_at.elapsed() < settings().every * 2 + SLACK, "{:?}", set_at.elapsed());
     let since = Instant::now() + Duration::from_millis(500);
     std::thread::sleep(Duration::from_secs(4));
     for node in 0..3 {
-        assert!(senders(&stage, node, since).is_empty(), "{:?} sent to {node}", senders(&stage, node, since));
+        assert!(
+            senders(&stage, node, since).is_empty(),
+            "{:?} sent to avoided node {node}",
+            senders(&stage, node, since)
+        );
     }
-    // One that hears nobody keeps what was taken back, no longer than it was said for.
-    assert!(says(&stage, 1, "avoid 8 pricing-05").starts_with("YES"));
-    let ends = Instant::now() + Duration::from_secs(8);
-    wait_for("all to go by it", || all(&|p| out(&stage, p, 5)));
+    // A partitioned proxy keeps a cancelled override until the override's end.
+    assert!(call(&stage, 1, "avoid 8 pricing-05").starts_with("YES"));
+    let ends_at = Instant::now() + Duration::from_secs(8);
+    wait_for("the override at all proxies", || all_proxies(&|p| is_ejected(&stage, p, 5)));
     stage.mesh.set(Way { cut: true, ..Way::default() }, |_, to| to == 6);
-    assert!(says(&stage, 4, "as-seen pricing-05").starts_with("YES"));
-    wait_for("it to be taken back", || all(&|p| p == 6 || !out(&stage, p, 5)));
-    assert!(Instant::now() > ends || out(&stage, 6, 5), "it can't have heard");
-    wait_for("its end", || Instant::now() > ends);
+    assert!(call(&stage, 4, "as-seen pricing-05").starts_with("YES"));
+    wait_for("the override to be cancelled", || all_proxies(&|p| p == 6 || !is_ejected(&stage, p, 5)));
+    assert!(
+        Instant::now() > ends_at || is_ejected(&stage, 6, 5),
+        "the partitioned proxy must keep the override"
+    );
+    wait_for("the end of the override", || Instant::now() > ends_at);
     std::thread::sleep(settings().every + SLACK);
-    assert!(!out(&stage, 6, 5), "it goes by it after its end");
-    // Heard again by who starts with nothing, and it may be taken back there.
+    assert!(!is_ejected(&stage, 6, 5), "the override holds after its end");
+    // A restarted proxy receives the overrides and can cancel them.
     stage.mesh.set(Way::default(), |_, _| true);
     stage.restart(2);
-    wait_for("the new process to hear", || {
-        (0..3).all(|node| stage.held(2).is_some() && out(&stage, 2, node))
+    wait_for("the overrides at the new process", || {
+        (0..3).all(|node| stage.held(2).is_some() && is_ejected(&stage, 2, node))
     });
     for node in 0..3 {
-        assert!(says(&stage, 2, &format!("as-seen pricing-{node:02}")).starts_with("YES"));
+        assert!(call(&stage, 2, &format!("as-seen pricing-{node:02}")).starts_with("YES"));
     }
-    wait_for("all to be back", || all(&|p| (0..3).all(|node| !out(&stage, p, node))));
+    wait_for("all nodes to return", || all_proxies(&|p| (0..3).all(|node| !is_ejected(&stage, p, node))));
     let since = Instant::now();
-    wait_for("traffic there", || (0..3).all(|node| !senders(&stage, node, since).is_empty()));
+    wait_for("traffic to the nodes", || (0..3).all(|node| !senders(&stage, node, since).is_empty()));
 }
 
 #[test]
-fn a_trusted_node_is_kept_out_by_no_verdict_and_what_can_not_be_said_is_refused() {
+fn trusted_node_is_not_ejected_and_invalid_overrides_are_rejected() {
     let stage = start(4);
-    assert!(says(&stage, 3, "trust 600 pricing-01").starts_with("YES"));
-    let trusted = |p: usize| says(&stage, p, "verdicts").contains("pricing-01: trust");
-    wait_for("all to hear", || (0..PROXIES).all(trusted));
+    assert!(call(&stage, 3, "trust 600 pricing-01").starts_with("YES"));
+    let is_trusted = |p: usize| call(&stage, p, "verdicts").contains("pricing-01: trust");
+    wait_for("trust at all proxies", || (0..PROXIES).all(is_trusted));
     stage.nodes[1].fail(true);
-    let judged =
+    let has_verdict =
         |p: usize| stage.held(p).is_some_and(|h| h.iter().any(|h| h.node == 1 && h.kind == "failing"));
-    wait_for("a verdict", || (0..PROXIES).any(judged));
-    assert!((0..PROXIES).all(|p| !out(&stage, p, 1)), "{}", says(&stage, 0, "verdicts"));
-    // Without it the verdict keeps the node out: trust is what kept it in.
-    assert!(says(&stage, 5, "as-seen pricing-01").starts_with("YES"));
-    wait_for("the verdict to count", || (0..PROXIES).any(|p| out(&stage, p, 1)));
-    for (call, why) in [
+    wait_for("a verdict", || (0..PROXIES).any(has_verdict));
+    assert!((0..PROXIES).all(|p| !is_ejected(&stage, p, 1)), "{}", call(&stage, 0, "verdicts"));
+    // The verdict ejects the node once the trust is cancelled.
+    assert!(call(&stage, 5, "as-seen pricing-01").starts_with("YES"));
+    wait_for("the verdict to eject the node", || (0..PROXIES).any(|p| is_ejected(&stage, p, 1)));
+    for (text, reason) in [
         ("avoid 600 pricing-99", "expected the name of one listed node"),
         ("avoid 0 pricing-02", "expected 1 to 604800 s"),
         ("avoid 604801 pricing-02", "expected 1 to 604800 s"),
         ("as-seen pricing-02", "expected one to take back"),
         ("avoid soon pricing-02", "expected check"),
     ] {
-        let told = says(&stage, 0, call);
-        assert!(told.starts_with("NO ") && told.contains(why), "{call}: {told}");
+        let reply = call(&stage, 0, text);
+        assert!(reply.starts_with("NO ") && reply.contains(reason), "{text}: {reply}");
     }
-    // It was taken back at another proxy: this one hears of it in a round or two.
-    wait_for("no ruling to hold", || stage.figure(0, "rulings") == Some(0));
+    // The override was cancelled at another proxy; the cancellation arrives within two rounds.
+    wait_for("no active override", || stage.figure(0, "rulings") == Some(0));
 }
--- a/crates/dewpier/tests/trials.rs
+++ b/crates/dewpier/tests/trials.rs
@@ -1,29 +1,29 @@
-//! Twelve processes of the program under faults that are drawn from a seed: the short form. The long one is
-//! `cargo run --release --example trials`.
+//! Fault-injection runs on twelve processes of the program with schedules drawn from a seed. `cargo run --release
+//! --example trials` runs many seeds.
 
 use dewpier_trials::campaign;
 use dewpier_trials::checks::{Rule, avoided, check};
 use dewpier_trials::schedule::{Ends, Fault, Node, Schedule, Size, Step};
 use dewpier_trials::stage::{Settings, Stage};
 
-/// Seeds that are played; others by the environment variable `TRIALS_SEED`, one.
+/// The seeds that are run; the environment variable `TRIALS_SEED` replaces them by one other seed.
 const SEEDS: [u64; 1] = [1];
 
 #[test]
-fn no_rule_and_no_bound_is_broken_under_faults() {
+fn invariants_and_bounds_hold_under_random_faults() {
     let size = Size { proxies: 12, nodes: 8, length_ms: 16_000, apart_ms: 8000 };
-    let one = std::env::var("TRIALS_SEED").ok().and_then(|text| text.parse().ok());
-    let seeds = one.map_or(SEEDS.to_vec(), |seed| vec![seed]);
+    let env_seed = std::env::var("TRIALS_SEED").ok().and_then(|text| text.parse().ok());
+    let seeds = env_seed.map_or(SEEDS.to_vec(), |seed| vec![seed]);
     for seed in seeds {
         assert!(campaign::seed(seed, size, Settings::default(), 0), "TRIALS_SEED={seed}");
     }
 }
 
-/// Planners tell twelve forwarders what is listed. All planners are killed as a node begins to drain, one forwarder stands
-/// still from before that until after its lease, half of them hear no answers of two planners at first, a node fails all the
-/// while, and a planner is ended and started anew.
+/// Twelve forwarders with three planners: all planners are killed as a node begins to drain, one forwarder is suspended
+/// past the end of its lease, half of the forwarders lose the answers of two planners at first, a node fails, and a
+/// planner is restarted.
 #[test]
-fn forwarders_and_planners_keep_all_rules_and_bounds_under_faults() {
+fn forwarders_and_planners_keep_invariants_and_bounds_under_faults() {
     let size = Size { proxies: 12, nodes: 8, length_ms: 13_000, apart_ms: 8000 };
     let step = |at_ms, for_ms, fault| Step { at_ms, for_ms, fault };
     let half: Vec<usize> = (0..size.proxies).step_by(2).collect();
@@ -41,13 +41,16 @@
         campaign::play(&Schedule { seed: 9, size, planners: 3, by_planners: false, steps }, settings);
     println!("{outcome:?}");
     assert!(outcome.broken.is_empty(), "{:?}", outcome.broken);
-    assert_eq!(outcome.drains, size.proxies, "each was bound by the drain");
-    assert!(outcome.avoided + outcome.early >= size.proxies / 2, "verdicts go on beside planners");
+    assert_eq!(outcome.drains, size.proxies, "the drain bound must be checked at every proxy");
+    assert!(
+        outcome.avoided + outcome.early >= size.proxies / 2,
+        "verdicts must be reached with planners too"
+    );
 }
 
-/// Forwarders hear no planner, and what they watch themselves tells of no drain: the checker has to find what comes of it.
+/// Forwarders receive no plan, and their own inventory shows no drain: the checker must report the violation.
 #[test]
-fn the_bound_on_drains_is_broken_where_nothing_tells_of_one() {
+fn checker_reports_a_violated_drain_bound_when_no_source_shows_the_drain() {
     let size = Size { proxies: 6, nodes: 8, length_ms: 9000, apart_ms: 8000 };
     let cut = |at_ms, for_ms| {
         let all = (0..size.proxies).collect();
@@ -62,45 +65,45 @@
     assert!(rules.contains(&Rule::Drain) && rules.iter().all(|r| *r == Rule::Drain), "{rules:?}");
 }
 
-/// A node fails while that fault lasts, of which the checker is not told: it has to find that the bound is not kept.
-fn breaks_the_bound_on_avoidance(size: Size, settings: Settings, cut: Fault) {
+/// Fails a node during a fault that the checker does not know, and checks that the checker reports the violated bound.
+fn assert_checker_reports_late_avoidance(size: Size, settings: Settings, cut: Fault) {
     let node = Step { at_ms: 1000, for_ms: 11_000, fault: Fault::Node { node: 2, does: Node::Fails } };
     let (planners, by_planners) = (settings.planners, settings.by_planners);
-    let told = Schedule { seed: 1, size, planners, by_planners, steps: vec![node.clone()] };
+    let known_schedule = Schedule { seed: 1, size, planners, by_planners, steps: vec![node.clone()] };
     let steps = vec![Step { at_ms: 0, for_ms: size.length_ms, fault: cut }, node];
     let stage = Stage::start(1, size, settings);
-    let (record, played) = stage.play(&Schedule { steps, ..told.clone() });
-    let late =
+    let (record, run_schedule) = stage.play(&Schedule { steps, ..known_schedule.clone() });
+    let count_late =
         |schedule| check(&record, schedule, &stage.bounds()).iter().filter(|b| b.rule == Rule::Late).count();
-    assert_eq!(late(&played), 0, "who hears nobody is promised nothing");
-    assert!(avoided(&record, &told, &stage.bounds()).checked > 0);
-    assert!(late(&told) > 0, "the bound holds without what keeps it");
+    assert_eq!(count_late(&run_schedule), 0, "the bound does not cover proxies that receive nothing");
+    assert!(avoided(&record, &known_schedule, &stage.bounds()).checked > 0);
+    assert!(count_late(&known_schedule) > 0, "the bound must not hold under the fault");
 }
 
 #[test]
-fn the_bound_on_avoidance_is_broken_without_talk() {
+fn checker_reports_late_avoidance_without_datagrams() {
     let size = Size { proxies: 12, nodes: 8, length_ms: 12_000, apart_ms: 8000 };
     let all: Vec<usize> = (0..size.proxies).collect();
     let cut = Fault::Talk { from: all.clone(), to: all, lost: 1000, doubled: 0, delay_ms: 0 };
-    breaks_the_bound_on_avoidance(size, Settings::default(), cut);
+    assert_checker_reports_late_avoidance(size, Settings::default(), cut);
 }
 
 #[test]
-fn the_bound_on_avoidance_is_broken_where_planners_carry_nothing() {
+fn checker_reports_late_avoidance_without_relayed_messages() {
     let size = Size { proxies: 12, nodes: 8, length_ms: 12_000, apart_ms: 8000 };
     let all: Vec<usize> = (0..size.proxies).collect();
     let cut = Fault::Streams { proxies: all, planners: Vec::new(), to: vec![0, 1, 2], answers: true };
-    breaks_the_bound_on_avoidance(
+    assert_checker_reports_late_avoidance(
         size,
         Settings { planners: 3, by_planners: true, ..Settings::default() },
         cut,
     );
 }
 
-/// Planners carry what twelve forwarders say to each other. One of three stands still while a node turns bad, and later
-/// the streams of half of the forwarders to another one carry nothing.
+/// Three planners relay the messages of twelve forwarders. One planner is suspended while a node turns bad; later half of
+/// the forwarders lose their streams to another planner.
 #[test]
-fn verdicts_go_by_way_of_planners_within_the_bound_while_one_of_them_stands_still() {
+fn relayed_verdicts_keep_their_bound_while_a_planner_is_suspended() {
     let size = Size { proxies: 12, nodes: 8, length_ms: 14_000, apart_ms: 8000 };
     let step = |at_ms, for_ms, fault| Step { at_ms, for_ms, fault };
     let half: Vec<usize> = (0..size.proxies).step_by(2).collect();
@@ -115,13 +118,13 @@
         campaign::play(&Schedule { seed: 9, size, planners: 3, by_planners: true, steps }, settings);
     println!("{outcome:?}");
     assert!(outcome.broken.is_empty(), "{:?}", outcome.broken);
-    assert!(outcome.avoided + outcome.early >= size.proxies / 2, "verdicts go by way of planners");
+    assert!(outcome.avoided + outcome.early >= size.proxies / 2, "verdicts must be reached through planners");
 }
 
-/// A planner is killed, and another one before it is back: what is left of their group can let nobody in. All three agree
-/// again, within the time that the checker waits.
+/// A second planner is killed before the first one is back, so that the group has no majority. All three planners must
+/// agree again within the time that the checker waits.
 #[test]
-fn planners_of_which_a_majority_begins_anew_agree_again() {
+fn planners_agree_again_after_the_loss_of_a_majority() {
     let size = Size { proxies: 3, nodes: 8, length_ms: 10_000, apart_ms: 8000 };
     let step = |at_ms, for_ms, planner| Step {
         at_ms,
