--- a/crates/dewpier/tests/bad_backends.rs
+++ b/crates/dewpier/tests/bad_backends.rs
@@ -13,8 +13,8 @@
 const GOOD: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
 /// A backend that answers every request with these bytes and keeps the connection open.
-fn backend_sending(bytes: &'static str) -> Played {
-    Played::new(move |_, _| Play::Answer(bytes.to_string()))
+fn backend_sending(bytes: &'static str) -> ScriptedServer {
+    ScriptedServer::new(move |_, _| ScriptedReply::Respond(bytes.to_string()))
 }
 
 #[test]
@@ -42,32 +42,40 @@
         assert!(status != 200 && status != 429 && status != 503, "{status} for {bytes:.60}");
         // The client would wait 19 s.
         assert!(start.elapsed() < Duration::from_secs(10), "{:?} for {bytes:.60}", start.elapsed());
-        assert_eq!(backend.count(), 1, "{bytes:.60}");
+        assert_eq!(backend.request_count(), 1, "{bytes:.60}");
     }
 }
 
 #[test]
 fn bytes_after_an_answer_are_not_used_as_the_next_answer() {
     for extra in ["HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "\u{1}noise"] {
-        let backend = Played::new(move |before, _| match before {
-            0 => Play::AnswerThen(GOOD.to_string(), Duration::from_millis(5), extra.to_string()),
-            _ => Play::Answer(GOOD.to_string()),
+        let backend = ScriptedServer::new(move |before, _| match before {
+            0 => ScriptedReply::RespondInTwoParts(
+                GOOD.to_string(),
+                Duration::from_millis(5),
+                extra.to_string(),
+            ),
+            _ => ScriptedReply::Respond(GOOD.to_string()),
         });
         let proxy = Proxy::for_backends(&[&backend]);
         for _ in 0..2 {
             let reply = proxy.exchange(&request_text("order", 9000));
             assert_eq!((reply.status(), reply.body.as_slice()), (200, b"hello".as_slice()), "{extra}");
         }
-        assert_eq!(backend.connections.load(Ordering::SeqCst), 2, "{extra}");
+        assert_eq!(backend.connection_count.load(Ordering::SeqCst), 2, "{extra}");
     }
 }
 
 #[test]
 fn informational_answers_are_skipped() {
     // Informational answers do not count as the start of the answer, which may follow much later.
-    let backend = Played::new(move |_, _| {
+    let backend = ScriptedServer::new(move |_, _| {
         let informational = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
-        Play::AnswerThen(informational.to_string(), Duration::from_millis(1500), GOOD.to_string())
+        ScriptedReply::RespondInTwoParts(
+            informational.to_string(),
+            Duration::from_millis(1500),
+            GOOD.to_string(),
+        )
     });
     let proxy = Proxy::for_backends(&[&backend]);
     let reply = proxy.exchange(&request_text("order", 19_000));
@@ -78,7 +86,7 @@
 fn unreadable_load_report_is_ignored() {
     for report in ["{", "[]", "{\"avg_ms\":\"x\"}", "{\"avg_ms\":-5}", "{\"avg_ms\":1e999}"] {
         let text = format!("HTTP/1.1 200 OK\r\nX-Pressure: {report}\r\nContent-Length: 5\r\n\r\nhello");
-        let backend = Played::new(move |_, _| Play::Answer(text.clone()));
+        let backend = ScriptedServer::new(move |_, _| ScriptedReply::Respond(text.clone()));
         let proxy = Proxy::for_backends(&[&backend]);
         assert_eq!(proxy.exchange(&request_text("order", 9000)).status(), 200, "{report}");
     }
@@ -93,7 +101,7 @@
         for stream in listener.incoming().map_while(Result::ok) {
             std::thread::spawn(move || {
                 let mut stream = BufReader::with_capacity(4096, stream);
-                if read(&mut stream).is_some() {
+                if read_message(&mut stream).is_some() {
                     stream.get_mut().write_all(GOOD.as_bytes()).unwrap();
                     // Dropping the stream with unread bytes resets the connection.
                     let _ = stream.get_mut().read(&mut [0]);
@@ -124,23 +132,23 @@
     settings
 }
 
-/// Backends that answer after `work_time`, and wait while `stuck` is set, for `LONG` at most.
-fn start_backends<const N: usize>(stuck: &Arc<AtomicBool>, work_time: Duration) -> [Played; N] {
+/// Backends that answer after `work_time`, and wait while `stuck` is set, for `WAIT_TIMEOUT` at most.
+fn start_backends<const N: usize>(stuck: &Arc<AtomicBool>, work_time: Duration) -> [ScriptedServer; N] {
     std::array::from_fn(|_| {
         let stuck = stuck.clone();
-        Played::new(move |_, _| {
+        ScriptedServer::new(move |_, _| {
             std::thread::sleep(work_time);
             let start = Instant::now();
-            while stuck.load(Ordering::SeqCst) && start.elapsed() < LONG {
+            while stuck.load(Ordering::SeqCst) && start.elapsed() < WAIT_TIMEOUT {
                 std::thread::sleep(Duration::from_millis(5));
             }
-            Play::Answer(GOOD.to_string())
+            ScriptedReply::Respond(GOOD.to_string())
         })
     })
 }
 
-fn count_requests(backends: &[Played]) -> usize {
-    backends.iter().map(Played::count).sum()
+fn count_requests(backends: &[ScriptedServer]) -> usize {
+    backends.iter().map(ScriptedServer::request_count).sum()
 }
 
 #[test]
@@ -155,11 +163,11 @@
         idle_discovery().address,
     );
     let ask = || proxy.exchange(&request_text("order", 19_000)).status();
-    wait_for("answer of each", || ask() == 200 && hanging.count() > 1 && working.count() > 1);
+    wait_for("answer of each", || ask() == 200 && hanging.request_count() > 1 && working.request_count() > 1);
     stuck.store(true, Ordering::SeqCst);
     std::thread::scope(|scope| {
-        let before = hanging.count();
-        while hanging.count() == before {
+        let before = hanging.request_count();
+        while hanging.request_count() == before {
             scope.spawn(ask);
             std::thread::sleep(Duration::from_millis(200));
         }
@@ -168,7 +176,7 @@
             let calls = [(); 3].map(|()| scope.spawn(ask));
             assert!(calls.into_iter().all(|call| call.join().unwrap() == 200));
         }
-        assert_eq!(hanging.count(), before + 1);
+        assert_eq!(hanging.request_count(), before + 1);
         stuck.store(false, Ordering::SeqCst);
     });
 }
@@ -176,7 +184,7 @@
 #[test]
 fn few_calls_per_backend_are_never_an_overload() {
     let stuck = Arc::new(AtomicBool::new(false));
-    let backends: [Played; 4] = start_backends(&stuck, Duration::ZERO);
+    let backends: [ScriptedServer; 4] = start_backends(&stuck, Duration::ZERO);
     let mut settings = first_tier_settings(6.0);
     settings["n-instances"] = json!(2);
     let proxy = Proxy::start(&settings, &known_list(&backends.each_ref()), idle_discovery().address);
@@ -203,7 +211,7 @@
 #[test]
 fn short_stall_of_a_backend_rejects_no_request() {
     let stuck = Arc::new(AtomicBool::new(false));
-    let backends: [Played; 1] = start_backends(&stuck, Duration::ZERO);
+    let backends: [ScriptedServer; 1] = start_backends(&stuck, Duration::ZERO);
     let proxy =
         Proxy::start(&first_tier_settings(20.0), &known_list(&backends.each_ref()), idle_discovery().address);
     let ask = || proxy.exchange(&request_text("order", 19_000)).status();
@@ -224,7 +232,7 @@
 #[test]
 fn long_stall_of_a_backend_rejects_requests_long_before_the_client_timeout() {
     let stuck = Arc::new(AtomicBool::new(false));
-    let backends: [Played; 1] = start_backends(&stuck, Duration::ZERO);
+    let backends: [ScriptedServer; 1] = start_backends(&stuck, Duration::ZERO);
     let proxy =
         Proxy::start(&first_tier_settings(4.0), &known_list(&backends.each_ref()), idle_discovery().address);
     let ask = || {
--- a/crates/dewpier/tests/bad_clients.rs
+++ b/crates/dewpier/tests/bad_clients.rs
@@ -12,14 +12,14 @@
 
 /// Reads an error answer or the end of the connection, and returns the status of the answer.
 fn read_rejection(stream: &mut BufReader<TcpStream>) -> Option<u16> {
-    let status = read(stream).map(|m| m.status());
+    let status = read_message(stream).map(|m| m.status());
     assert!(status.is_none_or(|s| s >= 400), "{status:?}");
     status
 }
 
 #[test]
 fn idle_connections_are_closed_for_new_clients() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let mut config = build_config(&settings(), &known_list(&[&backend]));
     config["limits"]["sockets"] = json!(64);
     let proxy = Proxy::start_with_config(&config, idle_discovery().address);
@@ -28,7 +28,7 @@
         let mut connection = proxy.connect();
         wait_for("answer", || {
             let sent = connection.get_mut().write_all(request_text("look", 9000).as_bytes());
-            let is_served = sent.is_ok() && read(&mut connection).is_some_and(|m| m.status() == 200);
+            let is_served = sent.is_ok() && read_message(&mut connection).is_some_and(|m| m.status() == 200);
             if !is_served {
                 connection = proxy.connect();
                 std::thread::sleep(Duration::from_millis(50));
@@ -46,7 +46,7 @@
 
 #[test]
 fn client_that_replaces_a_silent_connection_is_served() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let mut config = build_config(&settings(), &known_list(&[&backend]));
     config["limits"]["sockets"] = json!(64); // capacity for 21 clients
     let proxy = Proxy::start_with_config(&config, idle_discovery().address);
@@ -56,7 +56,7 @@
     let mut served = Vec::new();
     for n in 0..15 {
         let mut stream = proxy.connect();
-        assert_eq!(ask(&mut stream, &request_text("look", 9000)).status(), 200, "client {n}");
+        assert_eq!(exchange(&mut stream, &request_text("look", 9000)).status(), 200, "client {n}");
         served.push(stream);
     }
     drop(silent);
@@ -64,14 +64,14 @@
 
 #[test]
 fn new_client_replaces_a_connection_that_is_idle_between_requests() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let mut config = build_config(&settings(), &known_list(&[&backend]));
     config["limits"]["sockets"] = json!(64); // capacity for 21 clients
     let proxy = Proxy::start_with_config(&config, idle_discovery().address);
     let mut idle = Vec::new();
     for n in 0..63 {
         let mut stream = proxy.connect();
-        assert_eq!(ask(&mut stream, &request_text("look", 9000)).status(), 200, "client {n}");
+        assert_eq!(exchange(&mut stream, &request_text("look", 9000)).status(), 200, "client {n}");
         idle.push(stream);
         // The longest idle time stays between 0.1 s and 2 s.
         std::thread::sleep(Duration::from_millis(40));
@@ -80,25 +80,25 @@
 
 #[test]
 fn connection_with_an_open_request_is_not_closed_for_new_clients() {
-    let (backend, release) = Played::held("hello");
+    let (backend, release) = ScriptedServer::with_held_response("hello");
     let mut config = build_config(&settings(), &known_list(&[&backend]));
     config["limits"]["sockets"] = json!(64);
     let proxy = Proxy::start_with_config(&config, idle_discovery().address);
     let mut busy = proxy.connect();
     busy.get_mut().write_all(request_text("order", 20_000).as_bytes()).unwrap();
-    wait_for("attempt", || backend.count() == 1);
+    wait_for("attempt", || backend.request_count() == 1);
     let silent: Vec<_> = (0..60).map(|_| proxy.connect()).collect();
     // All silent connections are closed in time; the one with an open request is not.
     for mut stream in silent {
         assert_eq!(read_rejection(&mut stream), None);
     }
     release.send(()).unwrap();
-    assert_eq!(read(&mut busy).expect("an answer").status(), 200);
+    assert_eq!(read_message(&mut busy).expect("an answer").status(), 200);
 }
 
 #[test]
 fn incomplete_requests_are_given_up_within_three_seconds() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let good = request_text("look", 9000);
     let start = Instant::now();
@@ -110,29 +110,29 @@
     });
     // The limit also holds on a connection that has already served a request.
     let mut second = proxy.connect();
-    assert_eq!(ask(&mut second, &request_text("look", 9000)).status(), 200);
+    assert_eq!(exchange(&mut second, &request_text("look", 9000)).status(), 200);
     second.get_mut().write_all(b"GET /api HT").unwrap();
     let statuses = streams.each_mut().map(read_rejection);
     assert_eq!(statuses, [None, None, Some(408)]);
     read_rejection(&mut second);
     // The limit is 3 s; a busy host may need longer.
     assert!(start.elapsed() < Duration::from_secs(15), "{:?}", start.elapsed());
-    assert_eq!(backend.count(), 1);
+    assert_eq!(backend.request_count(), 1);
 }
 
 #[test]
 fn idle_connection_is_kept() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let mut stream = proxy.connect();
-    assert_eq!(ask(&mut stream, &request_text("look", 9000)).status(), 200);
+    assert_eq!(exchange(&mut stream, &request_text("look", 9000)).status(), 200);
     std::thread::sleep(Duration::from_millis(3500));
-    assert_eq!(ask(&mut stream, &request_text("look", 9000)).status(), 200);
+    assert_eq!(exchange(&mut stream, &request_text("look", 9000)).status(), 200);
 }
 
 #[test]
 fn requests_with_ambiguous_framing_are_rejected() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let good = request_text("save", 9000);
     let hidden = format!("0\r\n\r\n{}", request_text("save", 9000));
@@ -153,14 +153,14 @@
         stream.get_mut().write_all(text.as_bytes()).unwrap();
         read_rejection(&mut stream);
         // Bytes after the request are not answered either.
-        assert!(read(&mut stream).is_none(), "{coding}");
+        assert!(read_message(&mut stream).is_none(), "{coding}");
     }
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
 
 #[test]
 fn malformed_request_is_rejected_and_its_connection_closed() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let (look, save, order) =
         (request_text("look", 9000), request_text("save", 9000), request_text("order", 9000));
@@ -181,20 +181,20 @@
         look.replace("GET /api?q=1", "CONNECT elsewhere:80"),
     ] {
         let mut stream = proxy.connect();
-        let reply = ask(&mut stream, &text);
+        let reply = exchange(&mut stream, &text);
         assert_eq!((reply.status(), reply.header("connection")), (400, Some("close")), "{text}");
-        assert!(read(&mut stream).is_none(), "{text}");
+        assert!(read_message(&mut stream).is_none(), "{text}");
     }
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
     // A remaining time above the maximum of the class is reduced to it.
     assert_eq!(proxy.exchange(&look.replace("9000", "4294967295")).status(), 200);
-    let sent = backend.requests.lock().unwrap()[0].clone();
+    let sent = backend.received_requests.lock().unwrap()[0].clone();
     assert!(sent.header("x-remaining-ms").unwrap().parse::<u64>().unwrap() <= 30_000);
 }
 
 #[test]
 fn endless_request_head_is_rejected() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let mut stream = proxy.connect();
     let _ = stream.get_mut().write_all(b"GET /api HTTP/1.1\r\n");
@@ -205,33 +205,33 @@
         }
     }
     read_rejection(&mut stream);
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
 
 #[test]
 fn duplicate_id_of_an_open_request_is_rejected_without_effect_on_it() {
-    let (backend, release) = Played::held("hello");
+    let (backend, release) = ScriptedServer::with_held_response("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let text = request_text("order", 20_000);
     let mut first = proxy.connect();
     first.get_mut().write_all(text.as_bytes()).unwrap();
-    wait_for("attempt", || backend.count() == 1);
+    wait_for("attempt", || backend.request_count() == 1);
     assert_eq!(proxy.exchange(&text).status(), 400);
     release.send(()).unwrap();
-    assert_eq!(read(&mut first).expect("an answer").status(), 200);
-    assert_eq!(backend.count(), 1);
+    assert_eq!(read_message(&mut first).expect("an answer").status(), 200);
+    assert_eq!(backend.request_count(), 1);
 }
 
 #[test]
 fn reused_id_is_not_answered_by_a_late_attempt_of_the_first_request() {
     // The first answer is late, and attempts are not cancelled.
-    let backend = Played::new(move |before, _| {
+    let backend = ScriptedServer::new(move |before, _| {
         if before == 0 {
             std::thread::sleep(Duration::from_millis(1500));
-            return Play::Answer(answer("200 OK", "first"));
+            return ScriptedReply::Respond(format_response("200 OK", "first"));
         }
         std::thread::sleep(Duration::from_millis(1500));
-        Play::Answer(answer("200 OK", "second"))
+        ScriptedReply::Respond(format_response("200 OK", "second"))
     });
     let mut settings = settings();
     settings["caps"]["cancel"] = json!(false);
@@ -241,5 +241,5 @@
     assert!(status != 200 && status != 503, "{status}");
     let again = proxy.exchange(&text.replace("X-Remaining-Ms: 600", "X-Remaining-Ms: 20000"));
     assert_eq!((again.status(), again.body.as_slice()), (200, b"second".as_slice()));
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 2);
+    assert_eq!(backend.connection_count.load(Ordering::SeqCst), 2);
 }
--- a/crates/dewpier/tests/client_gone.rs
+++ b/crates/dewpier/tests/client_gone.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::sockets::*;
-use dewpier_standins::message::reset;
+use dewpier_standins::message::reset_connection;
 use serde_json::json;
 use socket2::{Domain, Socket, Type};
 use std::io::{BufReader, Read, Write};
@@ -16,9 +16,9 @@
 const MAX_DETECTION_TIME: Duration = Duration::from_millis(700);
 
 /// A backend that never answers, and a channel that reports the end of an attempt there.
-fn silent_backend() -> (Played, Receiver<()>) {
+fn silent_backend() -> (ScriptedServer, Receiver<()>) {
     let (ended, end) = channel();
-    (Played::new(move |_, _| Play::Silence(ended.clone())), end)
+    (ScriptedServer::new(move |_, _| ScriptedReply::NeverRespond(ended.clone())), end)
 }
 
 /// Bytes that a client may have sent after its request before it disconnects.
@@ -36,18 +36,18 @@
 fn disconnect_is_noticed_behind_pipelined_bytes() {
     type Disconnect = fn(BufReader<TcpStream>);
     let disconnects: [(&str, Disconnect); 2] =
-        [("closes", |client| drop(client)), ("resets", |client| reset(client.into_inner()))];
+        [("closes", |client| drop(client)), ("resets", |client| reset_connection(client.into_inner()))];
     for (how, disconnect) in disconnects {
         for (description, bytes) in pipelined_bytes() {
             let (backend, end) = silent_backend();
             let proxy = Proxy::for_backends(&[&backend]);
             let mut client = proxy.connect();
             client.get_mut().write_all(request_text("order", 20_000).as_bytes()).unwrap();
-            wait_for("attempt", || backend.count() == 1);
+            wait_for("attempt", || backend.request_count() == 1);
             client.get_mut().write_all(&bytes).unwrap();
             let disconnected_at = Instant::now();
             disconnect(client);
-            heard(&end);
+            wait_for_close(&end);
             assert!(
                 disconnected_at.elapsed() < MAX_DETECTION_TIME,
                 "{how} behind {description}: {:?}",
@@ -64,44 +64,48 @@
     let mut client = proxy.connect();
     // The repeat timer fires after 0.4 of this time.
     client.get_mut().write_all(request_text("look", 2500).as_bytes()).unwrap();
-    wait_for("attempt", || first.count() + second.count() == 1);
+    wait_for("attempt", || first.request_count() + second.request_count() == 1);
     client.get_mut().write_all(request_text("look", 2500).as_bytes()).unwrap();
     drop(client);
-    let end = if first.count() == 1 { first_end } else { second_end };
-    heard(&end);
+    let end = if first.request_count() == 1 { first_end } else { second_end };
+    wait_for_close(&end);
     // All timers of the request have fired by then.
     std::thread::sleep(Duration::from_millis(2700));
-    assert_eq!(first.count() + second.count(), 1, "an attempt after the client has disconnected");
+    assert_eq!(
+        first.request_count() + second.request_count(),
+        1,
+        "an attempt after the client has disconnected"
+    );
 }
 
 #[test]
 fn pipelined_requests_are_served_in_order() {
-    let (backend, release) = Played::held("hello");
+    let (backend, release) = ScriptedServer::with_held_response("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let mut client = proxy.connect();
     client.get_mut().write_all(request_text("look", 9000).as_bytes()).unwrap();
-    wait_for("attempt", || backend.count() == 1);
+    wait_for("attempt", || backend.request_count() == 1);
     (0..3).for_each(|_| client.get_mut().write_all(request_text("order", 9000).as_bytes()).unwrap());
     release.send(()).unwrap();
     for _ in 0..4 {
-        assert_eq!(read(&mut client).expect("an answer").status(), 200);
+        assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
     }
-    assert_eq!(backend.count(), 4);
+    assert_eq!(backend.request_count(), 4);
 }
 
 #[test]
 fn connection_with_too_many_pipelined_bytes_closes_after_the_answer() {
-    let (backend, release) = Played::held("hello");
+    let (backend, release) = ScriptedServer::with_held_response("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let mut client = proxy.connect();
     client.get_mut().write_all(request_text("look", 9000).as_bytes()).unwrap();
-    wait_for("attempt", || backend.count() == 1);
+    wait_for("attempt", || backend.request_count() == 1);
     client.get_mut().write_all(&vec![b'x'; 3 << 20]).unwrap();
     release.send(()).unwrap();
-    let answer = read(&mut client).expect("an answer");
+    let answer = read_message(&mut client).expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(read(&mut client).is_none());
-    assert_eq!(backend.count(), 1);
+    assert!(read_message(&mut client).is_none());
+    assert_eq!(backend.request_count(), 1);
 }
 
 /// A backend on which connections are established late: its accept queue is full at first.
--- a/crates/dewpier/tests/common/sockets.rs
+++ b/crates/dewpier/tests/common/sockets.rs
@@ -3,10 +3,10 @@
 
 #![allow(dead_code)] // each test uses a part of this module
 #[allow(unused_imports)]
-pub use dewpier_standins::message::{Message, answer, ask, read};
-pub use dewpier_standins::played::{Play, Played};
+pub use dewpier_standins::message::{Message, exchange, format_response, read_message};
+pub use dewpier_standins::scripted_server::{ScriptedReply, ScriptedServer};
 #[allow(unused_imports)]
-pub use dewpier_standins::{LONG, heard, wait_for};
+pub use dewpier_standins::{WAIT_TIMEOUT, wait_for, wait_for_close};
 
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -45,8 +45,8 @@
 }
 
 /// A mock discovery service that never answers a request.
-pub fn idle_discovery() -> Played {
-    Played::new(|_, _| Play::Silence(channel().0))
+pub fn idle_discovery() -> ScriptedServer {
+    ScriptedServer::new(|_, _| ScriptedReply::NeverRespond(channel().0))
 }
 
 /// A running proxy process; it is killed on drop.
@@ -129,24 +129,24 @@
     }
 
     /// Starts a proxy with the default settings that knows these backends.
-    pub fn for_backends(backends: &[&Played]) -> Self {
+    pub fn for_backends(backends: &[&ScriptedServer]) -> Self {
         Self::start(&settings(), &known_list(backends), idle_discovery().address)
     }
 
     pub fn connect(&self) -> BufReader<TcpStream> {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         BufReader::new(stream)
     }
 
     pub fn exchange(&self, text: &str) -> Message {
-        ask(&mut self.connect(), text)
+        exchange(&mut self.connect(), text)
     }
 
     /// Makes an operator's call and returns the whole reply.
     pub fn call(&self, call: &str) -> String {
         let mut stream = TcpStream::connect(self.operator.expect("operators can call")).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream.write_all(format!("{call}\n").as_bytes()).unwrap();
         let mut reply = String::new();
         stream.read_to_string(&mut reply).unwrap();
@@ -174,8 +174,9 @@
     }
 }
 
-pub fn known_list(backends: &[&Played]) -> Value {
-    let backend_entry = |(i, b): (usize, &&Played)| list_entry(&format!("s-{i}"), b.address, "SERVING");
+pub fn known_list(backends: &[&ScriptedServer]) -> Value {
+    let backend_entry =
+        |(i, b): (usize, &&ScriptedServer)| list_entry(&format!("s-{i}"), b.address, "SERVING");
     discovery_list(1, true, &backends.iter().enumerate().map(backend_entry).collect::<Vec<_>>())
 }
 
--- a/crates/dewpier/tests/descriptors.rs
+++ b/crates/dewpier/tests/descriptors.rs
@@ -24,12 +24,12 @@
 fn is_served(proxy: &Proxy, body: &[u8]) -> bool {
     let mut client = proxy.connect();
     let sent = client.get_mut().write_all(request_text("look", 9000).as_bytes());
-    sent.is_ok() && read(&mut client).is_some_and(|m| m.status() == 200 && m.body == body)
+    sent.is_ok() && read_message(&mut client).is_some_and(|m| m.status() == 200 && m.body == body)
 }
 
 #[test]
 fn idle_clients_do_not_take_the_descriptors_of_others() {
-    let [old, new] = ["old", "new"].map(Played::good);
+    let [old, new] = ["old", "new"].map(ScriptedServer::always_ok);
     // Nothing listens at this address yet.
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut config = build_config(&settings(), &known_list(&[&old]));
@@ -54,10 +54,11 @@
     // Discovery returns with a new list.
     let new_list = discovery_list(2, true, &[list_entry("s-new", new.address, "SERVING")]).to_string();
     let started_at = Instant::now();
-    let _discovery = Played::at(discovery, move |_, message| match message.first.contains("since=2&") {
-        true => Play::Silence(std::sync::mpsc::channel().0),
-        false => Play::Answer(answer("200 OK", &new_list)),
-    });
+    let _discovery =
+        ScriptedServer::bind(discovery, move |_, message| match message.start_line.contains("since=2&") {
+            true => ScriptedReply::NeverRespond(std::sync::mpsc::channel().0),
+            false => ScriptedReply::Respond(format_response("200 OK", &new_list)),
+        });
     wait_for("answer of the new backend", || is_served(&proxy, b"new"));
     assert!(started_at.elapsed() < STALENESS_BOUND, "{:?}", started_at.elapsed());
     // The process is idle while nothing happens, with all those connections open.
--- a/crates/dewpier/tests/discovery_watch.rs
+++ b/crates/dewpier/tests/discovery_watch.rs
@@ -21,13 +21,13 @@
     settings
 }
 
-fn no_answer() -> Play {
-    Play::Silence(channel().0)
+fn no_answer() -> ScriptedReply {
+    ScriptedReply::NeverRespond(channel().0)
 }
 
 /// A mock discovery service whose list changes once, from one backend to another.
 struct ChangingDiscovery {
-    server: Played,
+    server: ScriptedServer,
     /// When the list changed.
     changed_at: Arc<Mutex<Option<Instant>>>,
 }
@@ -43,15 +43,18 @@
     /// has the new version.
     fn start(
         normal_calls: usize,
-        fault: impl Fn(usize) -> Option<Play> + Send + Sync + 'static,
-        change: impl Fn() -> Play + Send + Sync + 'static,
+        fault: impl Fn(usize) -> Option<ScriptedReply> + Send + Sync + 'static,
+        change: impl Fn() -> ScriptedReply + Send + Sync + 'static,
     ) -> Self {
         let changed_at: Arc<Mutex<Option<Instant>>> = Arc::default();
         let server_changed_at = changed_at.clone();
-        let server = Played::new(move |before, message| {
-            let has_new_version = message.first.contains(&format!("since={NEW_VERSION}&"));
+        let server = ScriptedServer::new(move |before, message| {
+            let has_new_version = message.start_line.contains(&format!("since={NEW_VERSION}&"));
             if before < normal_calls {
-                return Play::Answer(answer("200 OK", &discovery_list(OLD_VERSION, false, &[]).to_string()));
+                return ScriptedReply::Respond(format_response(
+                    "200 OK",
+                    &discovery_list(OLD_VERSION, false, &[]).to_string(),
+                ));
             }
             server_changed_at.lock().unwrap().get_or_insert_with(Instant::now);
             match fault(before - normal_calls) {
@@ -98,15 +101,15 @@
 /// backend.
 fn assert_applied_in_time(
     normal_calls: usize,
-    fault: impl Fn(usize) -> Option<Play> + Clone + Send + Sync + 'static,
+    fault: impl Fn(usize) -> Option<ScriptedReply> + Clone + Send + Sync + 'static,
     change: fn(SocketAddr, SocketAddr) -> Value,
-    encode: fn(&Value) -> Play,
+    encode: fn(&Value) -> ScriptedReply,
 ) {
     std::thread::scope(|scope| {
         for mode in MODES {
             let fault = fault.clone();
             scope.spawn(move || {
-                let [old, new] = ["old", "new"].map(Played::good);
+                let [old, new] = ["old", "new"].map(ScriptedServer::always_ok);
                 let (from, to) = (old.address, new.address);
                 let discovery =
                     ChangingDiscovery::start(normal_calls, fault, move || encode(&change(from, to)));
@@ -114,22 +117,25 @@
                     Proxy::start(&settings_with_mode(mode), &known_list(&[&old]), discovery.server.address);
                 let duration = discovery.time_until_applied(&proxy);
                 assert!(duration <= STALENESS_BOUND, "{mode}: {duration:?}");
-                let before = old.count();
+                let before = old.request_count();
                 (0..20).for_each(|_| {
                     assert_eq!(proxy.exchange(&request_text("look", 9000)).body, b"new", "{mode}")
                 });
-                assert_eq!(old.count(), before, "{mode}: sent to a backend that is not in service");
+                assert_eq!(old.request_count(), before, "{mode}: sent to a backend that is not in service");
             });
         }
     });
 }
 
-fn in_one_piece(list: &Value) -> Play {
-    Play::Answer(answer("200 OK", &list.to_string()))
+fn in_one_piece(list: &Value) -> ScriptedReply {
+    ScriptedReply::Respond(format_response("200 OK", &list.to_string()))
 }
 
 /// A fault of the first `calls` requests after the change.
-fn first(calls: usize, play: fn() -> Play) -> impl Fn(usize) -> Option<Play> + Clone + Send + Sync {
+fn first(
+    calls: usize,
+    play: fn() -> ScriptedReply,
+) -> impl Fn(usize) -> Option<ScriptedReply> + Clone + Send + Sync {
     move |call| (call < calls).then(play)
 }
 
@@ -152,25 +158,29 @@
 fn endless_slow_answer_is_recovered_in_time() {
     let trickle = || {
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{}", " ".repeat(100_000));
-        Play::Pieces(text, 1, Duration::from_millis(20))
+        ScriptedReply::RespondInChunks(text, 1, Duration::from_millis(20))
     };
     assert_applied_in_time(1, first(1, trickle), as_changes, in_one_piece);
     let head = || {
-        Play::Pieces("HTTP/1.1 200 OK\r\nX-A: ".to_string() + &"a".repeat(9000), 1, Duration::from_millis(20))
+        ScriptedReply::RespondInChunks(
+            "HTTP/1.1 200 OK\r\nX-A: ".to_string() + &"a".repeat(9000),
+            1,
+            Duration::from_millis(20),
+        )
     };
     assert_applied_in_time(1, first(1, head), as_whole, in_one_piece);
 }
 
 #[test]
 fn watches_closed_without_an_answer_are_recovered_in_time() {
-    assert_applied_in_time(1, first(4, || Play::Close), as_drain, in_one_piece);
+    assert_applied_in_time(1, first(4, || ScriptedReply::Close), as_drain, in_one_piece);
 }
 
 #[test]
 fn rejected_requests_are_recovered_in_time() {
     assert_applied_in_time(
         1,
-        first(4, || Play::Answer(answer("503 Service Unavailable", ""))),
+        first(4, || ScriptedReply::Respond(format_response("503 Service Unavailable", ""))),
         as_changes,
         in_one_piece,
     );
@@ -179,13 +189,16 @@
 #[test]
 fn invalid_answers_are_rejected_whole() {
     let truncated = || {
-        Play::Answer(answer("200 OK", r#"{"generation":7,"reset":true,"instances":[{"instanceId":"s-9"}"#))
+        ScriptedReply::Respond(format_response(
+            "200 OK",
+            r#"{"generation":7,"reset":true,"instances":[{"instanceId":"s-9"}"#,
+        ))
     };
     assert_applied_in_time(1, first(3, truncated), as_changes, in_one_piece);
     // One invalid entry: neither the list nor its version is applied.
     let invalid_entry = || {
         let invalid = json!({"instanceId": "s-0", "hostPort": "nowhere", "lifecycle": "SERVING"});
-        Play::Answer(answer("200 OK", &discovery_list(9, true, &[invalid]).to_string()))
+        ScriptedReply::Respond(format_response("200 OK", &discovery_list(9, true, &[invalid]).to_string()))
     };
     assert_applied_in_time(1, first(2, invalid_entry), as_changes, in_one_piece);
 }
@@ -193,17 +206,17 @@
 #[test]
 fn whole_list_instead_of_changes_removes_missing_backends() {
     assert_applied_in_time(0, first(0, no_answer), as_whole, in_one_piece);
-    assert_applied_in_time(1, first(1, || Play::Close), as_whole, in_one_piece);
+    assert_applied_in_time(1, first(1, || ScriptedReply::Close), as_whole, in_one_piece);
 }
 
 #[test]
 fn indented_and_fragmented_lists_are_accepted() {
     assert_applied_in_time(1, first(1, no_answer), as_changes, |list| {
-        Play::Answer(answer("200 OK", &serde_json::to_string_pretty(list).unwrap()))
+        ScriptedReply::Respond(format_response("200 OK", &serde_json::to_string_pretty(list).unwrap()))
     });
     assert_applied_in_time(1, first(1, no_answer), as_whole, |list| {
-        let text = answer("200 OK", &serde_json::to_string_pretty(list).unwrap());
-        Play::Pieces(text, 97, Duration::from_millis(5))
+        let text = format_response("200 OK", &serde_json::to_string_pretty(list).unwrap());
+        ScriptedReply::RespondInChunks(text, 97, Duration::from_millis(5))
     });
 }
 
@@ -212,7 +225,7 @@
     std::thread::scope(|scope| {
         for mode in MODES {
             scope.spawn(move || {
-                let [old, new] = ["old", "new"].map(Played::good);
+                let [old, new] = ["old", "new"].map(ScriptedServer::always_ok);
                 // Nothing listens at this address until the mock server starts.
                 let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
                 let proxy = Proxy::start(&settings_with_mode(mode), &known_list(&[&old]), address);
@@ -226,11 +239,11 @@
                 std::thread::sleep(Duration::from_secs(7));
                 let started_at = Instant::now();
                 let change = in_one_piece(&as_drain(old.address, new.address));
-                let Play::Answer(change) = change else { unreachable!() };
-                let _server = Played::at(address, move |_, message| {
-                    match message.first.contains(&format!("since={NEW_VERSION}&")) {
+                let ScriptedReply::Respond(change) = change else { unreachable!() };
+                let _server = ScriptedServer::bind(address, move |_, message| {
+                    match message.start_line.contains(&format!("since={NEW_VERSION}&")) {
                         true => no_answer(),
-                        false => Play::Answer(change.clone()),
+                        false => ScriptedReply::Respond(change.clone()),
                     }
                 });
                 wait_for("answer of the new backend", || {
@@ -245,26 +258,26 @@
 #[test]
 fn late_answer_of_the_previous_discovery_is_ignored() {
     for mode in MODES {
-        let [old, new] = ["old", "new"].map(Played::good);
+        let [old, new] = ["old", "new"].map(ScriptedServer::always_ok);
         let (release, held) = channel::<()>();
         let held = Mutex::new(held);
         // The late answer has a higher version and arrives after the second discovery service was asked.
         let late_list = discovery_list(99, true, &[list_entry("s-0", old.address, "SERVING")]).to_string();
         let has_answered = Arc::new(AtomicBool::new(false));
         let answered = has_answered.clone();
-        let first = Played::new(move |_, _| {
-            let _ = held.lock().unwrap().recv_timeout(LONG);
+        let first = ScriptedServer::new(move |_, _| {
+            let _ = held.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
             answered.store(true, Ordering::SeqCst);
-            Play::Answer(answer("200 OK", &late_list))
+            ScriptedReply::Respond(format_response("200 OK", &late_list))
         });
         let new_list = discovery_list(3, true, &[list_entry("s-new", new.address, "SERVING")]).to_string();
-        let second = Played::new(move |_, message| match message.first.contains("since=3&") {
+        let second = ScriptedServer::new(move |_, message| match message.start_line.contains("since=3&") {
             true => no_answer(),
-            false => Play::Answer(answer("200 OK", &new_list)),
+            false => ScriptedReply::Respond(format_response("200 OK", &new_list)),
         });
         let mut config = build_config(&settings_with_mode(mode), &known_list(&[&old]));
         let proxy = Proxy::start_with_config(&config, first.address);
-        wait_for("call", || first.count() >= 1);
+        wait_for("call", || first.request_count() >= 1);
         config["discovery"] = json!(second.address.to_string());
         proxy.write_config(&config);
         proxy.signal("-HUP");
@@ -274,10 +287,13 @@
         release.send(()).unwrap();
         wait_for("late answer", || has_answered.load(Ordering::SeqCst));
         // The next watch goes to the second discovery service, with its version.
-        wait_for("watch", || second.count() >= 3);
+        wait_for("watch", || second.request_count() >= 3);
         assert_eq!(proxy.exchange(&request_text("look", 9000)).body, b"new", "{mode}");
-        let requests = second.requests.lock().unwrap().clone();
-        assert!(requests[1..].iter().all(|call| call.first.contains("since=3&")), "{mode}: {requests:?}");
+        let requests = second.received_requests.lock().unwrap().clone();
+        assert!(
+            requests[1..].iter().all(|call| call.start_line.contains("since=3&")),
+            "{mode}: {requests:?}"
+        );
     }
 }
 
@@ -285,14 +301,18 @@
 fn proxy_without_backends_is_ready_soon_with_a_slow_discovery() {
     const READY_WITHIN: Duration = Duration::from_secs(6);
     for mode in MODES {
-        let backend = Played::good("hello");
+        let backend = ScriptedServer::always_ok("hello");
         let whole_list =
             discovery_list(3, true, &[list_entry("s-0", backend.address, "SERVING")]).to_string();
         // The first request is rejected, later answers are slow.
-        let discovery = Played::new(move |before, message| match before {
-            0 => Play::Answer(answer("503 Service Unavailable", "")),
-            _ if message.first.contains("since=3&") => no_answer(),
-            _ => Play::AnswerThen(String::new(), Duration::from_millis(900), answer("200 OK", &whole_list)),
+        let discovery = ScriptedServer::new(move |before, message| match before {
+            0 => ScriptedReply::Respond(format_response("503 Service Unavailable", "")),
+            _ if message.start_line.contains("since=3&") => no_answer(),
+            _ => ScriptedReply::RespondInTwoParts(
+                String::new(),
+                Duration::from_millis(900),
+                format_response("200 OK", &whole_list),
+            ),
         });
         let mut settings = settings_with_mode(mode);
         // The regular interval between requests is far longer than this test.
--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -3,8 +3,8 @@
 
 use dewpier_peers::{Key, Peers, Process, ProxyId, Topic, TopicHandler};
 use dewpier_standins::backend::Backend;
-use dewpier_standins::mesh::Way;
-use dewpier_standins::{LONG, wait_for};
+use dewpier_standins::mesh::LinkFaults;
+use dewpier_standins::{WAIT_TIMEOUT, wait_for};
 use dewpier_trials::record::Held;
 use dewpier_trials::schedule::Size;
 use dewpier_trials::stage::{SECRET, Settings, Stage};
@@ -67,12 +67,12 @@
     fn reached_by(&self, node: usize, since: Instant, count: usize) -> Option<Instant> {
         let window = Duration::from_millis(STALE_MS / 2);
         let mut arrivals = self.0.nodes[node].arrivals();
-        arrivals.retain(|a| a.at > since);
+        arrivals.retain(|a| a.received_at > since);
         let count_senders = |until: Instant| {
-            let within = arrivals.iter().filter(|a| a.at <= until && a.at + window > until);
-            within.map(|a| &a.order).collect::<HashSet<_>>().len()
+            let within = arrivals.iter().filter(|a| a.received_at <= until && a.received_at + window > until);
+            within.map(|a| &a.order_id).collect::<HashSet<_>>().len()
         };
-        arrivals.iter().map(|a| a.at).find(|at| count_senders(*at) >= count)
+        arrivals.iter().map(|a| a.received_at).find(|at| count_senders(*at) >= count)
     }
 }
 
@@ -88,7 +88,10 @@
         if reached_at.is_some_and(|at| at.elapsed() > fleet.0.bounds().avoided(lost) + SLACK) {
             break;
         }
-        assert!(reached_at.is_some() || since.elapsed() < 2 * LONG, "too few proxies send to the node");
+        assert!(
+            reached_at.is_some() || since.elapsed() < 2 * WAIT_TIMEOUT,
+            "too few proxies send to the node"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     for proxy in 0..PROXIES {
@@ -101,20 +104,26 @@
 #[test]
 fn bad_node_is_avoided_within_the_bound_unless_all_datagrams_are_lost() {
     let fleet = Fleet::start(1, 0);
-    assert!(is_avoided_in_time(&fleet, 2, 0.0, |b| b.slow(Duration::from_secs(60))), "a hanging node");
+    assert!(
+        is_avoided_in_time(&fleet, 2, 0.0, |b| b.set_response_time(Duration::from_secs(60))),
+        "a hanging node"
+    );
     assert!(fleet.held(0).iter().any(|h| h.node == 2 && h.kind == "silent"));
     // Half of all datagrams are lost, some are duplicated, and some are reordered.
     let delay = Duration::from_millis(50);
-    fleet.0.mesh.set(Way { lost: 500, doubled: 200, delay, cut: false }, |_, _| true);
-    assert!(is_avoided_in_time(&fleet, 5, 0.5, |b| b.fail(true)), "a node that answers 500");
+    fleet.0.mesh.set_faults(
+        LinkFaults { lost_per_mille: 500, duplicated_per_mille: 200, max_delay: delay, cut: false },
+        |_, _| true,
+    );
+    assert!(is_avoided_in_time(&fleet, 5, 0.5, |b| b.set_failing(true)), "a node that answers 500");
     assert!(fleet.0.figure(3, "datagrams_refused.doubled") > Some(0));
     // Without datagrams no proxy ejects a node, as its own evidence does not suffice.
-    fleet.0.mesh.set(Way { cut: true, ..Way::default() }, |_, _| true);
-    fleet.0.nodes[2].slow(Duration::from_millis(30));
-    fleet.0.nodes[5].fail(false);
+    fleet.0.mesh.set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |_, _| true);
+    fleet.0.nodes[2].set_response_time(Duration::from_millis(30));
+    fleet.0.nodes[5].set_failing(false);
     wait_for("verdicts to expire", || (0..PROXIES).all(|p| !fleet.ejects(p, 2) && !fleet.ejects(p, 5)));
     assert!(
-        !is_avoided_in_time(&fleet, 6, 0.0, |b| b.fail(true)),
+        !is_avoided_in_time(&fleet, 6, 0.0, |b| b.set_failing(true)),
         "the bound must not hold without datagrams"
     );
 }
@@ -126,21 +135,24 @@
     let fleet = Fleet::start(2, 1);
     let false_reporter = FalseReporter::start(&fleet);
     // Proxy 4 receives nothing, and nothing of proxy 5 arrives.
-    fleet.0.mesh.set(Way { cut: true, ..Way::default() }, |from, to| to == 4 || from == 5);
-    fleet.0.nodes[2].fail(true);
+    fleet
+        .0
+        .mesh
+        .set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |from, to| to == 4 || from == 5);
+    fleet.0.nodes[2].set_failing(true);
     wait_for("a verdict of all connected proxies", || {
         (0..PROXIES).filter(|p| ![4, 5].contains(p)).all(|p| fleet.ejects(p, 2))
     });
     assert!(!fleet.ejects(4, 2), "proxy 4 receives no evidence");
     // Proxy 7 is suspended with the verdict; meanwhile the node recovers.
     fleet.0.signal(7, "-STOP");
-    fleet.0.nodes[2].fail(false);
+    fleet.0.nodes[2].set_failing(false);
     let suspended_at = Instant::now();
     // False reports keep the verdict until two trials succeed within half of the bound. A proxy drawn for trials may not
     // have the node in its subset, so that several turns of a quarter of the bound may pass.
     let is_lifted = || (0..PROXIES).filter(|p| *p != 7).all(|p| !fleet.ejects(p, 2));
     while !is_lifted() {
-        assert!(suspended_at.elapsed() < 4 * LONG, "trials must end the verdict");
+        assert!(suspended_at.elapsed() < 4 * WAIT_TIMEOUT, "trials must end the verdict");
         std::thread::sleep(Duration::from_millis(50));
     }
     println!("trials ended the verdict after {:?}", suspended_at.elapsed());
@@ -149,7 +161,7 @@
     // The socket of the resumed proxy is full of old datagrams; its next verdicts follow within a round.
     std::thread::sleep(Duration::from_millis(5 * SEND_INTERVAL_MS));
     assert!(!fleet.ejects(7, 2), "the resumed proxy uses old evidence");
-    fleet.0.mesh.set(Way::default(), |_, _| true);
+    fleet.0.mesh.set_faults(LinkFaults::default(), |_, _| true);
     wait_for("datagrams between all proxies", || {
         (0..PROXIES).all(|p| fleet.0.figure(p, "partners_answering") == Some(PROXIES as u64))
     });
@@ -193,10 +205,10 @@
 impl FalseReporter {
     fn start(fleet: &Fleet) -> Self {
         let name = |i: usize| ProxyId::from_name(&format!("proxy-{i}"));
-        let socket = UdpSocket::bind(fleet.0.mesh.listen[PROXIES]).unwrap();
+        let socket = UdpSocket::bind(fleet.0.mesh.listen_addresses[PROXIES]).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
         let destinations: Vec<(ProxyId, SocketAddr)> =
-            (0..PROXIES).map(|i| (name(i), fleet.0.mesh.inlet(PROXIES, i))).collect();
+            (0..PROXIES).map(|i| (name(i), fleet.0.mesh.send_address(PROXIES, i))).collect();
         let id = |(i, b): (usize, &Backend)| NodeId::new(&format!("pricing-{i:02}"), &b.address.to_string());
         let nodes: Vec<NodeId> = fleet.0.nodes.iter().enumerate().map(id).collect();
         let is_over = Arc::new(AtomicBool::new(false));
--- a/crates/dewpier/tests/generated_settings.rs
+++ b/crates/dewpier/tests/generated_settings.rs
@@ -94,23 +94,23 @@
     let (settings, classes, tenant) = draw_settings(&mut rng);
     let arrivals: Arc<Mutex<HashMap<String, Vec<Arrival>>>> = Arc::default();
     // The id and the backend determine how a request ends, so that a repeat may end differently elsewhere.
-    let backends: Vec<Played> = (0..BACKENDS)
+    let backends: Vec<ScriptedServer> = (0..BACKENDS)
         .map(|number| {
             let arrivals = arrivals.clone();
-            Played::new(move |_, message| {
+            ScriptedServer::new(move |_, message| {
                 let id = message.header("x-txn").unwrap_or_default().to_string();
                 let ending = (u64::from_str_radix(&id, 16).unwrap_or(0) / 7 + 3 * number as u64 + seed) % 9;
                 let may_have_run = ending != 0;
                 arrivals.lock().unwrap().entry(id).or_default().push((Instant::now(), number, may_have_run));
                 match ending {
-                    0 => Play::Answer(
+                    0 => ScriptedReply::Respond(
                         "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n".into(),
                     ),
-                    1 => Play::Answer(answer("500 No", "")),
-                    2 => Play::Close,
-                    3 => Play::Silence(std::sync::mpsc::channel().0),
-                    4 => Play::Answer("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf".into()),
-                    _ => Play::Answer(answer("200 OK", "done")),
+                    1 => ScriptedReply::Respond(format_response("500 No", "")),
+                    2 => ScriptedReply::Close,
+                    3 => ScriptedReply::NeverRespond(std::sync::mpsc::channel().0),
+                    4 => ScriptedReply::Respond("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf".into()),
+                    _ => ScriptedReply::Respond(format_response("200 OK", "done")),
                 }
             })
         })
@@ -120,7 +120,7 @@
     let drain_received_at: Arc<Mutex<Option<Instant>>> = Arc::default();
     let entries = |state: &str| -> Vec<Value> {
         let state_of = |i: usize| if i + 1 == BACKENDS { state } else { "SERVING" };
-        let backend_entry = |(i, b): (usize, &Played)| {
+        let backend_entry = |(i, b): (usize, &ScriptedServer)| {
             let mut entry = list_entry(&format!("s-{i}"), b.address, state_of(i));
             entry["cell"] = json!(i / 2);
             entry
@@ -129,16 +129,19 @@
     };
     let drain_list = discovery_list(2, true, &entries("DRAINING")).to_string();
     let (drain_requested, server_received_at) = (is_drained.clone(), drain_received_at.clone());
-    let discovery = Played::new(move |_, message| {
-        if message.first.contains("since=2&") {
-            return Play::Silence(std::sync::mpsc::channel().0);
+    let discovery = ScriptedServer::new(move |_, message| {
+        if message.start_line.contains("since=2&") {
+            return ScriptedReply::NeverRespond(std::sync::mpsc::channel().0);
         }
         if !drain_requested.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(50));
-            return Play::Answer(answer("200 OK", &discovery_list(1, false, &[]).to_string()));
+            return ScriptedReply::Respond(format_response(
+                "200 OK",
+                &discovery_list(1, false, &[]).to_string(),
+            ));
         }
         server_received_at.lock().unwrap().get_or_insert_with(Instant::now);
-        Play::Answer(answer("200 OK", &drain_list))
+        ScriptedReply::Respond(format_response("200 OK", &drain_list))
     });
     let proxy = Proxy::start(&settings, &discovery_list(1, true, &entries("SERVING")), discovery.address);
     let classes_of: Vec<&Class> = (0..REQUESTS).map(|_| &classes[rng.below(classes.len())]).collect();
@@ -155,7 +158,7 @@
                 let mut client = proxy.connect();
                 let begun = Instant::now();
                 client.get_mut().write_all(format_request(class, tenant, *id).as_bytes()).unwrap();
-                let status = read(&mut client).map(|answer| answer.status());
+                let status = read_message(&mut client).map(|answer| answer.status());
                 (status, begun.elapsed())
             }));
         }
@@ -248,7 +251,7 @@
         assert!(!output.status.success(), "{place}");
         assert!(message.contains(place), "{place}: {message}");
         // On SIGHUP the proxy rejects the new settings and keeps the previous ones.
-        let backend = Played::good("hello");
+        let backend = ScriptedServer::always_ok("hello");
         let proxy = Proxy::for_backends(&[&backend]);
         proxy.write_config(&config);
         proxy.signal("-HUP");
--- a/crates/dewpier/tests/levels/main.rs
+++ b/crates/dewpier/tests/levels/main.rs
@@ -33,9 +33,8 @@
             });
             return totals;
         }
-        None => {
-            (0..seeds).for_each(|_| totals.add(Simulation::run(rng.number(), planner_bound, forwarder_bound)))
-        }
+        None => (0..seeds)
+            .for_each(|_| totals.add(Simulation::run(rng.next_u64(), planner_bound, forwarder_bound))),
     }
     println!("{drain_ms} ms: {totals:?}");
     // The simulations must contain every kind of fault.
--- a/crates/dewpier/tests/levels/world.rs
+++ b/crates/dewpier/tests/levels/world.rs
@@ -382,7 +382,7 @@
                 self.schedule(process_id, first, SimulationEvent::Tick);
             }
             ProcessId::Forwarder(f) => {
-                let seed = self.rng.number();
+                let seed = self.rng.next_u64();
                 self.forwarders[f] =
                     Some(Forwarder::new(self.now, seed, settings(f), slice(f), self.forwarder_bound));
                 for p in 0..PLANNERS {
--- a/crates/dewpier/tests/mysql.rs
+++ b/crates/dewpier/tests/mysql.rs
@@ -1,6 +1,6 @@
 //! `dewpier serve` with a MySQL front: a real client library, mock servers, a changing inventory, and the stop.
 
-use dewpier_standins::mysql::{Asked, MySqlServer, Reply};
+use dewpier_standins::mysql::{MySqlServer, ReceivedStatement, Reply};
 use dewpier_standins::wait_for;
 use dewpier_trials::served::*;
 use mysql::prelude::Queryable;
@@ -10,10 +10,10 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-fn answer(statement: &Asked) -> Reply {
+fn answer(statement: &ReceivedStatement) -> Reply {
     match statement.text.starts_with("SELECT") {
         true => Reply::Rows(vec!["a"], vec![vec![Some("7".into())]]),
-        false => Reply::Late(Duration::from_millis(300), Box::new(Reply::Ok(1, 0))),
+        false => Reply::Delayed(Duration::from_millis(300), Box::new(Reply::Ok(1, 0))),
     }
 }
 
@@ -81,7 +81,7 @@
     assert_eq!(servers[0].statements().len(), before);
 
     let running = std::thread::spawn(move || connection.query_drop("INSERT INTO t VALUES (2)"));
-    wait_for("statement", || servers[1].count("INSERT INTO t VALUES (2)") == 1);
+    wait_for("statement", || servers[1].count_statements("INSERT INTO t VALUES (2)") == 1);
     proxy.stop();
     assert!(running.join().unwrap().is_ok(), "the accepted statement must be answered");
     assert!(client(address).is_err());
--- a/crates/dewpier/tests/operate.rs
+++ b/crates/dewpier/tests/operate.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-fn start_with_operator(settings: &Value, backends: &[&Played]) -> Proxy {
+fn start_with_operator(settings: &Value, backends: &[&ScriptedServer]) -> Proxy {
     let mut config = build_config(settings, &known_list(backends));
     config["operator"] = json!("127.0.0.1:0");
     Proxy::start_with_config(&config, idle_discovery().address)
@@ -18,7 +18,7 @@
 
 #[test]
 fn calls_are_answered_despite_silent_and_malformed_callers() {
-    let backend = Played::good("a");
+    let backend = ScriptedServer::always_ok("a");
     let proxy = start_with_operator(&settings(), &[&backend]);
     let at = proxy.operator.unwrap();
     // Callers that send nothing, half a call, too many bytes or malformed calls, and stay connected.
@@ -45,13 +45,13 @@
     let vars = proxy.call("vars");
     assert!(vars.ends_with("\nEND\n") && vars.contains("edge_relay.members=1\n"), "{vars}");
     // A silent caller is disconnected.
-    callers[195].set_read_timeout(Some(LONG)).unwrap();
+    callers[195].set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     assert_eq!(callers[195].read(&mut [0; 64]).unwrap_or(0), 0);
 }
 
 #[test]
 fn no_operator_socket_is_opened_without_an_address() {
-    let backend = Played::good("a");
+    let backend = ScriptedServer::always_ok("a");
     let proxy = Proxy::for_backends(&[&backend]);
     assert_eq!(proxy.operator, None);
     let count_listeners = |table: &str| {
@@ -68,18 +68,18 @@
 
 #[test]
 fn drain_closes_all_connections_and_can_be_cancelled() {
-    let backend = Played::good("a");
+    let backend = ScriptedServer::always_ok("a");
     let proxy = start_with_operator(&settings(), &[&backend]);
     let ready = "GET /-/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n";
     wait_for("a yes", || proxy.exchange(ready).status() == 200);
     let (mut idle, mut silent, mut active) = (proxy.connect(), proxy.connect(), proxy.connect());
-    assert_eq!(ask(&mut idle, &request_text("look", 5000)).status(), 200);
+    assert_eq!(exchange(&mut idle, &request_text("look", 5000)).status(), 200);
     assert!(proxy.call("drain-on").starts_with("YES"));
     assert!(proxy.call("drain-on").starts_with("YES"), "repeated");
     assert_eq!(proxy.exchange(ready).status(), 503);
     assert!(proxy.call("check").starts_with("NO"));
     // An active client is served, and its connection is closed with the answer.
-    let answer = ask(&mut active, &request_text("look", 5000));
+    let answer = exchange(&mut active, &request_text("look", 5000));
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     // A new client is served in the same way.
     let late_answer = proxy.exchange(&request_text("look", 5000));
@@ -92,14 +92,14 @@
     assert!(proxy.call("check").starts_with("YES"));
     let mut client = proxy.connect();
     for _ in 0..2 {
-        let answer = ask(&mut client, &request_text("look", 5000));
+        let answer = exchange(&mut client, &request_text("look", 5000));
         assert_eq!((answer.status(), answer.header("connection")), (200, None));
     }
 }
 
 #[test]
 fn drains_lose_no_request_of_busy_clients() {
-    let backend = Played::good("a");
+    let backend = ScriptedServer::always_ok("a");
     let proxy = start_with_operator(&settings(), &[&backend]);
     wait_for("a yes", || proxy.call("check").starts_with("YES"));
     let is_over = AtomicBool::new(false);
@@ -108,7 +108,7 @@
             let (mut served, mut closed) = (0, 0);
             let mut stream = proxy.connect();
             while !is_over.load(Ordering::SeqCst) {
-                let answer = ask(&mut stream, &request_text("order", 10_000));
+                let answer = exchange(&mut stream, &request_text("order", 10_000));
                 assert_eq!(answer.status(), 200);
                 served += 1;
                 if answer.header("connection") == Some("close") {
@@ -130,20 +130,22 @@
         assert!(counts.iter().all(|(_, closed)| *closed > 0), "{counts:?}");
         let served: u64 = counts.iter().map(|(served, _)| served).sum();
         assert_eq!(proxy.metric("downstream_requests.order.completed"), served);
-        assert_eq!(backend.count() as u64, served);
+        assert_eq!(backend.request_count() as u64, served);
     });
 }
 
 #[test]
 fn metrics_match_what_clients_and_backends_saw() {
     // One backend closes the connection instead of every fifth answer, the other rejects every third request.
-    let closing = Played::new(|n, _| match n % 5 {
-        0 => Play::Close,
-        _ => Play::Answer(answer("200 OK", "a")),
+    let closing = ScriptedServer::new(|n, _| match n % 5 {
+        0 => ScriptedReply::Close,
+        _ => ScriptedReply::Respond(format_response("200 OK", "a")),
     });
-    let rejecting = Played::new(|n, _| match n % 3 {
-        0 => Play::Answer("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n".into()),
-        _ => Play::Answer(answer("200 OK", "b")),
+    let rejecting = ScriptedServer::new(|n, _| match n % 3 {
+        0 => ScriptedReply::Respond(
+            "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n".into(),
+        ),
+        _ => ScriptedReply::Respond(format_response("200 OK", "b")),
     });
     let proxy = start_with_operator(&settings(), &[&closing, &rejecting]);
     wait_for("a yes", || proxy.call("check").starts_with("YES"));
@@ -171,11 +173,14 @@
             );
         }
     }
-    assert_eq!(proxy.metric("upstream_requests"), (closing.count() + rejecting.count()) as u64);
+    assert_eq!(
+        proxy.metric("upstream_requests"),
+        (closing.request_count() + rejecting.request_count()) as u64
+    );
     assert_eq!(proxy.metric("pending"), 0);
     // An open request is pending, and it ends when its client disconnects.
     let (ended, _end) = std::sync::mpsc::channel();
-    let silent = Played::new(move |_, _| Play::Silence(ended.clone()));
+    let silent = ScriptedServer::new(move |_, _| ScriptedReply::NeverRespond(ended.clone()));
     let proxy = start_with_operator(&settings(), &[&silent]);
     wait_for("a yes", || proxy.call("check").starts_with("YES"));
     let mut client = proxy.connect();
@@ -190,7 +195,7 @@
 fn operate_command_calls_a_proxy_with_an_inventory() {
     let folder = std::env::temp_dir().join(format!("dw-operate-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let backend = Played::good("a");
+    let backend = ScriptedServer::always_ok("a");
     std::fs::write(folder.join("nodes.csv"), format!("id,address\na,{}\n", backend.address)).unwrap();
     let config = folder.join("dewpier.toml");
     let text = "listen = \"127.0.0.1:0\"\noperator = \"127.0.0.1:0\"\n[inventory]\nfile = \"nodes.csv\"\n";
@@ -225,7 +230,7 @@
 /// The platform's program ignores fleet settings: it opens no datagram socket and writes no snapshot file.
 #[test]
 fn the_platforms_program_belongs_to_no_fleet() {
-    let backend = Played::good("a");
+    let backend = ScriptedServer::always_ok("a");
     let mut config = build_config(&settings(), &known_list(&[&backend]));
     config["operator"] = json!("127.0.0.1:0");
     config["peers"] = json!(["127.0.0.1:9"]);
--- a/crates/dewpier/tests/planners.rs
+++ b/crates/dewpier/tests/planners.rs
@@ -2,9 +2,9 @@
 //! and all at once, and partitioned, while nodes drain.
 
 use dewpier_standins::backend::Backend;
-use dewpier_standins::load::{Load, Tally};
+use dewpier_standins::load::{LoadGenerator, ResponseCounts};
 use dewpier_standins::relay::Relay;
-use dewpier_standins::{own_addresses, wait_for};
+use dewpier_standins::{reserve_addresses, wait_for};
 use dewpier_trials::served::*;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 
 impl PlannerAddresses {
     fn new() -> Self {
-        let mut listen = own_addresses(6);
+        let mut listen = reserve_addresses(6);
         let cluster = listen.split_off(3);
         Self { listen, cluster }
     }
@@ -47,7 +47,7 @@
     planner.child.wait().unwrap();
 }
 
-fn start_load(address: SocketAddr, name: &'static str) -> Load {
+fn start_load(address: SocketAddr, name: &'static str) -> LoadGenerator {
     orders(address, name, 2, Duration::from_millis(2))
 }
 
@@ -67,7 +67,7 @@
 
 fn assert_orders_ran_once(backends: &[Backend]) {
     let mut orders: HashMap<String, usize> = HashMap::new();
-    for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order) {
+    for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order_id) {
         *orders.entry(order).or_default() += 1;
     }
     assert!(orders.len() > 100 && orders.values().all(|n| *n == 1), "an order ran twice");
@@ -84,9 +84,9 @@
     let mut planners: Vec<Served> = (0..3).map(|n| addresses.start(n, &file)).collect();
     wait_for_agreement(&planners, 0);
     let forwarders: Vec<Served> = ["f0", "f1"].map(|f| Served::forwarder(f, &addresses.listen)).into();
-    let loads: Vec<Load> =
+    let loads: Vec<LoadGenerator> =
         forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| start_load(f.address, n)).collect();
-    wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
+    wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
     let mut drained_at = Vec::new();
     for n in 0..3 {
         // Each planner is killed as soon as it has read a drain. The two others go on.
@@ -107,13 +107,13 @@
     // The drained nodes return once all three planners list them.
     replace(&file, good.as_bytes());
     wait_for_agreement(&planners, 0);
-    let counts = |from: usize| backends.iter().take(from).map(Backend::count).sum::<usize>();
+    let counts = |from: usize| backends.iter().take(from).map(Backend::request_count).sum::<usize>();
     let before = counts(3);
     wait_for("load on the returned nodes", || counts(3) > before + 5);
-    let mut tally = Tally::default();
+    let mut tally = ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
-    assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
-    assert!(tally.served > 500 && tally.refused <= 4, "{} of {} refused", tally.refused, tally.all());
+    assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
+    assert!(tally.served > 500 && tally.rejected <= 4, "{} of {} refused", tally.rejected, tally.total());
     assert_orders_ran_once(&backends);
     forwarders.into_iter().chain(planners).for_each(Served::stop);
 }
@@ -131,9 +131,9 @@
     let own_inventory = watched(&file);
     let forwarders: Vec<Served> =
         ["f0", "f1"].map(|f| Served::forwarder_with(f, &addresses.listen, &own_inventory)).into();
-    let loads: Vec<Load> =
+    let loads: Vec<LoadGenerator> =
         forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| start_load(f.address, n)).collect();
-    wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
+    wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
     let lines: Vec<usize> = planners.iter().map(Served::lines).collect();
     replace(&file, drained(&good, &[0]).as_bytes());
     let drained_at =
@@ -164,10 +164,10 @@
     let (third_drained_at, _) = planners[1].logged(lines, "backends from");
     std::thread::sleep(Duration::from_millis(1000));
     assert_eq!(late(&backends[2], third_drained_at), 0);
-    let mut tally = Tally::default();
+    let mut tally = ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
-    assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
-    assert!(tally.served > 500 && tally.refused <= 8, "{} of {} refused", tally.refused, tally.all());
+    assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
+    assert!(tally.served > 500 && tally.rejected <= 8, "{} of {} refused", tally.rejected, tally.total());
     assert_orders_ran_once(&backends);
     forwarders.into_iter().chain(planners).for_each(Served::stop);
 }
@@ -193,9 +193,9 @@
         .collect();
     wait_for_agreement(&planners, 0);
     let forwarders: Vec<Served> = ["f0", "f1"].map(|f| Served::forwarder(f, &addresses.listen)).into();
-    let loads: Vec<Load> =
+    let loads: Vec<LoadGenerator> =
         forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| start_load(f.address, n)).collect();
-    wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
+    wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
     let mut drained_nodes: Vec<(usize, Instant)> = Vec::new();
     let write = |planner_numbers: &[usize], drains: &[usize]| {
         let lines: Vec<usize> = planner_numbers.iter().map(|n| planners[*n].lines()).collect();
@@ -208,8 +208,8 @@
         let others: Vec<usize> = (0..3).filter(|n| *n != isolated).collect();
         let set_partition = |on: bool| {
             for other in &others {
-                own_relays[*other].cut(on && isolated != 1, on);
-                relays[*other][isolated].cut(on && isolated != 1, on);
+                own_relays[*other].set_blocked(on && isolated != 1, on);
+                relays[*other][isolated].set_blocked(on && isolated != 1, on);
             }
         };
         let before: Vec<usize> = drained_nodes.iter().map(|(node, _)| *node).collect();
@@ -247,12 +247,12 @@
     }
     write(&[0, 1, 2], &[]);
     wait_for_agreement(&planners, 0);
-    let before = backends[0].count();
-    wait_for("load on the returned nodes", || backends[0].count() > before + 2);
-    let mut tally = Tally::default();
+    let before = backends[0].request_count();
+    wait_for("load on the returned nodes", || backends[0].request_count() > before + 2);
+    let mut tally = ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
-    assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
-    assert!(tally.served > 500 && tally.refused <= 8, "{} of {} refused", tally.refused, tally.all());
+    assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
+    assert!(tally.served > 500 && tally.rejected <= 8, "{} of {} refused", tally.rejected, tally.total());
     assert_orders_ran_once(&backends);
     forwarders.into_iter().chain(planners).for_each(Served::stop);
 }
@@ -270,7 +270,7 @@
     wait_for_agreement(&planners, 0);
     let forwarder = Served::forwarder("f0", &addresses.listen);
     let load = start_load(forwarder.address, "f0");
-    wait_for("load on all", || backends.iter().all(|b| b.count() > 2));
+    wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
     let lines = planners[2].lines();
     replace(&files[2], drained(&good, &[0]).as_bytes());
     let (drained_at, _) = planners[2].logged(lines, "backends from");
@@ -289,12 +289,12 @@
         "the planner was expelled after {:?}",
         killed_at.elapsed()
     );
-    let before = backends[0].count();
+    let before = backends[0].request_count();
     wait_for("load on the node that only the expelled planner had drained", || {
-        backends[0].count() > before + 2
+        backends[0].request_count() > before + 2
     });
     let tally = load.stop();
-    assert_eq!((tally.failed, tally.lost, tally.refused), (0, 0, 0), "of {}", tally.all());
+    assert_eq!((tally.failed, tally.unanswered, tally.rejected), (0, 0, 0), "of {}", tally.total());
     planners.push(forwarder);
     planners.into_iter().for_each(Served::stop);
 }
@@ -314,8 +314,8 @@
     let settings = format!("nodes = {SLICE_SIZE}\n{}", watched(&file));
     let forwarder = Served::forwarder_with("f0", &addresses.listen, &settings);
     let load = start_load(forwarder.address, "f0");
-    let used_nodes = || -> Vec<usize> { (0..24).filter(|i| backends[*i].count() > 0).collect() };
-    wait_for("load", || backends.iter().map(Backend::count).sum::<usize>() > 500);
+    let used_nodes = || -> Vec<usize> { (0..24).filter(|i| backends[*i].request_count() > 0).collect() };
+    wait_for("load", || backends.iter().map(Backend::request_count).sum::<usize>() > 500);
     let first_used = used_nodes();
     assert!((2..=SLICE_SIZE).contains(&first_used.len()), "{first_used:?}");
     // A used node drains: the next node replaces it.
@@ -329,9 +329,9 @@
     assert_eq!(late(&backends[drained_node], drained_at), 0);
     planners.iter_mut().for_each(kill);
     forwarder.logged(0, "from its own watch");
-    let before: Vec<usize> = backends.iter().map(Backend::count).collect();
+    let before: Vec<usize> = backends.iter().map(Backend::request_count).collect();
     wait_for("load by its own watch", || {
-        backends.iter().zip(&before).map(|(b, n)| b.count() - n).sum::<usize>() > 500
+        backends.iter().zip(&before).map(|(b, n)| b.request_count() - n).sum::<usize>() > 500
     });
     assert_eq!(late(&backends[drained_node], drained_at), 0);
     let last_used = used_nodes();
@@ -343,8 +343,8 @@
     let descriptors = descriptors.unwrap_or(0); // 0 without /proc
     assert!(descriptors < 64, "{descriptors} descriptors for {SLICE_SIZE} nodes");
     let tally = load.stop();
-    assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
-    assert!(tally.refused <= 4, "{} of {} refused", tally.refused, tally.all());
+    assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
+    assert!(tally.rejected <= 4, "{} of {} refused", tally.rejected, tally.total());
     assert_orders_ran_once(&backends);
     forwarder.stop();
 }
@@ -362,22 +362,23 @@
     let forwarders: Vec<Served> = ["f0", "f1", "f2"]
         .map(|f| Served::forwarder_with(f, &addresses.listen, "[backends]\ncold_ms = 4000\n"))
         .into();
-    let loads: Vec<Load> =
+    let loads: Vec<LoadGenerator> =
         forwarders.iter().zip(["f0", "f1", "f2"]).map(|(f, n)| start_load(f.address, n)).collect();
-    wait_for("load on all", || backends.iter().take(6).all(|b| b.count() > 200));
+    wait_for("load on all", || backends.iter().take(6).all(|b| b.request_count() > 200));
     replace(&file, table(&backends).as_bytes());
-    wait_for("load on the new node", || backends[6].count() > 0);
+    wait_for("load on the new node", || backends[6].request_count() > 0);
     let (from, to) = (Instant::now(), Duration::from_secs(2));
     std::thread::sleep(to);
-    let count_arrivals =
-        |b: &Backend| b.arrivals().iter().filter(|a| a.at >= from && a.at < from + to).count();
+    let count_arrivals = |b: &Backend| {
+        b.arrivals().iter().filter(|a| a.received_at >= from && a.received_at < from + to).count()
+    };
     let cold = count_arrivals(&backends[6]);
     let warm_average = backends.iter().take(6).map(count_arrivals).sum::<usize>() / 6;
     // The cold node has 1/5 of its capacity at first and 3/5 after 2 s of 4 s; 3 times its capacity overloads it.
     assert!(cold <= 3 * 2 * warm_average / 5, "{cold} against {warm_average}");
     assert!(cold > 0 && warm_average > 50, "{cold} against {warm_average}");
-    let mut tally = Tally::default();
+    let mut tally = ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
-    assert_eq!((tally.failed, tally.lost), (0, 0), "of {}", tally.all());
+    assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
     forwarders.into_iter().chain(planners).for_each(Served::stop);
 }
--- a/crates/dewpier/tests/proxy.rs
+++ b/crates/dewpier/tests/proxy.rs
@@ -18,15 +18,15 @@
 
 #[test]
 fn request_and_answer_are_forwarded_unchanged() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     assert_eq!(proxy.exchange("GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n").status(), 200);
     let text = request_text("save", 9000);
     let answer = proxy.exchange(&text);
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"hello".as_slice()));
-    let forwarded = backend.requests.lock().unwrap()[0].clone();
+    let forwarded = backend.received_requests.lock().unwrap()[0].clone();
     assert_eq!(
-        (forwarded.first.as_str(), forwarded.body.as_slice()),
+        (forwarded.start_line.as_str(), forwarded.body.as_slice()),
         ("POST /api?q=1 HTTP/1.1", b"body".as_slice())
     );
     assert!(text.contains(&format!("X-Txn: {}\r\n", forwarded.header("x-txn").unwrap())));
@@ -37,7 +37,7 @@
 
 #[test]
 fn malformed_requests_get_status_400() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let good = request_text("look", 9000);
     for (from, to) in [
@@ -49,7 +49,7 @@
     ] {
         assert_eq!(proxy.exchange(&good.replace(from, to)).status(), 400, "{to}");
     }
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
     assert_eq!(proxy.exchange(&good).status(), 200);
 }
 
@@ -68,11 +68,12 @@
 
 #[test]
 fn unsafe_request_that_may_have_run_fails_without_a_retry() {
-    let backends = [Played::new(|_, _| Play::Close), Played::new(|_, _| Play::Close)];
+    let backends =
+        [ScriptedServer::new(|_, _| ScriptedReply::Close), ScriptedServer::new(|_, _| ScriptedReply::Close)];
     let proxy = Proxy::for_backends(&[&backends[0], &backends[1]]);
     let status = proxy.exchange(&request_text("order", 9000)).status();
     assert!(status != 200 && status != 429 && status != 503, "{status}");
-    assert_eq!(backends[0].count() + backends[1].count(), 1);
+    assert_eq!(backends[0].request_count() + backends[1].request_count(), 1);
 }
 
 #[test]
@@ -86,29 +87,31 @@
 #[test]
 fn connection_closed_by_the_backend_is_not_reused() {
     let (closed, end) = channel();
-    let backend = Played::new(move |_, _| Play::AnswerAndClose(answer("200 OK", "hello"), closed.clone()));
+    let backend = ScriptedServer::new(move |_, _| {
+        ScriptedReply::RespondAndClose(format_response("200 OK", "hello"), closed.clone())
+    });
     let proxy = Proxy::for_backends(&[&backend]);
     for _ in 0..5 {
         assert_eq!(proxy.exchange(&request_text("order", 9000)).status(), 200);
-        heard(&end);
+        wait_for_close(&end);
     }
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 5);
+    assert_eq!(backend.connection_count.load(Ordering::SeqCst), 5);
 }
 
 #[test]
 fn connection_is_reused() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     for _ in 0..10 {
         assert_eq!(proxy.exchange(&request_text("order", 9000)).status(), 200);
         std::thread::sleep(Duration::from_millis(100)); // a new connection must settle before it is reused
     }
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 1);
+    assert_eq!(backend.connection_count.load(Ordering::SeqCst), 1);
 }
 
 #[test]
 fn connection_near_its_idle_limit_is_not_reused() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let mut settings = settings();
     settings["caps"]["idle-close"] = json!(0.2);
     let proxy = Proxy::start(&settings, &known_list(&[&backend]), idle_discovery().address);
@@ -116,45 +119,45 @@
         assert_eq!(proxy.exchange(&request_text("order", 9000)).status(), 200);
         std::thread::sleep(Duration::from_millis(180));
     }
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 2);
+    assert_eq!(backend.connection_count.load(Ordering::SeqCst), 2);
 }
 
 #[test]
 fn client_of_a_silent_backend_gets_an_answer() {
     let (ended, end) = channel();
-    let backend = Played::new(move |_, _| Play::Silence(ended.clone()));
+    let backend = ScriptedServer::new(move |_, _| ScriptedReply::NeverRespond(ended.clone()));
     let proxy = Proxy::for_backends(&[&backend]);
     let start = Instant::now();
     let status = proxy.exchange(&request_text("order", 1500)).status();
     assert!(status != 200 && status != 429 && status != 503, "{status}");
     // The proxy counts from when it reads the request, which may be later on a busy host.
     assert!(start.elapsed() < Duration::from_millis(2000), "{:?}", start.elapsed());
-    heard(&end);
+    wait_for_close(&end);
 }
 
 #[test]
 fn attempt_ends_when_its_client_disconnects() {
     let (ended, end) = channel();
-    let backend = Played::new(move |_, _| Play::Silence(ended.clone()));
+    let backend = ScriptedServer::new(move |_, _| ScriptedReply::NeverRespond(ended.clone()));
     let proxy = Proxy::for_backends(&[&backend]);
     let mut client = proxy.connect();
     client.get_mut().write_all(request_text("order", 20_000).as_bytes()).unwrap();
-    wait_for("attempt", || backend.count() == 1);
+    wait_for("attempt", || backend.request_count() == 1);
     let disconnected_at = Instant::now();
     drop(client);
-    heard(&end);
+    wait_for_close(&end);
     assert!(disconnected_at.elapsed() < Duration::from_secs(10));
 }
 
 #[test]
 fn sigterm_loses_no_accepted_request() {
-    let (backend, release) = Played::held("hello");
+    let (backend, release) = ScriptedServer::with_held_response("hello");
     let mut proxy = Proxy::for_backends(&[&backend]);
     let mut idle = proxy.connect();
-    assert_eq!(ask(&mut idle, "GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n").status(), 200);
+    assert_eq!(exchange(&mut idle, "GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n").status(), 200);
     let mut busy = proxy.connect();
     busy.get_mut().write_all(request_text("order", 20_000).as_bytes()).unwrap();
-    wait_for("attempt", || backend.count() == 1);
+    wait_for("attempt", || backend.request_count() == 1);
     proxy.signal("-TERM");
     // Existing and new connections each serve more than one further request and are then closed.
     wait_for("stop", || proxy.exchange("GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n").status() == 503);
@@ -162,20 +165,20 @@
     let [first, unused] = &mut new;
     for stream in [0, 1, 0, 1] {
         let stream = if stream == 0 { &mut idle } else { &mut *first };
-        assert_eq!(ask(stream, &request_text("look", 20_000)).status(), 200);
+        assert_eq!(exchange(stream, &request_text("look", 20_000)).status(), 200);
     }
     for stream in [&mut idle, first, unused] {
-        assert!(read(stream).is_none(), "an idle connection is closed");
+        assert!(read_message(stream).is_none(), "an idle connection is closed");
     }
     release.send(()).unwrap();
-    assert_eq!(read(&mut busy).expect("an answer").status(), 200);
+    assert_eq!(read_message(&mut busy).expect("an answer").status(), 200);
     wait_for("exit", || proxy.child.try_wait().unwrap().is_some());
     assert_eq!(proxy.child.wait().unwrap().code(), Some(0));
 }
 
 #[test]
 fn incomplete_request_does_not_delay_the_exit() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let mut proxy = Proxy::for_backends(&[&backend]);
     let mut slow = proxy.connect();
     slow.get_mut().write_all(request_text("look", 9000).strip_suffix("dy").unwrap().as_bytes()).unwrap();
@@ -188,14 +191,14 @@
 
 #[test]
 fn nothing_is_sent_on_a_connection_established_after_the_grace_period() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let send = |send_deadline: Option<f64>| {
         let connections = Budget::new(4);
         let http = HttpUpstream {
             connections,
-            connect_timeout: LONG,
-            idle_close: LONG,
+            connect_timeout: WAIT_TIMEOUT,
+            idle_close: WAIT_TIMEOUT,
             probe_path: "/",
             reuse_policy: ReusePolicy::new(0.0),
             response_policy: ResponsePolicy::Platform,
@@ -225,13 +228,13 @@
         runtime.block_on(result).outcome
     };
     assert_eq!(send(Some(0.0)), Outcome::NoConnection);
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
     assert_eq!(send(None), Outcome::Served);
 }
 
 #[test]
 fn invalid_discovery_answers_are_retried_and_the_last_list_is_kept() {
-    let (old, new) = (Played::good("old"), Played::good("new"));
+    let (old, new) = (ScriptedServer::always_ok("old"), ScriptedServer::always_ok("new"));
     let changes = discovery_list(
         2,
         false,
@@ -239,19 +242,20 @@
     );
     let phase = Arc::new(AtomicUsize::new(0));
     let (current_phase, text) = (phase.clone(), changes.to_string());
-    let discovery = Played::new(move |before, _| match (before, current_phase.load(Ordering::SeqCst)) {
-        (0, _) => Play::Close,
-        (1, _) => Play::Answer(answer("503 Service Unavailable", "")),
-        (_, 0) => Play::Answer(answer("200 OK", "{\"generation\":")),
-        (_, 1) => Play::Answer(answer("200 OK", &text)),
-        _ => Play::Silence(channel().0),
-    });
+    let discovery =
+        ScriptedServer::new(move |before, _| match (before, current_phase.load(Ordering::SeqCst)) {
+            (0, _) => ScriptedReply::Close,
+            (1, _) => ScriptedReply::Respond(format_response("503 Service Unavailable", "")),
+            (_, 0) => ScriptedReply::Respond(format_response("200 OK", "{\"generation\":")),
+            (_, 1) => ScriptedReply::Respond(format_response("200 OK", &text)),
+            _ => ScriptedReply::NeverRespond(channel().0),
+        });
     let proxy = Proxy::start(&settings(), &known_list(&[&old]), discovery.address);
-    wait_for("further call", || discovery.count() >= 3);
+    wait_for("further call", || discovery.request_count() >= 3);
     assert_eq!(proxy.exchange(&request_text("look", 20_000)).body, b"old");
     phase.store(1, Ordering::SeqCst);
-    let is_next_watch = |m: &Message| m.first.contains("since=2&");
-    wait_for("list", || discovery.requests.lock().unwrap().iter().any(is_next_watch));
+    let is_next_watch = |m: &Message| m.start_line.contains("since=2&");
+    wait_for("list", || discovery.received_requests.lock().unwrap().iter().any(is_next_watch));
     assert_eq!(proxy.exchange(&request_text("look", 20_000)).body, b"new");
 }
 
@@ -266,38 +270,38 @@
 #[test]
 fn silent_watch_is_repeated_before_its_changes_count_as_received() {
     // Changes count as received 2 s after the wait that the request names, so that wait must be short.
-    let (old, new) = (Played::good("old"), Played::good("new"));
+    let (old, new) = (ScriptedServer::always_ok("old"), ScriptedServer::always_ok("new"));
     let whole_list = discovery_list(7, true, &[list_entry("s-1", new.address, "SERVING")]).to_string();
-    let discovery = Played::new(move |before, _| match before {
-        1 => Play::Answer(answer("200 OK", &whole_list)),
-        _ => Play::Silence(channel().0),
+    let discovery = ScriptedServer::new(move |before, _| match before {
+        1 => ScriptedReply::Respond(format_response("200 OK", &whole_list)),
+        _ => ScriptedReply::NeverRespond(channel().0),
     });
     let proxy = Proxy::start(&settings(), &known_list(&[&old]), discovery.address);
-    wait_for("third call", || discovery.count() >= 3);
-    let calls = discovery.requests.lock().unwrap();
-    let waits: Vec<(u64, u64)> = calls.iter().map(|call| since_and_wait(&call.first)).collect();
-    assert!(waits[0].0 == 1 && (1..=2000).contains(&waits[0].1), "{}", calls[0].first);
-    assert_eq!(waits[1], (1, 0), "{}", calls[1].first);
-    assert!(waits[2].0 == 7 && (1..=2000).contains(&waits[2].1), "{}", calls[2].first);
+    wait_for("third call", || discovery.request_count() >= 3);
+    let calls = discovery.received_requests.lock().unwrap();
+    let waits: Vec<(u64, u64)> = calls.iter().map(|call| since_and_wait(&call.start_line)).collect();
+    assert!(waits[0].0 == 1 && (1..=2000).contains(&waits[0].1), "{}", calls[0].start_line);
+    assert_eq!(waits[1], (1, 0), "{}", calls[1].start_line);
+    assert!(waits[2].0 == 7 && (1..=2000).contains(&waits[2].1), "{}", calls[2].start_line);
     drop(calls);
     assert_eq!(proxy.exchange(&request_text("look", 20_000)).body, b"new");
 }
 
 #[test]
 fn failed_list_request_is_repeated_in_subscribe_mode() {
-    let (old, new) = (Played::good("old"), Played::good("new"));
+    let (old, new) = (ScriptedServer::always_ok("old"), ScriptedServer::always_ok("new"));
     let whole_list = discovery_list(7, true, &[list_entry("s-1", new.address, "SERVING")]).to_string();
-    let discovery = Played::new(move |before, _| match before {
-        0 | 1 => Play::Answer(answer("503 Service Unavailable", "")),
-        2 => Play::Answer(answer("200 OK", &whole_list)),
-        _ => Play::Silence(channel().0),
+    let discovery = ScriptedServer::new(move |before, _| match before {
+        0 | 1 => ScriptedReply::Respond(format_response("503 Service Unavailable", "")),
+        2 => ScriptedReply::Respond(format_response("200 OK", &whole_list)),
+        _ => ScriptedReply::NeverRespond(channel().0),
     });
     let mut settings = settings();
     settings["registry-mode"] = json!("subscribe");
     settings["rules"]["ask-within"] = json!(1.0);
     let proxy = Proxy::start(&settings, &known_list(&[&old]), discovery.address);
-    wait_for("further watch", || discovery.count() >= 4);
-    let watch = discovery.requests.lock().unwrap()[3].first.clone();
+    wait_for("further watch", || discovery.request_count() >= 4);
+    let watch = discovery.received_requests.lock().unwrap()[3].start_line.clone();
     let (since, wait) = since_and_wait(&watch);
     assert!(since == 7 && (1..=1000).contains(&wait), "{watch}");
     assert_eq!(proxy.exchange(&request_text("look", 20_000)).body, b"new");
@@ -305,17 +309,21 @@
 
 #[test]
 fn stalled_list_answer_is_requested_again_long_before_its_deadline() {
-    let (old, new) = (Played::good("old"), Played::good("new"));
+    let (old, new) = (ScriptedServer::always_ok("old"), ScriptedServer::always_ok("new"));
     let changes = discovery_list(
         2,
         false,
         &[list_entry("s-0", old.address, "DELETED"), list_entry("s-1", new.address, "SERVING")],
     );
-    let whole_answer = answer("200 OK", &changes.to_string());
-    let discovery = Played::new(move |before, _| match before {
-        0 => Play::AnswerThen(whole_answer[..whole_answer.len() / 2].to_string(), 4 * LONG, String::new()),
-        1 => Play::Answer(whole_answer.clone()),
-        _ => Play::Silence(channel().0),
+    let whole_answer = format_response("200 OK", &changes.to_string());
+    let discovery = ScriptedServer::new(move |before, _| match before {
+        0 => ScriptedReply::RespondInTwoParts(
+            whole_answer[..whole_answer.len() / 2].to_string(),
+            4 * WAIT_TIMEOUT,
+            String::new(),
+        ),
+        1 => ScriptedReply::Respond(whole_answer.clone()),
+        _ => ScriptedReply::NeverRespond(channel().0),
     });
     let mut settings = settings();
     settings["registry-mode"] = json!("subscribe");
@@ -323,5 +331,5 @@
     settings["rules"]["ask-within"] = json!(40.0);
     let proxy = Proxy::start(&settings, &known_list(&[&old]), discovery.address);
     wait_for("the new list", || proxy.exchange(&request_text("look", 20_000)).body == b"new");
-    assert!(discovery.count() >= 2);
+    assert!(discovery.request_count() >= 2);
 }
--- a/crates/dewpier/tests/reload.rs
+++ b/crates/dewpier/tests/reload.rs
@@ -7,26 +7,28 @@
 use std::sync::mpsc::channel;
 
 /// A discovery service with one fixed list: a call that names another version receives the whole list.
-fn fixed_discovery(generation: u64, backend: &Played) -> Played {
+fn fixed_discovery(generation: u64, backend: &ScriptedServer) -> ScriptedServer {
     let whole_list = discovery_list(
         generation,
         true,
         &[list_entry(&format!("s-{generation}"), backend.address, "SERVING")],
     )
     .to_string();
-    Played::new(move |_, message| match message.first.contains(&format!("since={generation}&")) {
-        false => Play::Answer(answer("200 OK", &whole_list)),
-        true => Play::Silence(channel().0),
+    ScriptedServer::new(move |_, message| {
+        match message.start_line.contains(&format!("since={generation}&")) {
+            false => ScriptedReply::Respond(format_response("200 OK", &whole_list)),
+            true => ScriptedReply::NeverRespond(channel().0),
+        }
     })
 }
 
 #[test]
 fn sighup_takes_the_list_from_the_discovery_service_in_the_configuration() {
-    let backends = ["old", "new", "newest"].map(Played::good);
+    let backends = ["old", "new", "newest"].map(ScriptedServer::always_ok);
     let mut config = build_config(&settings(), &known_list(&[&backends[0]]));
     let first = idle_discovery();
     let mut proxy = Proxy::start_with_config(&config, first.address);
-    wait_for("watch", || first.count() == 1);
+    wait_for("watch", || first.request_count() == 1);
     assert_eq!(proxy.exchange(&request_text("look", 9000)).body, b"old");
     // Versions of different discovery services are not compared: the second one has a lower version.
     let mut discoveries = Vec::new();
@@ -36,10 +38,18 @@
         proxy.write_config(&config);
         proxy.signal("-HUP");
         wait_for("list", || proxy.exchange(&request_text("look", 9000)).body == name.as_bytes());
-        wait_for("watch", || discovery.count() >= 2);
-        let requests = discovery.requests.lock().unwrap().clone();
-        assert!(requests[0].first.starts_with("GET /api/targets?since=0&"), "{}", requests[0].first);
-        assert!(requests[1].first.contains(&format!("since={generation}&")), "{}", requests[1].first);
+        wait_for("watch", || discovery.request_count() >= 2);
+        let requests = discovery.received_requests.lock().unwrap().clone();
+        assert!(
+            requests[0].start_line.starts_with("GET /api/targets?since=0&"),
+            "{}",
+            requests[0].start_line
+        );
+        assert!(
+            requests[1].start_line.contains(&format!("since={generation}&")),
+            "{}",
+            requests[1].start_line
+        );
         discoveries.push(discovery);
     }
     // An invalid configuration changes nothing, also when it is repeated.
@@ -57,21 +67,21 @@
 #[test]
 fn discovery_that_cannot_send_changes_since_version_0_is_asked_for_its_list() {
     for rejects_watch in [true, false] {
-        let backends = ["old", "new"].map(Played::good);
+        let backends = ["old", "new"].map(ScriptedServer::always_ok);
         let whole_list =
             discovery_list(5, true, &[list_entry("s-new", backends[1].address, "SERVING")]).to_string();
         let partial_address = backends[0].address;
-        let discovery = Played::new(move |_, message| match message.first.as_str() {
-            "GET /api/targets HTTP/1.1" => Play::Answer(answer("200 OK", &whole_list)),
+        let discovery = ScriptedServer::new(move |_, message| match message.start_line.as_str() {
+            "GET /api/targets HTTP/1.1" => ScriptedReply::Respond(format_response("200 OK", &whole_list)),
             first if first.contains("since=0&") && rejects_watch => {
-                Play::Answer(answer("400 Bad Request", ""))
+                ScriptedReply::Respond(format_response("400 Bad Request", ""))
             }
             first if first.contains("since=0&") => {
                 // Only the changes since version 0, not the whole list.
                 let changes = discovery_list(5, false, &[list_entry("s-part", partial_address, "SERVING")]);
-                Play::Answer(answer("200 OK", &changes.to_string()))
+                ScriptedReply::Respond(format_response("200 OK", &changes.to_string()))
             }
-            _ => Play::Silence(channel().0),
+            _ => ScriptedReply::NeverRespond(channel().0),
         });
         let mut config = build_config(&settings(), &known_list(&[&backends[0]]));
         let proxy = Proxy::start_with_config(&config, idle_discovery().address);
--- a/crates/dewpier/tests/rulings.rs
+++ b/crates/dewpier/tests/rulings.rs
@@ -1,7 +1,7 @@
 //! Operator overrides: an override set at one of eight processes holds at all processes that receive it, ends everywhere
 //! in time, and reaches restarted processes.
 
-use dewpier_standins::mesh::Way;
+use dewpier_standins::mesh::LinkFaults;
 use dewpier_standins::wait_for;
 use dewpier_trials::schedule::Size;
 use dewpier_trials::stage::{Settings, Stage};
@@ -22,9 +22,9 @@
 
 /// Returns the proxies that have sent to a node after `since`.
 fn senders(stage: &Stage, node: usize, since: Instant) -> Vec<String> {
-    let arrivals = stage.nodes[node].arrivals().into_iter().filter(|a| a.at > since);
+    let arrivals = stage.nodes[node].arrivals().into_iter().filter(|a| a.received_at > since);
     let mut senders: Vec<String> =
-        arrivals.filter_map(|a| Some(a.order?.split('-').next()?.to_string())).collect();
+        arrivals.filter_map(|a| Some(a.order_id?.split('-').next()?.to_string())).collect();
     senders.sort();
     senders.dedup();
     senders
@@ -65,7 +65,7 @@
     assert!(call(&stage, 1, "avoid 8 pricing-05").starts_with("YES"));
     let ends_at = Instant::now() + Duration::from_secs(8);
     wait_for("the override at all proxies", || all_proxies(&|p| is_ejected(&stage, p, 5)));
-    stage.mesh.set(Way { cut: true, ..Way::default() }, |_, to| to == 6);
+    stage.mesh.set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |_, to| to == 6);
     assert!(call(&stage, 4, "as-seen pricing-05").starts_with("YES"));
     wait_for("the override to be cancelled", || all_proxies(&|p| p == 6 || !is_ejected(&stage, p, 5)));
     assert!(
@@ -76,7 +76,7 @@
     std::thread::sleep(settings().every + SLACK);
     assert!(!is_ejected(&stage, 6, 5), "the override holds after its end");
     // A restarted proxy receives the overrides and can cancel them.
-    stage.mesh.set(Way::default(), |_, _| true);
+    stage.mesh.set_faults(LinkFaults::default(), |_, _| true);
     stage.restart(2);
     wait_for("the overrides at the new process", || {
         (0..3).all(|node| stage.held(2).is_some() && is_ejected(&stage, 2, node))
@@ -95,7 +95,7 @@
     assert!(call(&stage, 3, "trust 600 pricing-01").starts_with("YES"));
     let is_trusted = |p: usize| call(&stage, p, "verdicts").contains("pricing-01: trust");
     wait_for("trust at all proxies", || (0..PROXIES).all(is_trusted));
-    stage.nodes[1].fail(true);
+    stage.nodes[1].set_failing(true);
     let has_verdict =
         |p: usize| stage.held(p).is_some_and(|h| h.iter().any(|h| h.node == 1 && h.kind == "failing"));
     wait_for("a verdict", || (0..PROXIES).any(has_verdict));
--- a/crates/dewpier/tests/serve.rs
+++ b/crates/dewpier/tests/serve.rs
@@ -1,10 +1,10 @@
 //! `dewpier serve` with plain clients and an inventory that changes under load.
 
 use dewpier_standins::backend::Backend;
-use dewpier_standins::load::{Load, Tally};
-use dewpier_standins::message::{answer, ask, read_head};
-use dewpier_standins::played::{Play, Played};
+use dewpier_standins::load::{LoadGenerator, ResponseCounts};
+use dewpier_standins::message::{exchange, format_response, read_head};
 use dewpier_standins::rng::Rng;
+use dewpier_standins::scripted_server::{ScriptedReply, ScriptedServer};
 use dewpier_standins::wait_for;
 use dewpier_trials::served::*;
 use std::collections::HashMap;
@@ -22,18 +22,18 @@
 }
 
 /// Starts clients that send quotes, and orders with every fifth request.
-fn start_load(address: std::net::SocketAddr, clients: usize) -> Load {
+fn start_load(address: std::net::SocketAddr, clients: usize) -> LoadGenerator {
     let script = |client: usize, n: u64| match n % 5 {
         0 => format_request("POST", "/orders", &format!("X-Order: {client}-{n}\r\n")),
         _ => format_request("GET", "/quotes/7", ""),
     };
-    Load::start(address, clients, Duration::from_millis(1), Arc::new(script))
+    LoadGenerator::start(address, clients, Duration::from_millis(1), Arc::new(script))
 }
 
 /// Checks that all requests were served and that no order ran more than once.
 #[track_caller]
-fn assert_all_served(tally: &Tally, backends: &[Backend]) {
-    assert_eq!((tally.refused, tally.failed, tally.lost), (0, 0, 0), "of {}", tally.all());
+fn assert_all_served(tally: &ResponseCounts, backends: &[Backend]) {
+    assert_eq!((tally.rejected, tally.failed, tally.unanswered), (0, 0, 0), "of {}", tally.total());
     assert!(tally.served > 0);
     assert_orders_ran_once(backends);
 }
@@ -41,7 +41,7 @@
 #[track_caller]
 fn assert_orders_ran_once(backends: &[Backend]) {
     let mut runs: HashMap<String, usize> = HashMap::new();
-    for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order) {
+    for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order_id) {
         *runs.entry(order).or_default() += 1;
     }
     assert!(!runs.is_empty());
@@ -52,21 +52,21 @@
 #[test]
 fn clients_get_the_answers_of_backends() {
     let respond = |_: usize, message: &dewpier_standins::message::Message| {
-        let path = message.first.split(' ').nth(1).unwrap_or_default().to_string();
-        Play::Answer(match path.as_str() {
+        let path = message.start_line.split(' ').nth(1).unwrap_or_default().to_string();
+        ScriptedReply::Respond(match path.as_str() {
             "/found" => "HTTP/1.1 302 Found\r\nLocation: /there\r\nConnection: x-hop\r\nX-Hop: 1\r\n\
                          Set-Cookie: a=1\r\nSet-Cookie: b=2\r\nContent-Length: 2\r\n\r\nok"
                 .into(),
-            "/none" => answer("404 Not Found", "none"),
-            "/busy" => answer("503 Service Unavailable", "busy"),
-            "/broken" => answer("500 Internal Server Error", "sorry"),
+            "/none" => format_response("404 Not Found", "none"),
+            "/busy" => format_response("503 Service Unavailable", "busy"),
+            "/broken" => format_response("500 Internal Server Error", "sorry"),
             "/head" => "HTTP/1.1 200 OK\r\nContent-Length: 1234\r\n\r\n".into(),
-            _ => answer("200 OK", "hello"),
+            _ => format_response("200 OK", "hello"),
         })
     };
     // A repeat goes to the other backend.
-    let backends = [Played::new(respond), Played::new(respond)];
-    let count_requests = || backends.iter().map(Played::count).sum::<usize>();
+    let backends = [ScriptedServer::new(respond), ScriptedServer::new(respond)];
+    let count_requests = || backends.iter().map(ScriptedServer::request_count).sum::<usize>();
     let settings = "default_port = 80\n[[class]]\nname = \"quote\"\neffect = \"keyed\"\nwindow_ms = 5000\n\
                     match = [{ methods = [\"POST\"], path = \"/quotes\" }]\n\
                     [[class]]\nname = \"brief\"\neffect = \"safe\"\ndeadline_ms = 900\naim_ms = 900\n\
@@ -74,37 +74,37 @@
     let table = format!("address\n{}\n{}\n", backends[0].address, backends[1].address);
     let served = Served::start("nodes.csv", table.as_bytes(), settings);
     let mut client = served.connect();
-    let answer = ask(&mut client, &format_request("GET", "/x", ""));
+    let answer = exchange(&mut client, &format_request("GET", "/x", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"hello".as_slice()));
-    let answer = ask(&mut client, &format_request("GET", "/found", ""));
+    let answer = exchange(&mut client, &format_request("GET", "/found", ""));
     let cookies: Vec<_> = answer.headers.iter().filter(|(n, _)| n == "set-cookie").collect();
     assert_eq!((answer.status(), answer.header("location"), cookies.len()), (302, Some("/there"), 2));
     assert_eq!(answer.header("x-hop"), None, "a header of the connection is not forwarded");
-    assert_eq!(ask(&mut client, &format_request("GET", "/none", "")).status(), 404);
+    assert_eq!(exchange(&mut client, &format_request("GET", "/none", "")).status(), 404);
     // The error of an unsafe request is forwarded; it may have run and is not sent again.
     let before = count_requests();
-    let answer = ask(&mut client, &format_request("POST", "/broken", ""));
+    let answer = exchange(&mut client, &format_request("POST", "/broken", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (500, b"sorry".as_slice()));
     assert_eq!(count_requests() - before, 1);
     // A 503 without the header of a rejection does not prove that the request was not run.
-    assert_eq!(ask(&mut client, &format_request("POST", "/busy", "")).status(), 502);
+    assert_eq!(exchange(&mut client, &format_request("POST", "/busy", "")).status(), 502);
     assert_eq!(count_requests() - before, 2);
     let before = before + 1;
-    let answer = ask(&mut served.connect(), &format_request("GET", "/broken", ""));
+    let answer = exchange(&mut served.connect(), &format_request("GET", "/broken", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (500, b"sorry".as_slice()));
     assert_eq!(count_requests() - before, 3, "a safe request is sent again");
     let mut client = served.connect();
     assert_eq!(
-        ask(&mut client, &format_request("POST", "/quotes/1", "Idempotency-Key: k\r\n")).status(),
+        exchange(&mut client, &format_request("POST", "/quotes/1", "Idempotency-Key: k\r\n")).status(),
         200
     );
-    let answer = ask(&mut client, &format_request("POST", "/quotes/1", ""));
+    let answer = exchange(&mut client, &format_request("POST", "/quotes/1", ""));
     assert_eq!(answer.status(), 400, "{}", String::from_utf8_lossy(&answer.body));
     let mut client = served.connect();
     client.get_mut().write_all(format_request("HEAD", "/head", "").as_bytes()).unwrap();
     let head = read_head(&mut client).unwrap();
     assert_eq!((head.status(), head.header("content-length")), (200, Some("1234")));
-    assert_eq!(ask(&mut client, &format_request("GET", "/x", "")).body, b"hello");
+    assert_eq!(exchange(&mut client, &format_request("GET", "/x", "")).body, b"hello");
     served.stop();
 }
 
@@ -165,14 +165,14 @@
     let backend = Backend::start("b", Duration::ZERO);
     let table = format!("id,address\na,localhost:{}\n", backend.address.port());
     let served = Served::start("n.csv", table.as_bytes(), "names = \"look-up\"");
-    assert_eq!(ask(&mut served.connect(), &format_request("GET", "/", "")).status(), 200);
+    assert_eq!(exchange(&mut served.connect(), &format_request("GET", "/", "")).status(), 200);
     // Two ids with the same address are rejected.
     let lines = served.lines();
     let duplicate_address = format!("{table}b,127.0.0.1:{}\n", backend.address.port());
     replace(&served.file, duplicate_address.as_bytes());
     let (_, line) = served.logged(lines, "the last good list serves on");
     assert!(line.contains("expected one node an address"), "{line}");
-    assert_eq!(ask(&mut served.connect(), &format_request("GET", "/", "")).status(), 200);
+    assert_eq!(exchange(&mut served.connect(), &format_request("GET", "/", "")).status(), 200);
 }
 
 /// Damages any text in the `n`-th way; returns the name of the damage and the new bytes.
@@ -339,7 +339,7 @@
     assert!(rejected > cases / 2 && rejected + read > cases * 9 / 10, "{rejected} rejected, {read} read");
     let tally = load.stop();
     // A flipped bit may yield a valid address without a listener: then another node answers.
-    assert_eq!((tally.failed, tally.lost, tally.refused), (0, 0, 0), "of {}", tally.all());
+    assert_eq!((tally.failed, tally.unanswered, tally.rejected), (0, 0, 0), "of {}", tally.total());
     assert!(tally.served > 100, "{}", tally.served);
     assert_orders_ran_once(backends);
     served.stop();
@@ -415,7 +415,7 @@
     std::fs::remove_file(&served.file).unwrap();
     served.logged(lines, "cannot read it");
     let tally = load.stop();
-    assert_eq!((tally.refused, tally.failed, tally.lost), (0, 0, 0), "of {}", tally.all());
+    assert_eq!((tally.rejected, tally.failed, tally.unanswered), (0, 0, 0), "of {}", tally.total());
     assert_orders_ran_once(&backends);
     served.stop();
 }
@@ -426,7 +426,7 @@
     let good = table(&backends);
     let served = Served::start("nodes.csv", good.as_bytes(), "settle_ms = 20\nmax_vanish = 0.9");
     let load = start_load(served.address, 8);
-    let has_load = |from: usize| backends[from..].iter().all(|b| b.count() > 20);
+    let has_load = |from: usize| backends[from..].iter().all(|b| b.request_count() > 20);
     wait_for("load on all", || has_load(0));
     // One node drains and one is removed; the others go on serving.
     let text: String = good
@@ -440,18 +440,18 @@
     std::thread::sleep(Duration::from_millis(1500));
     let grace = Duration::from_millis(500);
     for node in &backends[..2] {
-        let late = node.arrivals().iter().filter(|a| a.at > accepted + grace).count();
+        let late = node.arrivals().iter().filter(|a| a.received_at > accepted + grace).count();
         assert_eq!(late, 0);
     }
-    let counts: Vec<usize> = backends[2..].iter().map(|b| b.count()).collect();
+    let counts: Vec<usize> = backends[2..].iter().map(|b| b.request_count()).collect();
     wait_for("load on the rest", || {
-        backends[2..].iter().zip(&counts).all(|(b, count)| b.count() > count + 20)
+        backends[2..].iter().zip(&counts).all(|(b, count)| b.request_count() > count + 20)
     });
     // Both nodes return and are used again.
-    let before = [backends[0].count(), backends[1].count()];
+    let before = [backends[0].request_count(), backends[1].request_count()];
     replace(&served.file, good.as_bytes());
     let returned_at = Instant::now();
-    wait_for("return", || backends.iter().zip(before).take(2).all(|(b, n)| b.count() > n));
+    wait_for("return", || backends.iter().zip(before).take(2).all(|(b, n)| b.request_count() > n));
     println!("both nodes are used again after {:?}", returned_at.elapsed());
     assert_all_served(&load.stop(), &backends);
     served.stop();
@@ -462,15 +462,15 @@
     let backends = backends(4);
     let served = Served::start("nodes.csv", table(&backends).as_bytes(), "");
     let load = start_load(served.address, 8);
-    wait_for("load on all", || backends.iter().all(|b| b.count() > 20));
+    wait_for("load on all", || backends.iter().all(|b| b.request_count() > 20));
     for backend in &backends[..2] {
         backend.kill();
         std::thread::sleep(Duration::from_millis(200));
-        backend.revive();
+        backend.restart();
     }
     std::thread::sleep(Duration::from_millis(200));
     let tally = load.stop();
-    assert_eq!(tally.lost, 0, "every request must have an answer; {} failed", tally.failed);
+    assert_eq!(tally.unanswered, 0, "every request must have an answer; {} failed", tally.failed);
     assert_orders_ran_once(&backends);
     served.stop();
 }
--- a/crates/dewpier/tests/shutdown.rs
+++ b/crates/dewpier/tests/shutdown.rs
@@ -27,16 +27,16 @@
 /// Connects a client that has received an answer and is idle.
 fn connect_idle(proxy: &Proxy) -> BufReader<TcpStream> {
     let mut client = proxy.connect();
-    assert_eq!(ask(&mut client, &request_text("look", 9000)).status(), 200);
+    assert_eq!(exchange(&mut client, &request_text("look", 9000)).status(), 200);
     client
 }
 
 #[test]
 fn request_sent_after_the_connection_was_closed_is_not_forwarded() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let mut clients: Vec<_> = (0..8).map(|_| connect_idle(&proxy)).collect();
-    let before = backend.count();
+    let before = backend.request_count();
     let signalled_at = Instant::now();
     proxy.signal("-TERM");
     for client in &mut clients {
@@ -49,12 +49,12 @@
         assert_eq!(client.read(&mut [0; 64]).unwrap(), 0);
     }
     assert_exit_in_time(proxy, signalled_at);
-    assert_eq!(backend.count(), before, "forwarded after the connection was closed");
+    assert_eq!(backend.request_count(), before, "forwarded after the connection was closed");
 }
 
 #[test]
 fn half_received_request_is_answered() {
-    let backend = Played::good("hello");
+    let backend = ScriptedServer::always_ok("hello");
     let proxy = Proxy::for_backends(&[&backend]);
     let mut idle = connect_idle(&proxy);
     let text = request_text("order", 9000);
@@ -68,10 +68,11 @@
     assert_eq!(proxy.exchange(READY).status(), 200);
     let signalled_at = Instant::now();
     proxy.signal("-TERM");
-    assert!(read(&mut idle).is_none(), "idle connections are ended");
+    assert!(read_message(&mut idle).is_none(), "idle connections are ended");
     for (client, cut) in halves.iter_mut().zip(cuts) {
         client.get_mut().write_all(&text.as_bytes()[cut..]).unwrap();
-        let answer = read(client).unwrap_or_else(|| panic!("no answer to the request cut at {cut} bytes"));
+        let answer =
+            read_message(client).unwrap_or_else(|| panic!("no answer to the request cut at {cut} bytes"));
         // The second request has the id of the first, which has ended.
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
@@ -81,7 +82,7 @@
 #[test]
 fn clients_of_hanging_backends_are_answered_before_the_exit() {
     let (ended, end) = channel();
-    let backend = Played::new(move |_, _| Play::Silence(ended.clone()));
+    let backend = ScriptedServer::new(move |_, _| ScriptedReply::NeverRespond(ended.clone()));
     let mut settings = settings();
     // These clients wait longer than the process runs.
     for class in settings["classes"].as_array_mut().unwrap() {
@@ -96,7 +97,7 @@
             client
         })
         .collect();
-    wait_for("attempts", || backend.count() >= 3);
+    wait_for("attempts", || backend.request_count() >= 3);
     let signalled_at = Instant::now();
     proxy.signal("-TERM");
     let answers: Vec<_> = clients.iter_mut().map(|client| read_head(client).expect("an answer")).collect();
@@ -107,26 +108,26 @@
         "a request that may have run is not rejected: {order}"
     );
     assert_exit_in_time(proxy, signalled_at);
-    heard(&end);
+    wait_for_close(&end);
 }
 
 #[test]
 fn combined_and_repeated_signals_still_stop_the_proxy_in_order() {
     for signals in [["-TERM", "-HUP"], ["-HUP", "-TERM"], ["-TERM", "-TERM"]] {
-        let (backend, release) = Played::held("hello");
+        let (backend, release) = ScriptedServer::with_held_response("hello");
         let (first, second) = (idle_discovery(), idle_discovery());
         let mut config = build_config(&settings(), &known_list(&[&backend]));
         let proxy = Proxy::start_with_config(&config, first.address);
         let mut client = proxy.connect();
         client.get_mut().write_all(request_text("order", 3000).as_bytes()).unwrap();
-        wait_for("attempt", || backend.count() == 1);
+        wait_for("attempt", || backend.request_count() == 1);
         config["discovery"] = json!(second.address.to_string());
         proxy.write_config(&config);
         let signalled_at = Instant::now();
         signals.iter().for_each(|signal| proxy.signal(signal));
         wait_for("stop", || proxy.exchange(READY).status() == 503);
         release.send(()).unwrap();
-        assert_eq!(read(&mut client).expect("an answer").status(), 200, "{signals:?}");
+        assert_eq!(read_message(&mut client).expect("an answer").status(), 200, "{signals:?}");
         drop(client);
         assert_exit_in_time(proxy, signalled_at);
     }
@@ -144,7 +145,7 @@
 #[test]
 fn client_that_does_not_read_does_not_delay_the_exit() {
     let big: &'static str = Box::leak("x".repeat(60_000).into_boxed_str());
-    let backend = Played::good(big);
+    let backend = ScriptedServer::always_ok(big);
     let proxy = Proxy::for_backends(&[&backend]);
     let mut not_reading = proxy.connect();
     // More answers than the socket buffers hold; the client reads none.
--- a/crates/dewpier/tests/snapshot.rs
+++ b/crates/dewpier/tests/snapshot.rs
@@ -26,7 +26,7 @@
 /// avoid the node of an operator override.
 fn restart_all(snapshots: bool) -> (usize, usize) {
     let stage = start(5, snapshots);
-    stage.nodes[BAD].fail(true);
+    stage.nodes[BAD].set_failing(true);
     wait_for("a verdict of all proxies", || (0..PROXIES).all(|p| is_ejected(&stage, p, BAD)));
     assert!(stage.call(4, "avoid 600 pricing-06").is_some_and(|reply| reply.starts_with("YES")));
     wait_for("the override at all proxies", || (0..PROXIES).all(|p| is_ejected(&stage, p, 6)));
@@ -36,8 +36,8 @@
         wait_for("new snapshots of all proxies", || (0..PROXIES).all(|p| written(p) >= before[p] + 2));
     }
     // All datagrams are dropped from here on: a new process knows only its snapshot.
-    let cut = dewpier_standins::mesh::Way { cut: true, ..Default::default() };
-    stage.mesh.set(cut, |_, _| true);
+    let cut = dewpier_standins::mesh::LinkFaults { cut: true, ..Default::default() };
+    stage.mesh.set_faults(cut, |_, _| true);
     let killed_at = Instant::now();
     stage.restart_all();
     let count_ejected = |node: usize| (0..PROXIES).filter(|p| is_ejected(&stage, *p, node)).count();
@@ -53,7 +53,7 @@
     );
     if snapshots {
         // Restored evidence keeps aging: without new failures the verdict expires within the bound, the override stays.
-        stage.nodes[BAD].fail(false);
+        stage.nodes[BAD].set_failing(false);
         wait_for("the verdict to expire", || count_ejected(BAD) == 0);
         let max_duration = stage.bounds().stale + stage.bounds().every + Duration::from_secs(2);
         assert!(killed_at.elapsed() < max_duration, "the verdict expired after {:?}", killed_at.elapsed());
@@ -78,8 +78,8 @@
     let written = |p: usize| stage.figure(p, "snapshots_written").unwrap_or_default();
     let before: Vec<u64> = (0..PROXIES).map(written).collect();
     wait_for("new snapshots of all proxies", || (0..PROXIES).all(|p| written(p) >= before[p] + 2));
-    let cut = dewpier_standins::mesh::Way { cut: true, ..Default::default() };
-    stage.mesh.set(cut, |_, _| true);
+    let cut = dewpier_standins::mesh::LinkFaults { cut: true, ..Default::default() };
+    stage.mesh.set_faults(cut, |_, _| true);
     let valid = std::fs::read(stage.kept(1)).unwrap();
     let mut corrupted = valid.clone();
     corrupted[40] ^= 1;
@@ -129,17 +129,17 @@
 #[test]
 fn staleness_bound_holds_over_a_restart_unless_snapshots_are_postdated() {
     let stage = start(8, true);
-    stage.nodes[BAD].fail(true);
+    stage.nodes[BAD].set_failing(true);
     wait_for("a verdict of all proxies", || (0..PROXIES).all(|p| is_ejected(&stage, p, BAD)));
     let written = |p: usize| stage.figure(p, "snapshots_written").unwrap_or_default();
     let before: Vec<u64> = (0..PROXIES).map(written).collect();
     wait_for("new snapshots of all proxies", || (0..PROXIES).all(|p| written(p) >= before[p] + 2));
-    let cut = dewpier_standins::mesh::Way { cut: true, ..Default::default() };
-    stage.mesh.set(cut, |_, _| true);
+    let cut = dewpier_standins::mesh::LinkFaults { cut: true, ..Default::default() };
+    stage.mesh.set_faults(cut, |_, _| true);
     let files: Vec<Vec<u8>> = (0..PROXIES).map(|p| std::fs::read(stage.kept(p)).unwrap()).collect();
     let killed_at = Instant::now();
     (0..PROXIES).for_each(|p| stage.signal(p, "-KILL"));
-    stage.nodes[BAD].fail(false);
+    stage.nodes[BAD].set_failing(false);
     let bounds = stage.bounds();
     std::thread::sleep(bounds.stale + bounds.every);
     for (p, file) in files.iter().enumerate() {
@@ -165,11 +165,11 @@
 #[test]
 fn evidence_on_a_replaced_node_does_not_eject_its_successor() {
     let stage = start(7, false);
-    stage.nodes[BAD].fail(true);
+    stage.nodes[BAD].set_failing(true);
     wait_for("a verdict of all proxies", || (0..PROXIES).all(|p| is_ejected(&stage, p, BAD)));
     stage.relist(&[BAD]);
-    stage.nodes[BAD].fail(false);
-    let count = stage.nodes[BAD].count();
+    stage.nodes[BAD].set_failing(false);
+    let count = stage.nodes[BAD].request_count();
     stage.relist(&[]);
     let relisted_at = Instant::now();
     // A quarter of the evidence window: the old evidence would have ejected the node for all of it.
@@ -182,5 +182,5 @@
         );
         std::thread::sleep(Duration::from_millis(100));
     }
-    wait_for("traffic to the node", || stage.nodes[BAD].count() > count + 3);
+    wait_for("traffic to the node", || stage.nodes[BAD].request_count() > count + 3);
 }
--- a/crates/dewpier/tests/streams.rs
+++ b/crates/dewpier/tests/streams.rs
@@ -3,7 +3,7 @@
 #[path = "common/sockets.rs"]
 mod sockets;
 
-use dewpier_standins::bulk::{self, Bulk, Came, Framing};
+use dewpier_standins::bulk::{self, BulkServer, Framing, ReceivedBody};
 use dewpier_standins::message::read_head;
 use dewpier_standins::rng::Rng;
 use gannetproxy::engine::{
@@ -27,7 +27,7 @@
 /// The maximum resident memory of the process during the streams, in kB.
 const MAX_MEMORY_KB: u64 = 48 << 10;
 
-fn start_proxy(bulk: &Bulk) -> Proxy {
+fn start_proxy(bulk: &BulkServer) -> Proxy {
     let list = discovery_list(1, true, &[list_entry("s-0", bulk.address, "SERVING")]);
     let mut settings = settings();
     settings["projects"] = json!([{"name": "acme", "quota-per-s": 100_000.0, "share": 1.0}]);
@@ -40,9 +40,9 @@
 }
 
 /// Returns the size of a stream in bytes, the backend and the proxy.
-fn start_streaming() -> (usize, Bulk, Proxy) {
+fn start_streaming() -> (usize, BulkServer, Proxy) {
     let mb = std::env::var("STREAM_MB").ok().and_then(|mb| mb.parse().ok()).unwrap_or(STREAM_MB);
-    let bulk = Bulk::start();
+    let bulk = BulkServer::start();
     let proxy = start_proxy(&bulk);
     (mb * MB, bulk, proxy)
 }
@@ -61,10 +61,10 @@
 }
 
 /// Sends a request without a body and returns the answer's status and the received body.
-fn fetch(stream: &mut BufReader<TcpStream>, head: &str, wait: impl FnMut(usize)) -> (u16, Came) {
+fn fetch(stream: &mut BufReader<TcpStream>, head: &str, wait: impl FnMut(usize)) -> (u16, ReceivedBody) {
     stream.get_mut().write_all(format!("{head}Content-Length: 0\r\n\r\n").as_bytes()).unwrap();
     let answer = read_head(stream).expect("an answer");
-    (answer.status(), bulk::read(stream, &answer.headers, wait))
+    (answer.status(), bulk::read_body(stream, &answer.headers, wait))
 }
 
 #[test]
@@ -77,10 +77,14 @@
                 let mut stream = proxy.connect();
                 let (status, received) =
                     fetch(&mut stream, &head("order", &format!("size={size}&framing={framing}")), |_| {});
-                assert_eq!((status, received), (200, Came { size, right: true, whole: true }), "{framing}");
+                assert_eq!(
+                    (status, received),
+                    (200, ReceivedBody { size, is_correct: true, is_complete: true }),
+                    "{framing}"
+                );
                 // The connection stays usable.
                 let (status, received) = fetch(&mut stream, &head("look", "size=70000"), |_| {});
-                assert_eq!((status, received.size, received.right), (200, 70_000, true));
+                assert_eq!((status, received.size, received.is_correct), (200, 70_000, true));
             });
         }
     });
@@ -98,34 +102,35 @@
             let (proxy, framing) = (&proxy, [Framing::Length, Framing::Chunked][n % 2]);
             scope.spawn(move || {
                 let mut stream = proxy.connect();
-                bulk::write(stream.get_mut(), &head("order", "size=5"), framing, size, None).unwrap();
-                let answer = read(&mut stream).expect("an answer");
+                bulk::write_body(stream.get_mut(), &head("order", "size=5"), framing, size, None).unwrap();
+                let answer = read_message(&mut stream).expect("an answer");
                 assert_eq!(answer.status(), 200, "{framing:?}");
                 // The connection stays usable unless the answer closes it.
                 if answer.header("connection") == Some("close") {
                     stream = proxy.connect();
                 }
-                assert_eq!(ask(&mut stream, &request_text("look", 9000)).status(), 200);
+                assert_eq!(exchange(&mut stream, &request_text("look", 9000)).status(), 200);
             });
         }
     });
     assert!(max_memory_kb(&proxy) < MAX_MEMORY_KB, "{} kB", max_memory_kb(&proxy));
-    let short_bodies = bulk.bodies[1].load(Ordering::SeqCst);
-    assert_eq!(bulk.bodies[0].load(Ordering::SeqCst) + short_bodies, 2 * STREAMS);
+    let short_bodies = bulk.body_counts[1].load(Ordering::SeqCst);
+    assert_eq!(bulk.body_counts[0].load(Ordering::SeqCst) + short_bodies, 2 * STREAMS);
     assert_eq!(short_bodies, STREAMS, "short bodies are counted separately");
 }
 
 #[test]
 fn request_bodies_of_every_framing_and_size_arrive_unchanged() {
-    let bulk = Bulk::start();
+    let bulk = BulkServer::start();
     let proxy = start_proxy(&bulk);
     let mut stream = proxy.connect();
     let sizes = [0, 1, 65_535, 65_536, 65_537, 131_072, MB + 1];
     for size in sizes {
         for framing in [Framing::Length, Framing::Chunked] {
             for class in ["look", "save", "order"] {
-                bulk::write(stream.get_mut(), &head(class, "size=3"), framing, size, None).unwrap();
-                let answer = read(&mut stream).unwrap_or_else(|| panic!("no answer: {size} {framing:?}"));
+                bulk::write_body(stream.get_mut(), &head(class, "size=3"), framing, size, None).unwrap();
+                let answer =
+                    read_message(&mut stream).unwrap_or_else(|| panic!("no answer: {size} {framing:?}"));
                 assert_eq!(answer.status(), 200, "{size} {framing:?}");
                 // hyper closes a connection after trailers and announces it.
                 if answer.header("connection") == Some("close") {
@@ -135,12 +140,12 @@
         }
     }
     // Empty bodies are forwarded without a length and are not counted.
-    assert_eq!(bulk.bodies[0].load(Ordering::SeqCst), (sizes.len() - 1) * 6);
+    assert_eq!(bulk.body_counts[0].load(Ordering::SeqCst), (sizes.len() - 1) * 6);
     // An HTTP/1.0 client, a request target with the host, and a client that expects 100-continue.
     let old = head("look", "size=70000&framing=chunked").replace("HTTP/1.1", "HTTP/1.0");
     let mut stream = proxy.connect();
     let (status, received) = fetch(&mut stream, &old, |_| {});
-    assert_eq!((status, received), (200, Came { size: 70_000, right: true, whole: true }));
+    assert_eq!((status, received), (200, ReceivedBody { size: 70_000, is_correct: true, is_complete: true }));
     let absolute = head("look", "size=9").replace("GET /", "GET http://other.svc/");
     assert_eq!(fetch(&mut proxy.connect(), &absolute, |_| {}).0, 200);
     let mut stream = proxy.connect();
@@ -150,23 +155,26 @@
     assert_eq!(read_head(&mut stream).expect("an interim answer").status(), 100);
     let mut sent = 0;
     while sent < 100_000 {
-        let piece = bulk::part(sent, 100_000 - sent);
+        let piece = bulk::pattern_bytes(sent, 100_000 - sent);
         stream.get_mut().write_all(piece).unwrap();
         sent += piece.len();
     }
-    assert_eq!(read(&mut stream).expect("an answer").status(), 200);
+    assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
     // Two requests in one write.
     let mut stream = proxy.connect();
     let mut both = Vec::new();
-    bulk::write(&mut both, &head("look", "size=2"), Framing::Length, 100, None).unwrap();
+    bulk::write_body(&mut both, &head("look", "size=2"), Framing::Length, 100, None).unwrap();
     both.extend_from_slice(request_text("look", 9000).as_bytes());
     stream.get_mut().write_all(&both).unwrap();
-    assert_eq!([read(&mut stream).unwrap().status(), read(&mut stream).unwrap().status()], [200, 200]);
+    assert_eq!(
+        [read_message(&mut stream).unwrap().status(), read_message(&mut stream).unwrap().status()],
+        [200, 200]
+    );
 }
 
 #[test]
 fn truncated_answers_are_reported_as_truncated() {
-    let bulk = Bulk::start();
+    let bulk = BulkServer::start();
     let proxy = start_proxy(&bulk);
     let mut rng = Rng::from_env("SEED", 35);
     for n in 0..40 {
@@ -175,7 +183,7 @@
         let cut = 66_000 + rng.below(size - 66_000);
         let query = format!("size={size}&framing={framing}&cut={cut}");
         let (status, received) = fetch(&mut proxy.connect(), &head("order", &query), |_| {});
-        assert_eq!((status, received.right, received.whole), (200, true, false), "{query}");
+        assert_eq!((status, received.is_correct, received.is_complete), (200, true, false), "{query}");
         assert!(received.size <= cut, "{query}: {received:?}");
     }
     wait_for("all counted", || proxy.metric("pending") == 0);
@@ -185,7 +193,7 @@
 
 #[test]
 fn truncated_request_bodies_never_arrive_as_complete() {
-    let bulk = Bulk::start();
+    let bulk = BulkServer::start();
     let proxy = start_proxy(&bulk);
     let mut rng = Rng::from_env("SEED", 36);
     for n in 0..40 {
@@ -193,30 +201,30 @@
         let size = 70_000 + rng.below(MB);
         let cut = 66_000 + rng.below(size - 66_000);
         let mut stream = proxy.connect();
-        bulk::write(stream.get_mut(), &head("order", "size=5"), framing, size, Some(cut)).unwrap();
+        bulk::write_body(stream.get_mut(), &head("order", "size=5"), framing, size, Some(cut)).unwrap();
         stream.get_mut().shutdown(std::net::Shutdown::Write).unwrap();
-        let answer = read(&mut stream).map(|answer| answer.status());
+        let answer = read_message(&mut stream).map(|answer| answer.status());
         assert!(answer.is_none_or(|status| status >= 400), "{answer:?}");
     }
     wait_for("all ended", || proxy.metric("pending") == 0);
-    assert_eq!(bulk.bodies[0].load(Ordering::SeqCst), 0);
+    assert_eq!(bulk.body_counts[0].load(Ordering::SeqCst), 0);
     assert_eq!(proxy.metric("upstream_requests"), 0, "no complete request was sent");
 }
 
 #[test]
 fn answer_before_the_end_of_the_request_body_is_forwarded() {
-    let bulk = Bulk::start();
+    let bulk = BulkServer::start();
     let proxy = start_proxy(&bulk);
     let mut stream = proxy.connect();
     let text = format!("{}Content-Length: {}\r\n\r\n", head("order", "early=1"), 8 * MB);
     stream.get_mut().write_all(text.as_bytes()).unwrap();
-    stream.get_mut().write_all(bulk::part(0, 60_000)).unwrap();
-    assert_eq!(read(&mut stream).expect("an answer").status(), 503);
+    stream.get_mut().write_all(bulk::pattern_bytes(0, 60_000)).unwrap();
+    assert_eq!(read_message(&mut stream).expect("an answer").status(), 503);
 }
 
 #[test]
 fn slow_clients_with_a_sufficient_rate_are_served() {
-    let bulk = Bulk::start();
+    let bulk = BulkServer::start();
     let proxy = start_proxy(&bulk);
     std::thread::scope(|scope| {
         // 64 kB per second for 4 s, longer than any fixed limit of a short request.
@@ -229,12 +237,12 @@
             }
             let mut sent = 0;
             while sent < 256_000 {
-                let piece = bulk::part(sent, 6400.min(256_000 - sent));
+                let piece = bulk::pattern_bytes(sent, 6400.min(256_000 - sent));
                 stream.get_mut().write_all(piece).unwrap();
                 sent += piece.len();
                 std::thread::sleep(Duration::from_millis(100));
             }
-            assert_eq!(read(&mut stream).expect("an answer").status(), 200);
+            assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
         });
         let reads = scope.spawn(|| {
             let started_at = Instant::now();
@@ -243,7 +251,7 @@
             let (status, received) = fetch(&mut stream, &head("order", &query), |read| {
                 std::thread::sleep(Duration::from_secs(4).mul_f64(read as f64 / size as f64));
             });
-            assert_eq!((status, received), (200, Came { size, right: true, whole: true }));
+            assert_eq!((status, received), (200, ReceivedBody { size, is_correct: true, is_complete: true }));
             assert!(started_at.elapsed() > Duration::from_secs(3), "the client did not read slowly");
         });
         uploads.join().unwrap();
@@ -253,7 +261,7 @@
 
 #[test]
 fn stalled_long_bodies_do_not_block_short_requests() {
-    let bulk = Bulk::start();
+    let bulk = BulkServer::start();
     let proxy = start_proxy(&bulk);
     // Two times the capacity.
     let mut stalled = Vec::new();
@@ -264,7 +272,7 @@
         stream.get_mut().write_all(text.as_bytes()).unwrap();
         // A rejection arrives at once; the other requests get no answer yet.
         stream.get_mut().set_read_timeout(Some(Duration::from_millis(20))).unwrap();
-        rejected += usize::from(read(&mut stream).is_some_and(|answer| answer.status() == 503));
+        rejected += usize::from(read_message(&mut stream).is_some_and(|answer| answer.status() == 503));
         stalled.push(stream);
     }
     assert!(rejected > 0, "no request was rejected");
@@ -334,7 +342,7 @@
             max_attempts: 4,
             ..Settings::default()
         };
-        let limits = EngineLimits { drain_grace: LONG, max_open_requests: 10 };
+        let limits = EngineLimits { drain_grace: WAIT_TIMEOUT, max_open_requests: 10 };
         let engine = Engine::start(settings, limits, 7, ClaimingUpstream(claims.clone()));
         let listed_backend = |n| ListedBackend {
             entry: BackendEntry { id: BackendId(n), ..BackendEntry::default() },
@@ -347,7 +355,7 @@
         ]));
         let request = Request { budget: 15.0, ..Request::default() };
         let (_, answer) = engine.submit_request(None, request, ()).unwrap();
-        let result = tokio::time::timeout(LONG, answer).await.expect("an answer in time");
+        let result = tokio::time::timeout(WAIT_TIMEOUT, answer).await.expect("an answer in time");
         assert!(matches!(result, Ok(Answer::Served(()))));
         tokio::time::sleep(Duration::from_millis(200)).await;
         assert_eq!(
--- a/crates/dewpier/tests/upgrade.rs
+++ b/crates/dewpier/tests/upgrade.rs
@@ -25,7 +25,7 @@
     folder
 }
 
-fn operator_config(backends: &[&Played]) -> Value {
+fn operator_config(backends: &[&ScriptedServer]) -> Value {
     let mut config = build_config(&settings(), &known_list(backends));
     config["operator"] = json!("127.0.0.1:0");
     config
@@ -35,10 +35,10 @@
     proxy.call("check").starts_with("YES")
 }
 
-fn start_backend() -> Played {
-    Played::new(|_, _| {
+fn start_backend() -> ScriptedServer {
+    ScriptedServer::new(|_, _| {
         std::thread::sleep(Duration::from_millis(2));
-        Play::Answer(answer("200 OK", "done"))
+        ScriptedReply::Respond(format_response("200 OK", "done"))
     })
 }
 
@@ -51,11 +51,11 @@
 }
 
 /// Returns the request ids that reached the backends more than once.
-fn duplicate_ids(backends: &[&Played]) -> Vec<String> {
+fn duplicate_ids(backends: &[&ScriptedServer]) -> Vec<String> {
     let mut seen = HashSet::new();
     let mut duplicates = Vec::new();
     for backend in backends {
-        for message in backend.requests.lock().unwrap().iter() {
+        for message in backend.received_requests.lock().unwrap().iter() {
             let id = message.header("x-txn").unwrap().to_string();
             if !seen.insert(id.clone()) {
                 duplicates.push(id);
@@ -84,7 +84,7 @@
     fn run(&self, address: std::net::SocketAddr) {
         let connect = || {
             let stream = TcpStream::connect(address).ok()?;
-            stream.set_read_timeout(Some(LONG)).unwrap();
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
             Some(BufReader::new(stream))
         };
         let mut connection = connect();
@@ -97,7 +97,7 @@
                 continue;
             };
             let sent = stream.get_mut().write_all(request_text("order", 10_000).as_bytes());
-            match sent.ok().and_then(|()| read(stream)) {
+            match sent.ok().and_then(|()| read_message(stream)) {
                 Some(answer) if answer.status() == 200 => {
                     add(&self.served);
                     if answer.header("connection") == Some("close") {
@@ -167,7 +167,7 @@
             let new = start(&address.to_string());
             wait_for("a yes of the new process", || is_accepting(&new));
             wait_for("a no of the old process", || !is_accepting(&old));
-            std::thread::sleep(Duration::from_millis(rng.number() % 40));
+            std::thread::sleep(Duration::from_millis(rng.next_u64() % 40));
             stop_in_order(std::mem::replace(&mut old, new));
             let unanswered = orders.counts()[1] - unanswered;
             assert!(unanswered <= 2, "{unanswered} unanswered in upgrade {n}");
@@ -178,7 +178,7 @@
     println!("{served} served, {unanswered} unanswered in {upgrades} upgrades");
     assert_eq!(failed, 0);
     assert_eq!(duplicate_ids(&all), Vec::<String>::new());
-    let received = backends.iter().map(Played::count).sum::<usize>() as u64;
+    let received = backends.iter().map(ScriptedServer::request_count).sum::<usize>() as u64;
     assert!(
         (served..=served + unanswered).contains(&received),
         "{received} received, {served} served, {unanswered} unanswered"
@@ -275,7 +275,7 @@
 fn process_that_takes_over_requests_changes_at_once() {
     let backends = [start_backend(), start_backend()];
     let (channel, _ended) = std::sync::mpsc::channel();
-    let lists = Played::new(move |_, _| Play::Silence(channel.clone()));
+    let lists = ScriptedServer::new(move |_, _| ScriptedReply::NeverRespond(channel.clone()));
     // A process without a predecessor would delay its first request.
     let mut config = operator_config(&[&backends[0], &backends[1]]);
     config["settings"]["registry-mode"] = json!("subscribe");
@@ -283,16 +283,16 @@
     let folder = folder("asks");
     let old = Proxy::start_at("127.0.0.1:0", &config, lists.address, &folder).unwrap();
     wait_for("a yes", || is_accepting(&old));
-    let before = lists.count();
+    let before = lists.request_count();
     let new = Proxy::start_at(&old.address.to_string(), &config, lists.address, &folder).unwrap();
     wait_for("a yes of the new process", || is_accepting(&new));
-    wait_for("a request for changes", || lists.count() > before);
+    wait_for("a request for changes", || lists.request_count() > before);
     assert!(before <= 1 && old.address == new.address);
 }
 
 #[test]
 fn stopping_process_refuses_connections_while_it_sends_its_last_answers() {
-    let (held, release) = Played::held("done");
+    let (held, release) = ScriptedServer::with_held_response("done");
     let mut config = operator_config(&[&held]);
     // The process serves for at least half of this time plus 0.7 s after SIGTERM.
     for class in 0..3 {
@@ -310,11 +310,11 @@
     let mut stream = successor.connect();
     std::thread::sleep(Duration::from_millis(1500));
     stream.get_mut().write_all(request_text("order", 2900).as_bytes()).unwrap();
-    wait_for("an attempt", || held.count() == 1);
+    wait_for("an attempt", || held.request_count() == 1);
     wait_for("a refused connection", || TcpStream::connect(address).is_err());
     assert!(successor.child.try_wait().unwrap().is_none(), "the process must stay until its last answer");
     release.send(()).unwrap();
-    assert_eq!(read(&mut stream).expect("an answer").status(), 200);
+    assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
     wait_for("exit", || successor.child.try_wait().unwrap().is_some());
     assert_eq!(successor.child.wait().unwrap().code(), Some(0));
 }
