--- a/crates/dewpier/src/lists/resolve.rs
+++ b/crates/dewpier/src/lists/resolve.rs
@@ -1,7 +1,7 @@
 //! Resolves the host names of an inventory to addresses. Names are looked up only if the configuration allows host
 //! names, and only when a list is read: a changed DNS entry takes effect with the next change of the inventory.
 
-use dewpier_inventory::{Backend, Host, Place};
+use dewpier_inventory::{Backend, Host, Position};
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -25,33 +25,33 @@
     )]
     HostNameNotAllowed {
         /// The node's position in the file.
-        at: Place,
+        at: Position,
         /// The node's id.
         id: String,
         /// The host name.
         name: String,
     },
     /// A host name without an address.
-    #[error("{at}: expected a host name that can be looked up, found {name}: {why}")]
+    #[error("{at}: expected a host name that can be looked up, found {name}: {reason}")]
     NotFound {
         /// The node's position in the file.
-        at: Place,
+        at: Position,
         /// The host name.
         name: String,
         /// The error of the lookup.
-        why: String,
+        reason: String,
     },
     /// Two nodes with the same address.
     #[error("{at}: expected one node an address, found '{id}' and '{other}' ({other_at}) both at {address}")]
     DuplicateAddress {
         /// The node's position in the file.
-        at: Place,
+        at: Position,
         /// The node's id.
         id: String,
         /// The other node's id.
         other: String,
         /// The other node's position in the file.
-        other_at: Place,
+        other_at: Position,
         /// The address of both.
         address: SocketAddr,
     },
@@ -72,9 +72,9 @@
             Host::Name(name) => match found.get(name) {
                 Some(Ok(ip)) => *ip,
                 failed => {
-                    let why =
+                    let reason =
                         failed.and_then(|result| result.clone().err()).unwrap_or("no answer in time".into());
-                    return Err(ResolveError::NotFound { at: backend.at, name: name.clone(), why });
+                    return Err(ResolveError::NotFound { at: backend.at, name: name.clone(), reason });
                 }
             },
         };
--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -5,9 +5,9 @@
 use dewpier_standins::backend::Backend;
 use dewpier_standins::mesh::LinkFaults;
 use dewpier_standins::{WAIT_TIMEOUT, wait_for};
-use dewpier_trials::record::Held;
-use dewpier_trials::schedule::Size;
-use dewpier_trials::stage::{SECRET, Settings, Stage};
+use dewpier_trials::harness::{FLEET_KEY, FleetHarness, Settings};
+use dewpier_trials::record::HeldVerdict;
+use dewpier_trials::schedule::RunSize;
 use dewpier_verdicts::{AttemptCounts, Claim, EvidenceEntry, Kind, NodeId};
 use std::collections::HashSet;
 use std::net::{SocketAddr, UdpSocket};
@@ -30,33 +30,33 @@
 const SLACK: Duration = Duration::from_secs(3);
 
 /// A running fleet.
-struct Fleet(Stage);
+struct Fleet(FleetHarness);
 
 impl Fleet {
-    fn start(seed: u64, empty: usize) -> Self {
+    fn start(seed: u64, unused_places: usize) -> Self {
         let ms = Duration::from_millis;
-        let size = Size { proxies: PROXIES, nodes: NODES, length_ms: 0, apart_ms: 0 };
+        let size = RunSize { proxies: PROXIES, nodes: NODES, duration_ms: 0, node_fault_spacing_ms: 0 };
         let settings = Settings {
-            every: ms(SEND_INTERVAL_MS),
-            stale: ms(STALE_MS),
-            silent: ms(SILENT_MS),
-            empty,
+            send_interval: ms(SEND_INTERVAL_MS),
+            max_evidence_age: ms(STALE_MS),
+            silent_after: ms(SILENT_MS),
+            unused_places,
             ..Settings::default()
         };
-        Self(Stage::start(seed, size, settings))
+        Self(FleetHarness::start(seed, size, settings))
     }
 
     /// Returns the verdicts of a proxy and checks the age of their evidence.
-    fn held(&self, proxy: usize) -> Vec<Held> {
-        let held = self.0.held(proxy).expect("an answer in time");
+    fn held(&self, proxy: usize) -> Vec<HeldVerdict> {
+        let held = self.0.read_verdicts(proxy).expect("an answer in time");
         let max_age = Duration::from_millis(STALE_MS / 2 + SEND_INTERVAL_MS + 1000);
-        let old = held.iter().find(|h| h.oldest > max_age);
+        let old = held.iter().find(|h| h.oldest_report_age > max_age);
         assert!(old.is_none(), "proxy {proxy}: verdict with expired evidence: {old:?}");
         held
     }
 
     fn ejects(&self, proxy: usize, node: usize) -> bool {
-        self.held(proxy).iter().any(|h| h.node == node && h.out)
+        self.held(proxy).iter().any(|h| h.node == node && h.is_ejected)
     }
 
     fn count_ejecting(&self, node: usize) -> usize {
@@ -85,7 +85,7 @@
             return true;
         }
         let reached_at = fleet.reached_by(node, since, SUFFICIENT_PROXIES);
-        if reached_at.is_some_and(|at| at.elapsed() > fleet.0.bounds().avoided(lost) + SLACK) {
+        if reached_at.is_some_and(|at| at.elapsed() > fleet.0.bounds().avoidance_delay(lost) + SLACK) {
             break;
         }
         assert!(
@@ -95,9 +95,9 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     for proxy in 0..PROXIES {
-        println!("{proxy}: {}", fleet.0.call(proxy, "verdicts").unwrap_or_default());
+        println!("{proxy}: {}", fleet.0.call_operator(proxy, "verdicts").unwrap_or_default());
     }
-    println!("{}", fleet.0.call(0, "vars").unwrap_or_default());
+    println!("{}", fleet.0.call_operator(0, "vars").unwrap_or_default());
     false
 }
 
@@ -111,14 +111,14 @@
     assert!(fleet.held(0).iter().any(|h| h.node == 2 && h.kind == "silent"));
     // Half of all datagrams are lost, some are duplicated, and some are reordered.
     let delay = Duration::from_millis(50);
-    fleet.0.mesh.set_faults(
+    fleet.0.datagram_network.set_faults(
         LinkFaults { lost_per_mille: 500, duplicated_per_mille: 200, max_delay: delay, cut: false },
         |_, _| true,
     );
     assert!(is_avoided_in_time(&fleet, 5, 0.5, |b| b.set_failing(true)), "a node that answers 500");
-    assert!(fleet.0.figure(3, "datagrams_refused.doubled") > Some(0));
+    assert!(fleet.0.read_metric(3, "datagrams_refused.doubled") > Some(0));
     // Without datagrams no proxy ejects a node, as its own evidence does not suffice.
-    fleet.0.mesh.set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |_, _| true);
+    fleet.0.datagram_network.set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |_, _| true);
     fleet.0.nodes[2].set_response_time(Duration::from_millis(30));
     fleet.0.nodes[5].set_failing(false);
     wait_for("verdicts to expire", || (0..PROXIES).all(|p| !fleet.ejects(p, 2) && !fleet.ejects(p, 5)));
@@ -137,7 +137,7 @@
     // Proxy 4 receives nothing, and nothing of proxy 5 arrives.
     fleet
         .0
-        .mesh
+        .datagram_network
         .set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |from, to| to == 4 || from == 5);
     fleet.0.nodes[2].set_failing(true);
     wait_for("a verdict of all connected proxies", || {
@@ -145,7 +145,7 @@
     });
     assert!(!fleet.ejects(4, 2), "proxy 4 receives no evidence");
     // Proxy 7 is suspended with the verdict; meanwhile the node recovers.
-    fleet.0.signal(7, "-STOP");
+    fleet.0.send_signal(7, "-STOP");
     fleet.0.nodes[2].set_failing(false);
     let suspended_at = Instant::now();
     // False reports keep the verdict until two trials succeed within half of the bound. A proxy drawn for trials may not
@@ -157,13 +157,13 @@
     }
     println!("trials ended the verdict after {:?}", suspended_at.elapsed());
     std::thread::sleep(Duration::from_millis(STALE_MS / 2 + 500).saturating_sub(suspended_at.elapsed()));
-    fleet.0.signal(7, "-CONT");
+    fleet.0.send_signal(7, "-CONT");
     // The socket of the resumed proxy is full of old datagrams; its next verdicts follow within a round.
     std::thread::sleep(Duration::from_millis(5 * SEND_INTERVAL_MS));
     assert!(!fleet.ejects(7, 2), "the resumed proxy uses old evidence");
-    fleet.0.mesh.set_faults(LinkFaults::default(), |_, _| true);
+    fleet.0.datagram_network.set_faults(LinkFaults::default(), |_, _| true);
     wait_for("datagrams between all proxies", || {
-        (0..PROXIES).all(|p| fleet.0.figure(p, "partners_answering") == Some(PROXIES as u64))
+        (0..PROXIES).all(|p| fleet.0.read_metric(p, "partners_answering") == Some(PROXIES as u64))
     });
     // A busy host may cause short verdicts.
     wait_for("no verdict from the false reports", || (0..NODES).all(|node| fleet.count_ejecting(node) == 0));
@@ -205,10 +205,10 @@
 impl FalseReporter {
     fn start(fleet: &Fleet) -> Self {
         let name = |i: usize| ProxyId::from_name(&format!("proxy-{i}"));
-        let socket = UdpSocket::bind(fleet.0.mesh.listen_addresses[PROXIES]).unwrap();
+        let socket = UdpSocket::bind(fleet.0.datagram_network.listen_addresses[PROXIES]).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
         let destinations: Vec<(ProxyId, SocketAddr)> =
-            (0..PROXIES).map(|i| (name(i), fleet.0.mesh.send_address(PROXIES, i))).collect();
+            (0..PROXIES).map(|i| (name(i), fleet.0.datagram_network.send_address(PROXIES, i))).collect();
         let id = |(i, b): (usize, &Backend)| NodeId::new(&format!("pricing-{i:02}"), &b.address.to_string());
         let nodes: Vec<NodeId> = fleet.0.nodes.iter().enumerate().map(id).collect();
         let is_over = Arc::new(AtomicBool::new(false));
@@ -219,7 +219,7 @@
             let (send_interval, max_echo_age) =
                 (Duration::from_millis(SEND_INTERVAL_MS), Duration::from_secs(4));
             let own_process = Process { proxy: name(PROXIES), incarnation: 1 };
-            let key = Key::from_secret(SECRET);
+            let key = Key::from_secret(FLEET_KEY);
             let fleet = (0..PROXIES).map(name).collect();
             let settings = dewpier_peers::Settings {
                 own_process,
--- a/crates/dewpier/tests/mysql.rs
+++ b/crates/dewpier/tests/mysql.rs
@@ -2,7 +2,7 @@
 
 use dewpier_standins::mysql::{MySqlServer, ReceivedStatement, Reply};
 use dewpier_standins::wait_for;
-use dewpier_trials::served::*;
+use dewpier_trials::process::*;
 use mysql::prelude::Queryable;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 #[test]
 fn mysql_front_serves_next_to_http_and_follows_its_own_inventory() {
     let servers = [MySqlServer::start("elm", answer), MySqlServer::start("elm", answer)];
-    let folder = folder("mysql");
+    let folder = create_test_folder("mysql");
     let write = |name: &str, text: &str| std::fs::write(folder.join(name), text).unwrap();
     let mut hash_command = Command::new(env!("CARGO_BIN_EXE_dewpier"))
         .args(["mysql", "hash"])
@@ -61,8 +61,8 @@
         file("password"),
         file("servers.csv"),
     );
-    let proxy = Served::of(&folder.join("nodes.csv"), &settings);
-    let (_, line) = proxy.logged(0, "listening for MySQL on ");
+    let proxy = DewpierProcess::serve_file(&folder.join("nodes.csv"), &settings);
+    let (_, line) = proxy.wait_for_log(0, "listening for MySQL on ");
     let address: SocketAddr = line.rsplit(' ').next().unwrap().parse().unwrap();
     let mut connection = client(address).unwrap();
     for _ in 0..20 {
@@ -70,9 +70,9 @@
     }
     connection.query_drop("INSERT INTO t VALUES (1)").unwrap();
 
-    let from = proxy.lines();
+    let from = proxy.log_line_count();
     write("servers.csv", &inventory_text(&[(&servers[0], "draining"), (&servers[1], "serving")]));
-    proxy.logged(from, "1 of them serving");
+    proxy.wait_for_log(from, "1 of them serving");
     std::thread::sleep(Duration::from_millis(500));
     let before = servers[0].statements().len();
     for _ in 0..20 {
@@ -82,7 +82,7 @@
 
     let running = std::thread::spawn(move || connection.query_drop("INSERT INTO t VALUES (2)"));
     wait_for("statement", || servers[1].count_statements("INSERT INTO t VALUES (2)") == 1);
-    proxy.stop();
+    proxy.terminate();
     assert!(running.join().unwrap().is_ok(), "the accepted statement must be answered");
     assert!(client(address).is_err());
 }
@@ -105,7 +105,7 @@
     let (code, output, _) = check(&deploy.join("mysql.toml"));
     assert!(code == Some(0) && output.contains("3 backends"), "{output}");
     let good = std::fs::read_to_string(deploy.join("mysql.toml")).unwrap();
-    let folder = folder("checked");
+    let folder = create_test_folder("checked");
     for name in ["nodes.csv", "mysql-servers.csv", "mysql-replicas.csv", "mysql-users.toml", "mysql-password"]
     {
         std::fs::copy(deploy.join(name), folder.join(name)).unwrap();
--- a/crates/dewpier/tests/planners.rs
+++ b/crates/dewpier/tests/planners.rs
@@ -5,7 +5,7 @@
 use dewpier_standins::load::{LoadGenerator, ResponseCounts};
 use dewpier_standins::relay::Relay;
 use dewpier_standins::{reserve_addresses, wait_for};
-use dewpier_trials::served::*;
+use dewpier_trials::process::*;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -26,38 +26,44 @@
         Self { listen, cluster }
     }
 
-    fn start(&self, number: usize, file: &Path) -> Served {
+    fn start(&self, number: usize, file: &Path) -> DewpierProcess {
         self.start_with(number, file, &self.cluster, 3000)
     }
 
     /// Starts a planner that reaches the others at these addresses and expels planners that are silent for
     /// `expel_after_ms`.
-    fn start_with(&self, number: usize, file: &Path, cluster: &[SocketAddr], expel_after_ms: u64) -> Served {
+    fn start_with(
+        &self,
+        number: usize,
+        file: &Path,
+        cluster: &[SocketAddr],
+        expel_after_ms: u64,
+    ) -> DewpierProcess {
         let cluster: Vec<String> = cluster.iter().map(|a| format!("\"{a}\"")).collect();
         let settings = format!(
             "number = {number}\n[cluster]\nplanners = [{}]\nexpel_after_ms = {expel_after_ms}\n",
             cluster.join(", ")
         );
-        Served::planner_with(&self.listen[number].to_string(), file, &settings)
+        DewpierProcess::start_planner_with(&self.listen[number].to_string(), file, &settings)
     }
 }
 
-fn kill(planner: &mut Served) {
+fn kill(planner: &mut DewpierProcess) {
     planner.child.kill().unwrap();
     planner.child.wait().unwrap();
 }
 
 fn start_load(address: SocketAddr, name: &'static str) -> LoadGenerator {
-    orders(address, name, 2, Duration::from_millis(2))
+    start_order_load(address, name, 2, Duration::from_millis(2))
 }
 
 /// The plan that a planner logged last.
-fn last_plan(planner: &Served) -> Option<String> {
-    planner.log().iter().rev().find_map(|l| l.split("plan ").nth(1).map(str::to_string))
+fn last_plan(planner: &DewpierProcess) -> Option<String> {
+    planner.log_lines().iter().rev().find_map(|l| l.split("plan ").nth(1).map(str::to_string))
 }
 
 /// Waits until all planners have the same plan with that number of draining nodes.
-fn wait_for_agreement(planners: &[Served], draining: usize) {
+fn wait_for_agreement(planners: &[DewpierProcess], draining: usize) {
     let plan_end = format!("{draining} of them draining");
     wait_for(&format!("agreement on {plan_end}"), || {
         let plans: Vec<_> = planners.iter().map(last_plan).collect();
@@ -77,35 +83,40 @@
 fn drains_hold_when_planners_are_killed_one_by_one() {
     let backends: Vec<Backend> =
         (0..8).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
-    let file = folder("one-by-one").join("nodes.csv");
-    let good = table(&backends);
+    let file = create_test_folder("one-by-one").join("nodes.csv");
+    let good = inventory_csv(&backends);
     std::fs::write(&file, &good).unwrap();
     let addresses = PlannerAddresses::new();
-    let mut planners: Vec<Served> = (0..3).map(|n| addresses.start(n, &file)).collect();
+    let mut planners: Vec<DewpierProcess> = (0..3).map(|n| addresses.start(n, &file)).collect();
     wait_for_agreement(&planners, 0);
-    let forwarders: Vec<Served> = ["f0", "f1"].map(|f| Served::forwarder(f, &addresses.listen)).into();
+    let forwarders: Vec<DewpierProcess> =
+        ["f0", "f1"].map(|f| DewpierProcess::start_forwarder(f, &addresses.listen)).into();
     let loads: Vec<LoadGenerator> =
         forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| start_load(f.address, n)).collect();
     wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
     let mut drained_at = Vec::new();
     for n in 0..3 {
         // Each planner is killed as soon as it has read a drain. The two others go on.
-        let lines = planners[n].lines();
+        let lines = planners[n].log_line_count();
         let draining: Vec<usize> = (0..=n).collect();
-        replace(&file, drained(&good, &draining).as_bytes());
-        let (at, _) = planners[n].logged(lines, "backends from");
+        replace_file(&file, with_draining_nodes(&good, &draining).as_bytes());
+        let (at, _) = planners[n].wait_for_log(lines, "backends from");
         kill(&mut planners[n]);
         drained_at.push(at);
         std::thread::sleep(Duration::from_millis(1000));
         for (i, at) in drained_at.iter().enumerate() {
-            assert_eq!(late(&backends[i], *at), 0, "late sends to node {i} after planner {n} was killed");
+            assert_eq!(
+                count_after_drain_grace(&backends[i], *at),
+                0,
+                "late sends to node {i} after planner {n} was killed"
+            );
         }
         // It restarts without state and catches up.
         planners[n] = addresses.start(n, &file);
         wait_for_agreement(&planners, n + 1);
     }
     // The drained nodes return once all three planners list them.
-    replace(&file, good.as_bytes());
+    replace_file(&file, good.as_bytes());
     wait_for_agreement(&planners, 0);
     let counts = |from: usize| backends.iter().take(from).map(Backend::request_count).sum::<usize>();
     let before = counts(3);
@@ -115,61 +126,74 @@
     assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
     assert!(tally.served > 500 && tally.rejected <= 4, "{} of {} refused", tally.rejected, tally.total());
     assert_orders_ran_once(&backends);
-    forwarders.into_iter().chain(planners).for_each(Served::stop);
+    forwarders.into_iter().chain(planners).for_each(DewpierProcess::terminate);
 }
 
 #[test]
 fn drains_hold_when_all_planners_are_killed_and_restarted() {
     let backends: Vec<Backend> =
         (0..8).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
-    let file = folder("all-at-once").join("nodes.csv");
-    let good = table(&backends);
+    let file = create_test_folder("all-at-once").join("nodes.csv");
+    let good = inventory_csv(&backends);
     std::fs::write(&file, &good).unwrap();
     let addresses = PlannerAddresses::new();
-    let mut planners: Vec<Served> = (0..3).map(|n| addresses.start(n, &file)).collect();
+    let mut planners: Vec<DewpierProcess> = (0..3).map(|n| addresses.start(n, &file)).collect();
     wait_for_agreement(&planners, 0);
-    let own_inventory = watched(&file);
-    let forwarders: Vec<Served> =
-        ["f0", "f1"].map(|f| Served::forwarder_with(f, &addresses.listen, &own_inventory)).into();
+    let own_inventory = inventory_settings(&file);
+    let forwarders: Vec<DewpierProcess> = ["f0", "f1"]
+        .map(|f| DewpierProcess::start_forwarder_with(f, &addresses.listen, &own_inventory))
+        .into();
     let loads: Vec<LoadGenerator> =
         forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| start_load(f.address, n)).collect();
     wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
-    let lines: Vec<usize> = planners.iter().map(Served::lines).collect();
-    replace(&file, drained(&good, &[0]).as_bytes());
+    let lines: Vec<usize> = planners.iter().map(DewpierProcess::log_line_count).collect();
+    replace_file(&file, with_draining_nodes(&good, &[0]).as_bytes());
     let drained_at =
-        planners.iter().zip(&lines).map(|(p, from)| p.logged(*from, "backends from").0).min().unwrap();
+        planners.iter().zip(&lines).map(|(p, from)| p.wait_for_log(*from, "backends from").0).min().unwrap();
     planners.iter_mut().for_each(kill);
     for forwarder in &forwarders {
-        forwarder.logged(0, "from its own watch");
+        forwarder.wait_for_log(0, "from its own watch");
     }
     // Another node drains while no planner runs.
-    let lines: Vec<usize> = forwarders.iter().map(Served::lines).collect();
-    replace(&file, drained(&good, &[0, 1]).as_bytes());
+    let lines: Vec<usize> = forwarders.iter().map(DewpierProcess::log_line_count).collect();
+    replace_file(&file, with_draining_nodes(&good, &[0, 1]).as_bytes());
     for (forwarder, from) in forwarders.iter().zip(&lines) {
-        forwarder.logged(*from, "from its own watch");
+        forwarder.wait_for_log(*from, "from its own watch");
     }
     let second_drained_at = Instant::now();
     std::thread::sleep(Duration::from_millis(1000));
-    assert_eq!((late(&backends[0], drained_at), late(&backends[1], second_drained_at)), (0, 0));
+    assert_eq!(
+        (
+            count_after_drain_grace(&backends[0], drained_at),
+            count_after_drain_grace(&backends[1], second_drained_at)
+        ),
+        (0, 0)
+    );
     // The planners found a new group, whose plans are newer than the previous ones.
-    let planners: Vec<Served> = (0..3).map(|n| addresses.start(n, &file)).collect();
+    let planners: Vec<DewpierProcess> = (0..3).map(|n| addresses.start(n, &file)).collect();
     for forwarder in &forwarders {
-        forwarder.logged(0, "planners are back");
+        forwarder.wait_for_log(0, "planners are back");
     }
     wait_for_agreement(&planners, 2);
     std::thread::sleep(Duration::from_millis(1000));
-    assert_eq!((late(&backends[0], drained_at), late(&backends[1], second_drained_at)), (0, 0));
-    let lines = planners[1].lines();
-    replace(&file, drained(&good, &[0, 1, 2]).as_bytes());
-    let (third_drained_at, _) = planners[1].logged(lines, "backends from");
+    assert_eq!(
+        (
+            count_after_drain_grace(&backends[0], drained_at),
+            count_after_drain_grace(&backends[1], second_drained_at)
+        ),
+        (0, 0)
+    );
+    let lines = planners[1].log_line_count();
+    replace_file(&file, with_draining_nodes(&good, &[0, 1, 2]).as_bytes());
+    let (third_drained_at, _) = planners[1].wait_for_log(lines, "backends from");
     std::thread::sleep(Duration::from_millis(1000));
-    assert_eq!(late(&backends[2], third_drained_at), 0);
+    assert_eq!(count_after_drain_grace(&backends[2], third_drained_at), 0);
     let mut tally = ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
     assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
     assert!(tally.served > 500 && tally.rejected <= 8, "{} of {} refused", tally.rejected, tally.total());
     assert_orders_ran_once(&backends);
-    forwarders.into_iter().chain(planners).for_each(Served::stop);
+    forwarders.into_iter().chain(planners).for_each(DewpierProcess::terminate);
 }
 
 /// Each planner in turn is partitioned from the two others; in one round only its incoming messages are held back. A
@@ -178,30 +202,35 @@
 fn partitioned_planners_keep_drains_and_agree_after_the_partition() {
     let backends: Vec<Backend> =
         (0..8).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
-    let good = table(&backends);
-    let files: Vec<_> = (0..3).map(|n| folder(&format!("cut-{n}")).join("nodes.csv")).collect();
+    let good = inventory_csv(&backends);
+    let files: Vec<_> = (0..3).map(|n| create_test_folder(&format!("cut-{n}")).join("nodes.csv")).collect();
     files.iter().for_each(|file| std::fs::write(file, &good).unwrap());
     let addresses = PlannerAddresses::new();
     // A relay for each direction between two planners.
     let relays: Vec<Vec<Relay>> =
         (0..3).map(|_| (0..3).map(|to| Relay::start(addresses.cluster[to])).collect()).collect();
-    let planners: Vec<Served> = (0..3)
+    let planners: Vec<DewpierProcess> = (0..3)
         .map(|n| {
             let address = |to: usize| if to == n { addresses.cluster[n] } else { relays[n][to].address };
             addresses.start_with(n, &files[n], &(0..3).map(address).collect::<Vec<_>>(), 60_000)
         })
         .collect();
     wait_for_agreement(&planners, 0);
-    let forwarders: Vec<Served> = ["f0", "f1"].map(|f| Served::forwarder(f, &addresses.listen)).into();
+    let forwarders: Vec<DewpierProcess> =
+        ["f0", "f1"].map(|f| DewpierProcess::start_forwarder(f, &addresses.listen)).into();
     let loads: Vec<LoadGenerator> =
         forwarders.iter().zip(["f0", "f1"]).map(|(f, n)| start_load(f.address, n)).collect();
     wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
     let mut drained_nodes: Vec<(usize, Instant)> = Vec::new();
     let write = |planner_numbers: &[usize], drains: &[usize]| {
-        let lines: Vec<usize> = planner_numbers.iter().map(|n| planners[*n].lines()).collect();
-        planner_numbers.iter().for_each(|n| replace(&files[*n], drained(&good, drains).as_bytes()));
-        let read_at =
-            planner_numbers.iter().zip(&lines).map(|(n, from)| planners[*n].logged(*from, "backends from").0);
+        let lines: Vec<usize> = planner_numbers.iter().map(|n| planners[*n].log_line_count()).collect();
+        planner_numbers
+            .iter()
+            .for_each(|n| replace_file(&files[*n], with_draining_nodes(&good, drains).as_bytes()));
+        let read_at = planner_numbers
+            .iter()
+            .zip(&lines)
+            .map(|(n, from)| planners[*n].wait_for_log(*from, "backends from").0);
         read_at.min().unwrap()
     };
     for (isolated, own_relays) in relays.iter().enumerate() {
@@ -228,7 +257,7 @@
         assert_ne!(plan_of(isolated), plan_of(others[0]), "planner {isolated} is partitioned");
         for (node, at) in &drained_nodes {
             assert_eq!(
-                late(&backends[*node], *at),
+                count_after_drain_grace(&backends[*node], *at),
                 0,
                 "late sends to node {node} while planner {isolated} is partitioned"
             );
@@ -239,7 +268,7 @@
         wait_for_agreement(&planners, all.len());
         for (node, at) in &drained_nodes {
             assert_eq!(
-                late(&backends[*node], *at),
+                count_after_drain_grace(&backends[*node], *at),
                 0,
                 "late sends to node {node} after the partition of planner {isolated}"
             );
@@ -254,32 +283,32 @@
     assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
     assert!(tally.served > 500 && tally.rejected <= 8, "{} of {} refused", tally.rejected, tally.total());
     assert_orders_ran_once(&backends);
-    forwarders.into_iter().chain(planners).for_each(Served::stop);
+    forwarders.into_iter().chain(planners).for_each(DewpierProcess::terminate);
 }
 
 #[test]
 fn drain_read_by_one_planner_holds_until_that_planner_is_expelled() {
     let backends: Vec<Backend> =
         (0..4).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
-    let good = table(&backends);
+    let good = inventory_csv(&backends);
     // Each planner has its own copy of the inventory.
-    let files: Vec<_> = (0..3).map(|n| folder(&format!("copy-{n}")).join("nodes.csv")).collect();
+    let files: Vec<_> = (0..3).map(|n| create_test_folder(&format!("copy-{n}")).join("nodes.csv")).collect();
     files.iter().for_each(|file| std::fs::write(file, &good).unwrap());
     let addresses = PlannerAddresses::new();
-    let mut planners: Vec<Served> = (0..3).map(|n| addresses.start(n, &files[n])).collect();
+    let mut planners: Vec<DewpierProcess> = (0..3).map(|n| addresses.start(n, &files[n])).collect();
     wait_for_agreement(&planners, 0);
-    let forwarder = Served::forwarder("f0", &addresses.listen);
+    let forwarder = DewpierProcess::start_forwarder("f0", &addresses.listen);
     let load = start_load(forwarder.address, "f0");
     wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
-    let lines = planners[2].lines();
-    replace(&files[2], drained(&good, &[0]).as_bytes());
-    let (drained_at, _) = planners[2].logged(lines, "backends from");
+    let lines = planners[2].log_line_count();
+    replace_file(&files[2], with_draining_nodes(&good, &[0]).as_bytes());
+    let (drained_at, _) = planners[2].wait_for_log(lines, "backends from");
     wait_for_agreement(&planners, 1);
     // The other planners read another change without this drain, which must not cancel it.
-    replace(&files[0], drained(&good, &[1]).as_bytes());
+    replace_file(&files[0], with_draining_nodes(&good, &[1]).as_bytes());
     wait_for_agreement(&planners, 2);
     std::thread::sleep(Duration::from_millis(700));
-    assert_eq!(late(&backends[0], drained_at), 0);
+    assert_eq!(count_after_drain_grace(&backends[0], drained_at), 0);
     let killed = planners.pop().unwrap();
     let killed_at = Instant::now();
     drop(killed);
@@ -296,7 +325,7 @@
     let tally = load.stop();
     assert_eq!((tally.failed, tally.unanswered, tally.rejected), (0, 0, 0), "of {}", tally.total());
     planners.push(forwarder);
-    planners.into_iter().for_each(Served::stop);
+    planners.into_iter().for_each(DewpierProcess::terminate);
 }
 
 /// Forwarders with a slice connect only to the nodes of that slice with either list source, and replace a drained node.
@@ -305,14 +334,14 @@
     const SLICE_SIZE: usize = 6;
     let backends: Vec<Backend> =
         (0..24).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
-    let file = folder("part").join("nodes.csv");
-    let good = table(&backends);
+    let file = create_test_folder("part").join("nodes.csv");
+    let good = inventory_csv(&backends);
     std::fs::write(&file, &good).unwrap();
     let addresses = PlannerAddresses::new();
-    let mut planners: Vec<Served> = (0..3).map(|n| addresses.start(n, &file)).collect();
+    let mut planners: Vec<DewpierProcess> = (0..3).map(|n| addresses.start(n, &file)).collect();
     wait_for_agreement(&planners, 0);
-    let settings = format!("nodes = {SLICE_SIZE}\n{}", watched(&file));
-    let forwarder = Served::forwarder_with("f0", &addresses.listen, &settings);
+    let settings = format!("nodes = {SLICE_SIZE}\n{}", inventory_settings(&file));
+    let forwarder = DewpierProcess::start_forwarder_with("f0", &addresses.listen, &settings);
     let load = start_load(forwarder.address, "f0");
     let used_nodes = || -> Vec<usize> { (0..24).filter(|i| backends[*i].request_count() > 0).collect() };
     wait_for("load", || backends.iter().map(Backend::request_count).sum::<usize>() > 500);
@@ -320,20 +349,20 @@
     assert!((2..=SLICE_SIZE).contains(&first_used.len()), "{first_used:?}");
     // A used node drains: the next node replaces it.
     let drained_node = first_used[0];
-    let lines: Vec<usize> = planners.iter().map(Served::lines).collect();
-    replace(&file, drained(&good, &[drained_node]).as_bytes());
+    let lines: Vec<usize> = planners.iter().map(DewpierProcess::log_line_count).collect();
+    replace_file(&file, with_draining_nodes(&good, &[drained_node]).as_bytes());
     let drained_at =
-        planners.iter().zip(&lines).map(|(p, from)| p.logged(*from, "backends from").0).min().unwrap();
+        planners.iter().zip(&lines).map(|(p, from)| p.wait_for_log(*from, "backends from").0).min().unwrap();
     wait_for_agreement(&planners, 1);
     std::thread::sleep(Duration::from_millis(1000));
-    assert_eq!(late(&backends[drained_node], drained_at), 0);
+    assert_eq!(count_after_drain_grace(&backends[drained_node], drained_at), 0);
     planners.iter_mut().for_each(kill);
-    forwarder.logged(0, "from its own watch");
+    forwarder.wait_for_log(0, "from its own watch");
     let before: Vec<usize> = backends.iter().map(Backend::request_count).collect();
     wait_for("load by its own watch", || {
         backends.iter().zip(&before).map(|(b, n)| b.request_count() - n).sum::<usize>() > 500
     });
-    assert_eq!(late(&backends[drained_node], drained_at), 0);
+    assert_eq!(count_after_drain_grace(&backends[drained_node], drained_at), 0);
     let last_used = used_nodes();
     assert!(
         last_used.len() <= SLICE_SIZE + 1,
@@ -346,26 +375,26 @@
     assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
     assert!(tally.rejected <= 4, "{} of {} refused", tally.rejected, tally.total());
     assert_orders_ran_once(&backends);
-    forwarder.stop();
+    forwarder.terminate();
 }
 
 #[test]
 fn forwarders_together_limit_the_load_on_a_cold_node() {
     let backends: Vec<Backend> =
         (0..7).map(|i| Backend::start(&format!("b{i}"), Duration::from_micros(200))).collect();
-    let file = folder("cold").join("nodes.csv");
-    std::fs::write(&file, table(&backends[..6])).unwrap();
+    let file = create_test_folder("cold").join("nodes.csv");
+    std::fs::write(&file, inventory_csv(&backends[..6])).unwrap();
     let addresses = PlannerAddresses::new();
-    let planners: Vec<Served> = (0..3).map(|n| addresses.start(n, &file)).collect();
+    let planners: Vec<DewpierProcess> = (0..3).map(|n| addresses.start(n, &file)).collect();
     wait_for_agreement(&planners, 0);
     // Short enough to end within this test.
-    let forwarders: Vec<Served> = ["f0", "f1", "f2"]
-        .map(|f| Served::forwarder_with(f, &addresses.listen, "[backends]\ncold_ms = 4000\n"))
+    let forwarders: Vec<DewpierProcess> = ["f0", "f1", "f2"]
+        .map(|f| DewpierProcess::start_forwarder_with(f, &addresses.listen, "[backends]\ncold_ms = 4000\n"))
         .into();
     let loads: Vec<LoadGenerator> =
         forwarders.iter().zip(["f0", "f1", "f2"]).map(|(f, n)| start_load(f.address, n)).collect();
     wait_for("load on all", || backends.iter().take(6).all(|b| b.request_count() > 200));
-    replace(&file, table(&backends).as_bytes());
+    replace_file(&file, inventory_csv(&backends).as_bytes());
     wait_for("load on the new node", || backends[6].request_count() > 0);
     let (from, to) = (Instant::now(), Duration::from_secs(2));
     std::thread::sleep(to);
@@ -380,5 +409,5 @@
     let mut tally = ResponseCounts::default();
     loads.into_iter().for_each(|load| tally.add(load.stop()));
     assert_eq!((tally.failed, tally.unanswered), (0, 0), "of {}", tally.total());
-    forwarders.into_iter().chain(planners).for_each(Served::stop);
+    forwarders.into_iter().chain(planners).for_each(DewpierProcess::terminate);
 }
--- a/crates/dewpier/tests/serve.rs
+++ b/crates/dewpier/tests/serve.rs
@@ -6,7 +6,7 @@
 use dewpier_standins::rng::Rng;
 use dewpier_standins::scripted_server::{ScriptedReply, ScriptedServer};
 use dewpier_standins::wait_for;
-use dewpier_trials::served::*;
+use dewpier_trials::process::*;
 use std::collections::HashMap;
 use std::io::Write;
 use std::process::Command;
@@ -72,8 +72,8 @@
                     [[class]]\nname = \"brief\"\neffect = \"safe\"\ndeadline_ms = 900\naim_ms = 900\n\
                     match = [{ path = \"/broken\", methods = [\"GET\"] }]";
     let table = format!("address\n{}\n{}\n", backends[0].address, backends[1].address);
-    let served = Served::start("nodes.csv", table.as_bytes(), settings);
-    let mut client = served.connect();
+    let proxy = DewpierProcess::serve_inventory("nodes.csv", table.as_bytes(), settings);
+    let mut client = proxy.connect();
     let answer = exchange(&mut client, &format_request("GET", "/x", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"hello".as_slice()));
     let answer = exchange(&mut client, &format_request("GET", "/found", ""));
@@ -90,27 +90,27 @@
     assert_eq!(exchange(&mut client, &format_request("POST", "/busy", "")).status(), 502);
     assert_eq!(count_requests() - before, 2);
     let before = before + 1;
-    let answer = exchange(&mut served.connect(), &format_request("GET", "/broken", ""));
+    let answer = exchange(&mut proxy.connect(), &format_request("GET", "/broken", ""));
     assert_eq!((answer.status(), answer.body.as_slice()), (500, b"sorry".as_slice()));
     assert_eq!(count_requests() - before, 3, "a safe request is sent again");
-    let mut client = served.connect();
+    let mut client = proxy.connect();
     assert_eq!(
         exchange(&mut client, &format_request("POST", "/quotes/1", "Idempotency-Key: k\r\n")).status(),
         200
     );
     let answer = exchange(&mut client, &format_request("POST", "/quotes/1", ""));
     assert_eq!(answer.status(), 400, "{}", String::from_utf8_lossy(&answer.body));
-    let mut client = served.connect();
+    let mut client = proxy.connect();
     client.get_mut().write_all(format_request("HEAD", "/head", "").as_bytes()).unwrap();
     let head = read_head(&mut client).unwrap();
     assert_eq!((head.status(), head.header("content-length")), (200, Some("1234")));
     assert_eq!(exchange(&mut client, &format_request("GET", "/x", "")).body, b"hello");
-    served.stop();
+    proxy.terminate();
 }
 
 #[test]
 fn invalid_input_ends_the_start_with_its_place_and_status_2() {
-    let folder = folder("bad");
+    let folder = create_test_folder("bad");
     let run = |args: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_dewpier")).args(args).output().unwrap();
         (
@@ -164,15 +164,15 @@
 fn host_names_are_resolved_with_the_setting_look_up() {
     let backend = Backend::start("b", Duration::ZERO);
     let table = format!("id,address\na,localhost:{}\n", backend.address.port());
-    let served = Served::start("n.csv", table.as_bytes(), "names = \"look-up\"");
-    assert_eq!(exchange(&mut served.connect(), &format_request("GET", "/", "")).status(), 200);
+    let proxy = DewpierProcess::serve_inventory("n.csv", table.as_bytes(), "names = \"look-up\"");
+    assert_eq!(exchange(&mut proxy.connect(), &format_request("GET", "/", "")).status(), 200);
     // Two ids with the same address are rejected.
-    let lines = served.lines();
+    let lines = proxy.log_line_count();
     let duplicate_address = format!("{table}b,127.0.0.1:{}\n", backend.address.port());
-    replace(&served.file, duplicate_address.as_bytes());
-    let (_, line) = served.logged(lines, "the last good list serves on");
+    replace_file(&proxy.inventory_file, duplicate_address.as_bytes());
+    let (_, line) = proxy.wait_for_log(lines, "the last good list serves on");
     assert!(line.contains("expected one node an address"), "{line}");
-    assert_eq!(exchange(&mut served.connect(), &format_request("GET", "/", "")).status(), 200);
+    assert_eq!(exchange(&mut proxy.connect(), &format_request("GET", "/", "")).status(), 200);
 }
 
 /// Damages any text in the `n`-th way; returns the name of the damage and the new bytes.
@@ -288,8 +288,8 @@
     // The file is read on SIGHUP only, so that the result of each damage is known. One node may be missing, as a file
     // cut after its last but one row is valid.
     let settings = "settle_ms = 60000\npoll_ms = 3600000\nmax_vanish = 0.0";
-    let served = Served::start(name, good.as_bytes(), settings);
-    let load = start_load(served.address, 4);
+    let proxy = DewpierProcess::serve_inventory(name, good.as_bytes(), settings);
+    let load = start_load(proxy.address, 4);
     let mut rng = Rng::from_env("INVENTORY_SEED", 20_261);
     let cases = std::env::var("INVENTORY_WAYS").ok().and_then(|n| n.parse().ok()).unwrap_or(cases);
     let (mut rejected, mut read) = (0, 0);
@@ -300,20 +300,22 @@
         }
         // In place, by rename, and by a changed symbolic link.
         match n / 14 % 3 {
-            0 => std::fs::write(&served.file, &text).unwrap(),
-            1 => replace(&served.file, &text),
+            0 => std::fs::write(&proxy.inventory_file, &text).unwrap(),
+            1 => replace_file(&proxy.inventory_file, &text),
             _ => {
-                let (target, link) =
-                    (served.file.with_extension(format!("v{n}")), served.file.with_extension("link"));
+                let (target, link) = (
+                    proxy.inventory_file.with_extension(format!("v{n}")),
+                    proxy.inventory_file.with_extension("link"),
+                );
                 std::fs::write(&target, &text).unwrap();
                 std::os::unix::fs::symlink(&target, &link).unwrap();
-                std::fs::rename(&link, &served.file).unwrap();
+                std::fs::rename(&link, &proxy.inventory_file).unwrap();
             }
         }
-        let lines = served.lines();
-        served.signal("-HUP");
-        let (_, line) = served.logged(lines, "");
-        let file_name = served.file.display().to_string();
+        let lines = proxy.log_line_count();
+        proxy.send_signal("-HUP");
+        let (_, line) = proxy.wait_for_log(lines, "");
+        let file_name = proxy.inventory_file.display().to_string();
         let inventory = dewpier_inventory::read(&text, &file_name, &Default::default());
         if line.contains("the last good list serves on") {
             rejected += 1;
@@ -330,10 +332,10 @@
         let count: usize = line.trim_start_matches("dewpier: ").split(' ').next().unwrap().parse().unwrap();
         assert_eq!(inventory.unwrap().backends.len(), count, "{kind}");
         assert!(line.contains("backends from") && count + 1 >= backends.len(), "{kind}: {line}");
-        replace(&served.file, good.as_bytes());
-        let lines = served.lines();
-        served.signal("-HUP");
-        served.logged(lines, &format!("{} backends from", backends.len()));
+        replace_file(&proxy.inventory_file, good.as_bytes());
+        let lines = proxy.log_line_count();
+        proxy.send_signal("-HUP");
+        proxy.wait_for_log(lines, &format!("{} backends from", backends.len()));
     }
     println!("{rejected} rejected, {read} read");
     assert!(rejected > cases / 2 && rejected + read > cases * 9 / 10, "{rejected} rejected, {read} read");
@@ -342,13 +344,13 @@
     assert_eq!((tally.failed, tally.unanswered, tally.rejected), (0, 0, 0), "of {}", tally.total());
     assert!(tally.served > 100, "{}", tally.served);
     assert_orders_ran_once(backends);
-    served.stop();
+    proxy.terminate();
 }
 
 #[test]
 fn damaged_table_is_rejected_or_read_exactly_while_the_last_good_list_serves() {
     let backends = backends(12);
-    damage_under_load("nodes.csv", &backends, &table(&backends), 330, damage_table);
+    damage_under_load("nodes.csv", &backends, &inventory_csv(&backends), 330, damage_table);
 }
 
 #[test]
@@ -360,11 +362,12 @@
 #[test]
 fn partially_written_file_is_not_applied() {
     let backends = backends(8);
-    let good = table(&backends);
-    let served = Served::start("nodes.csv", good.as_bytes(), "settle_ms = 400\npoll_ms = 100");
-    let load = start_load(served.address, 2);
+    let good = inventory_csv(&backends);
+    let proxy =
+        DewpierProcess::serve_inventory("nodes.csv", good.as_bytes(), "settle_ms = 400\npoll_ms = 100");
+    let load = start_load(proxy.address, 2);
     // Writes row by row with pauses below the settling time: no partial file may be applied.
-    let mut file = std::fs::File::create(&served.file).unwrap();
+    let mut file = std::fs::File::create(&proxy.inventory_file).unwrap();
     let rows: Vec<&str> = good.lines().collect();
     for _ in 0..2 {
         file.set_len(0).unwrap();
@@ -378,54 +381,56 @@
     file.write_all(format!("late,{},,,,,\n", Backend::start("late", Duration::ZERO).address).as_bytes())
         .unwrap();
     drop(file);
-    served.logged(0, "9 backends from");
-    let lists: Vec<String> = served.log().into_iter().filter(|l| l.contains("backends from")).collect();
+    proxy.wait_for_log(0, "9 backends from");
+    let lists: Vec<String> = proxy.log_lines().into_iter().filter(|l| l.contains("backends from")).collect();
     assert_eq!(lists.len(), 2, "a partial file was applied: {lists:?}");
-    assert!(!served.log().iter().any(|l| l.contains("serves on")), "{:?}", served.log());
+    assert!(!proxy.log_lines().iter().any(|l| l.contains("serves on")), "{:?}", proxy.log_lines());
     // A file without a complete last line is rejected, even if the partial line is valid: 127.0.0.1:80 may be a part of
     // 127.0.0.1:8080.
-    let lines = served.lines();
+    let lines = proxy.log_line_count();
     let cut = good.trim_end().rfind(',').unwrap();
-    std::fs::write(&served.file, &good[..cut]).unwrap();
-    let (_, line) = served.logged(lines, "serves on");
+    std::fs::write(&proxy.inventory_file, &good[..cut]).unwrap();
+    let (_, line) = proxy.wait_for_log(lines, "serves on");
     assert!(line.contains("values, as the header has") || line.contains("complete last line"), "{line}");
-    let lines = served.lines();
-    std::fs::write(&served.file, good.trim_end()).unwrap();
-    let (_, line) = served.logged(lines, "serves on");
+    let lines = proxy.log_line_count();
+    std::fs::write(&proxy.inventory_file, good.trim_end()).unwrap();
+    let (_, line) = proxy.wait_for_log(lines, "serves on");
     assert!(line.contains(":9:") && line.contains("complete last line"), "{line}");
     // A file cut between lines is rejected for the number of missing nodes, which the operator can confirm.
-    let lines = served.lines();
+    let lines = proxy.log_line_count();
     let half: String = good.lines().take(4).map(|l| format!("{l}\n")).collect();
-    std::fs::write(&served.file, &half).unwrap();
-    let (_, line) = served.logged(lines, "serves on");
+    std::fs::write(&proxy.inventory_file, &half).unwrap();
+    let (_, line) = proxy.wait_for_log(lines, "serves on");
     assert!(line.contains("found 6 missing") && line.contains("confirm"), "{line}");
-    let lines = served.lines();
+    let lines = proxy.log_line_count();
     let confirm = |file: &std::path::Path| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dewpier"));
         assert!(command.args(["inventory", "confirm"]).arg(file).output().unwrap().status.success());
     };
-    confirm(&served.file);
-    served.logged(lines, "3 backends from");
+    confirm(&proxy.inventory_file);
+    proxy.wait_for_log(lines, "3 backends from");
     // The confirmation covers only that text.
-    let lines = served.lines();
-    std::fs::write(&served.file, good.lines().take(2).map(|l| format!("{l}\n")).collect::<String>()).unwrap();
-    served.logged(lines, "found 2 missing");
+    let lines = proxy.log_line_count();
+    std::fs::write(&proxy.inventory_file, good.lines().take(2).map(|l| format!("{l}\n")).collect::<String>())
+        .unwrap();
+    proxy.wait_for_log(lines, "found 2 missing");
     // A deleted file changes nothing.
-    let lines = served.lines();
-    std::fs::remove_file(&served.file).unwrap();
-    served.logged(lines, "cannot read it");
+    let lines = proxy.log_line_count();
+    std::fs::remove_file(&proxy.inventory_file).unwrap();
+    proxy.wait_for_log(lines, "cannot read it");
     let tally = load.stop();
     assert_eq!((tally.rejected, tally.failed, tally.unanswered), (0, 0, 0), "of {}", tally.total());
     assert_orders_ran_once(&backends);
-    served.stop();
+    proxy.terminate();
 }
 
 #[test]
 fn drained_or_removed_node_gets_no_request_after_the_grace_period() {
     let backends = backends(6);
-    let good = table(&backends);
-    let served = Served::start("nodes.csv", good.as_bytes(), "settle_ms = 20\nmax_vanish = 0.9");
-    let load = start_load(served.address, 8);
+    let good = inventory_csv(&backends);
+    let proxy =
+        DewpierProcess::serve_inventory("nodes.csv", good.as_bytes(), "settle_ms = 20\nmax_vanish = 0.9");
+    let load = start_load(proxy.address, 8);
     let has_load = |from: usize| backends[from..].iter().all(|b| b.request_count() > 20);
     wait_for("load on all", || has_load(0));
     // One node drains and one is removed; the others go on serving.
@@ -434,9 +439,9 @@
         .filter(|l| !l.starts_with("pricing-01"))
         .map(|l| if l.starts_with("pricing-00") { l.replace("serving", "draining") } else { l.into() } + "\n")
         .collect();
-    let lines = served.lines();
-    replace(&served.file, text.as_bytes());
-    let (accepted, _) = served.logged(lines, "5 backends from");
+    let lines = proxy.log_line_count();
+    replace_file(&proxy.inventory_file, text.as_bytes());
+    let (accepted, _) = proxy.wait_for_log(lines, "5 backends from");
     std::thread::sleep(Duration::from_millis(1500));
     let grace = Duration::from_millis(500);
     for node in &backends[..2] {
@@ -449,19 +454,19 @@
     });
     // Both nodes return and are used again.
     let before = [backends[0].request_count(), backends[1].request_count()];
-    replace(&served.file, good.as_bytes());
+    replace_file(&proxy.inventory_file, good.as_bytes());
     let returned_at = Instant::now();
     wait_for("return", || backends.iter().zip(before).take(2).all(|(b, n)| b.request_count() > n));
     println!("both nodes are used again after {:?}", returned_at.elapsed());
     assert_all_served(&load.stop(), &backends);
-    served.stop();
+    proxy.terminate();
 }
 
 #[test]
 fn backend_crash_does_not_run_an_order_again() {
     let backends = backends(4);
-    let served = Served::start("nodes.csv", table(&backends).as_bytes(), "");
-    let load = start_load(served.address, 8);
+    let proxy = DewpierProcess::serve_inventory("nodes.csv", inventory_csv(&backends).as_bytes(), "");
+    let load = start_load(proxy.address, 8);
     wait_for("load on all", || backends.iter().all(|b| b.request_count() > 20));
     for backend in &backends[..2] {
         backend.kill();
@@ -472,5 +477,5 @@
     let tally = load.stop();
     assert_eq!(tally.unanswered, 0, "every request must have an answer; {} failed", tally.failed);
     assert_orders_ran_once(&backends);
-    served.stop();
+    proxy.terminate();
 }
--- a/crates/dewpier/tests/stopping.rs
+++ b/crates/dewpier/tests/stopping.rs
@@ -4,7 +4,7 @@
 use dewpier_standins::faulty::FaultyBackend;
 use dewpier_standins::relay::Relay;
 use dewpier_standins::shop::{duplicate_orders, run_clients};
-use dewpier_trials::served::Served;
+use dewpier_trials::process::DewpierProcess;
 use std::time::{Duration, Instant};
 
 const CLIENTS: usize = 8;
@@ -22,7 +22,7 @@
 fn rolling_restart_of_two_proxies_answers_every_request() {
     let nodes = [1, 2, 3].map(|seed| FaultyBackend::start(seed, 0.0, &[]));
     let rows: String = nodes.iter().enumerate().map(|(i, n)| format!("node-{i},{}\n", n.address)).collect();
-    let start = || Served::start("nodes.csv", format!("id,address\n{rows}").as_bytes(), "");
+    let start = || DewpierProcess::serve_inventory("nodes.csv", format!("id,address\n{rows}").as_bytes(), "");
     let (first, second) = (start(), start());
     let balancer = Relay::round_robin(vec![first.address, second.address]);
     let accounts = std::thread::scope(|scope| {
@@ -31,11 +31,11 @@
         let signalled_at = Instant::now();
         let wait_until = |when: Duration| std::thread::sleep(when.saturating_sub(signalled_at.elapsed()));
         let to_second = vec![second.address];
-        first.signal("-TERM");
+        first.send_signal("-TERM");
         wait_until(STOP_NOTICE_DELAY);
         balancer.set_targets(to_second);
         wait_until(SECOND_STOP_AFTER);
-        second.signal("-TERM");
+        second.send_signal("-TERM");
         wait_until(SECOND_STOP_AFTER + STOP_NOTICE_DELAY);
         balancer.set_targets(Vec::new());
         wait_until(RESTART_AFTER);
@@ -43,7 +43,7 @@
         wait_until(RESTART_AFTER + START_NOTICE_DELAY);
         balancer.set_targets(vec![restarted.address]);
         let accounts = clients.join().expect("the clients end");
-        restarted.stop();
+        restarted.terminate();
         accounts
     });
     assert_eq!(duplicate_orders(&nodes), Vec::<String>::new());
