--- a/crates/dewpier/benches/unlike.rs
+++ b/crates/dewpier/benches/unlike.rs
@@ -1,23 +1,25 @@
-//! Safe calls and orders between unlike nodes: three that fail one call in four in nine ways, two that
-//! fail one in 25, behind `dewpier serve`; and the load on five that all fail. `cargo bench --bench unlike`.
-//! `UNLIKE_SEED` changes the draws, `UNLIKE_ONLY` plays the scenes with that in their names, `UNLIKE_PROGRAM` names another build of the program to play beside.
+//! Measures safe requests and orders through `dewpier serve` to nodes that fail differently often: three fail one request
+//! in four in nine ways, two fail one in 25. Also measures the load on five nodes that all fail.
+//!
+//! Run with `cargo bench --bench unlike`. `UNLIKE_SEED` sets the seed, `UNLIKE_ONLY` selects scenarios by a part of their
+//! names, `UNLIKE_PROGRAM` names another build of the program to compare with.
 
 #[path = "common/parts.rs"]
 mod parts;
 
 use dewpier_standins::faulty::{ALL_FAULTS, Fault, FaultyBackend};
 use dewpier_standins::shop::{RequestCounts, RunCounts, duplicate_orders, run_clients};
-use parts::program_at;
+use parts::start_program_at;
 use std::path::Path;
 use std::time::Duration;
 
-/// Faults that tell at once, as a server does that has too much to do or is broken.
-const AT_ONCE: [Fault; 3] = [Fault::ServerError, Fault::Unavailable, Fault::ResetAfterRead];
+/// Faults that end a request at once, as of an overloaded or broken server.
+const IMMEDIATE_FAULTS: [Fault; 3] = [Fault::ServerError, Fault::Unavailable, Fault::ResetAfterRead];
 
-struct Scene {
+struct Scenario {
     name: &'static str,
-    /// The part that each of five nodes fails, and how.
-    parts: [f64; 5],
+    /// The fraction of requests that each of five nodes fails.
+    fault_fractions: [f64; 5],
     faults: &'static [Fault],
     clients: usize,
     requests: u64,
@@ -27,57 +29,59 @@
 fn main() {
     let seed = std::env::var("UNLIKE_SEED").ok().and_then(|s| s.parse().ok()).unwrap_or(1);
     println!("UNLIKE_SEED={seed}");
-    let unlike = [0.25, 0.25, 0.25, 0.04, 0.04];
-    let scenes = [
-        Scene {
+    let mixed_fractions = [0.25, 0.25, 0.25, 0.04, 0.04];
+    let scenarios = [
+        Scenario {
             name: "24 clients",
-            parts: unlike,
+            fault_fractions: mixed_fractions,
             faults: &ALL_FAULTS,
             clients: 24,
             requests: 5000,
             pause: Duration::ZERO,
         },
-        Scene {
+        Scenario {
             name: "3 clients, quiet",
-            parts: unlike,
+            fault_fractions: mixed_fractions,
             faults: &ALL_FAULTS,
             clients: 3,
             requests: 450,
             pause: Duration::from_millis(30),
         },
-        Scene {
+        Scenario {
             name: "all fail at once, 24 clients",
-            parts: [1.0; 5],
-            faults: &AT_ONCE,
+            fault_fractions: [1.0; 5],
+            faults: &IMMEDIATE_FAULTS,
             clients: 24,
             requests: 240,
             pause: Duration::from_millis(100),
         },
-        Scene {
+        Scenario {
             name: "all silent, 24 clients",
-            parts: [1.0; 5],
+            fault_fractions: [1.0; 5],
             faults: &[Fault::NoResponse],
             clients: 24,
             requests: 240,
             pause: Duration::from_millis(100),
         },
     ];
-    let built = env!("CARGO_BIN_EXE_dewpier").to_string();
-    let other = std::env::var("UNLIKE_PROGRAM").ok();
+    let this_program = env!("CARGO_BIN_EXE_dewpier").to_string();
+    let other_program = std::env::var("UNLIKE_PROGRAM").ok();
     println!(
-        "scene | build | safe served | refused, failed | of them told when | waited p50, max | orders served | twice, lost, wrong | attempts a request | connections a request | p99 of served | span"
+        "scenario | build | safe served | rejected, failed | with Retry-After | time of errors p50, max | orders served | duplicate, unanswered, invalid | attempts per request | connections per request | p99 of served | duration"
     );
-    let only = std::env::var("UNLIKE_ONLY").unwrap_or_default();
-    for scene in scenes.iter().filter(|s| s.name.contains(&only)) {
-        for (label, path) in other.iter().map(|p| ("other", p)).chain([("this", &built)]) {
-            run(scene, label, path, seed);
+    let name_filter = std::env::var("UNLIKE_ONLY").unwrap_or_default();
+    for scenario in scenarios.iter().filter(|s| s.name.contains(&name_filter)) {
+        for (label, path) in other_program.iter().map(|p| ("other", p)).chain([("this", &this_program)]) {
+            run_scenario(scenario, label, path, seed);
         }
     }
 }
 
-fn run(scene: &Scene, label: &str, path: &str, seed: u64) {
-    let start = |(i, part): (usize, &f64)| FaultyBackend::start(seed * 100 + i as u64, *part, scene.faults);
-    let nodes: Vec<FaultyBackend> = scene.parts.iter().enumerate().map(start).collect();
+fn run_scenario(scenario: &Scenario, label: &str, path: &str, seed: u64) {
+    let start = |(i, fraction): (usize, &f64)| {
+        FaultyBackend::start(seed * 100 + i as u64, *fraction, scenario.faults)
+    };
+    let nodes: Vec<FaultyBackend> = scenario.fault_fractions.iter().enumerate().map(start).collect();
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("unlike");
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("nodes.csv");
@@ -94,36 +98,37 @@
         class("quote", "safe", "GET"),
         class("order", "unsafe", "POST")
     );
-    let (_proxy, address, _) = program_at(0, path, "serve", &folder, &text);
+    let (_proxy, address, _) = start_program_at(0, path, "serve", &folder, &text);
     let address = address.parse().expect("an address");
-    let RunCounts { mut safe, orders, duration: span } =
-        run_clients(address, scene.clients, scene.requests, scene.pause);
-    let all = (safe.total() + orders.total()) as f64;
-    let sum = |of: fn(&FaultyBackend) -> usize| nodes.iter().map(of).sum::<usize>() as f64 / all;
-    let of = |a: &RequestCounts| a.unanswered + a.invalid;
+    let RunCounts { mut safe, orders, duration } =
+        run_clients(address, scenario.clients, scenario.requests, scenario.pause);
+    let request_total = (safe.total() + orders.total()) as f64;
+    let per_request =
+        |count: fn(&FaultyBackend) -> usize| nodes.iter().map(count).sum::<usize>() as f64 / request_total;
+    let errors = |a: &RequestCounts| a.unanswered + a.invalid;
     safe.error_times.sort_unstable();
     safe.success_times.sort_unstable();
-    let at = |times: &[Duration], part: f64| {
+    let quantile_ms = |times: &[Duration], fraction: f64| {
         let last = times.len().saturating_sub(1) as f64;
-        times.get((last * part).round() as usize).map_or(0, Duration::as_millis)
+        times.get((last * fraction).round() as usize).map_or(0, Duration::as_millis)
     };
     println!(
         "{} | {label} | {:.2}% of {} | {}, {} | {} | {}, {} ms | {:.2}% | {}, {}, {} | {:.3} | {:.3} | {} ms | {:.1} s",
-        scene.name,
+        scenario.name,
         100.0 * safe.success_fraction(),
         safe.total(),
         safe.rejected,
         safe.failed,
         safe.with_retry_after,
-        at(&safe.error_times, 0.5),
-        at(&safe.error_times, 1.0),
+        quantile_ms(&safe.error_times, 0.5),
+        quantile_ms(&safe.error_times, 1.0),
         100.0 * orders.success_fraction(),
         duplicate_orders(&nodes).len(),
         safe.unanswered + orders.unanswered,
-        of(&safe) + of(&orders) - safe.unanswered - orders.unanswered,
-        sum(FaultyBackend::attempt_count),
-        sum(FaultyBackend::connection_count),
-        at(&safe.success_times, 0.99),
-        span.as_secs_f64(),
+        errors(&safe) + errors(&orders) - safe.unanswered - orders.unanswered,
+        per_request(FaultyBackend::attempt_count),
+        per_request(FaultyBackend::connection_count),
+        quantile_ms(&safe.success_times, 0.99),
+        duration.as_secs_f64(),
     );
 }
