--- a/crates/plan/tests/memory.rs
+++ b/crates/plan/tests/memory.rs
@@ -23,11 +23,11 @@
 }
 
 #[global_allocator]
-static COUNTING: counting::Counting = counting::Counting;
+static COUNTING: counting::CountingAllocator = counting::CountingAllocator;
 
 /// Bytes allocated by a follower of such a plan.
 fn allocated_bytes(slice: Option<Slice>, nodes: usize) -> usize {
-    let now = || counting::NOW.load(std::sync::atomic::Ordering::Relaxed);
+    let now = || counting::IN_USE_BYTES.load(std::sync::atomic::Ordering::Relaxed);
     let before = now();
     let mut follower = Follower::with_slice(slice);
     follower.receive(0, PlannerMessage::Full(plan(nodes)));
