--- a/crates/dewpier/tests/bad_backends.rs
+++ b/crates/dewpier/tests/bad_backends.rs
@@ -114,7 +114,7 @@
     settings["caps"]["max-attempts"] = json!(1);
     let proxy = Proxy::start(&settings, &known, idle_discovery().address);
     // The proxy delays the last byte only briefly: on a busy host the reset may arrive too late.
-    wait_for("second answer on a kept connection", || {
+    wait_for("second answer on a persistent connection", || {
         assert_eq!(proxy.exchange(&request_text("order", 9000)).status(), 200);
         std::thread::sleep(Duration::from_millis(100));
         proxy.exchange(&request_text("order", 9000)).status() == 200
@@ -194,7 +194,7 @@
     std::thread::scope(|scope| {
         for stuck_calls in 1..=4 {
             scope.spawn(ask);
-            wait_for("call", || count_requests(&backends) == 30 + stuck_calls);
+            wait_for("request", || count_requests(&backends) == 30 + stuck_calls);
         }
         // Long enough to count as a lasting excess of calls in flight.
         std::thread::sleep(Duration::from_secs(3));
@@ -219,7 +219,7 @@
     stuck.store(true, Ordering::SeqCst);
     std::thread::scope(|scope| {
         let calls: Vec<_> = (0..30).map(|_| scope.spawn(ask)).collect();
-        wait_for("calls", || count_requests(&backends) > 32);
+        wait_for("requests", || count_requests(&backends) > 32);
         // Time for all requests to arrive, far below their deadline.
         std::thread::sleep(Duration::from_millis(500));
         // The stalled backend receives only some of the requests.
--- a/crates/dewpier/tests/discovery_watch.rs
+++ b/crates/dewpier/tests/discovery_watch.rs
@@ -277,7 +277,7 @@
         });
         let mut config = build_config(&settings_with_mode(mode), &known_list(&[&old]));
         let proxy = Proxy::start_with_config(&config, first.address);
-        wait_for("call", || first.request_count() >= 1);
+        wait_for("request", || first.request_count() >= 1);
         config["discovery"] = json!(second.address.to_string());
         proxy.write_config(&config);
         proxy.signal("-HUP");
@@ -319,7 +319,9 @@
         settings["rules"]["ask-within"] = json!(120.0);
         let begun = Instant::now();
         let proxy = Proxy::start(&settings, &discovery_list(1, true, &[]), discovery.address);
-        wait_for("yes", || proxy.exchange("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200);
+        wait_for("ready proxy", || {
+            proxy.exchange("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200
+        });
         assert!(begun.elapsed() < READY_WITHIN, "{mode}: {:?}", begun.elapsed());
         assert_eq!(proxy.exchange(&request_text("look", 9000)).body, b"hello", "{mode}");
     }
--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -121,7 +121,7 @@
     fleet.0.datagram_network.set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |_, _| true);
     fleet.0.nodes[2].set_response_time(Duration::from_millis(30));
     fleet.0.nodes[5].set_failing(false);
-    wait_for("verdicts to expire", || (0..PROXIES).all(|p| !fleet.ejects(p, 2) && !fleet.ejects(p, 5)));
+    wait_for("expiry of the verdicts", || (0..PROXIES).all(|p| !fleet.ejects(p, 2) && !fleet.ejects(p, 5)));
     assert!(
         !is_avoided_in_time(&fleet, 6, 0.0, |b| b.set_failing(true)),
         "the bound must not hold without datagrams"
@@ -140,7 +140,7 @@
         .datagram_network
         .set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |from, to| to == 4 || from == 5);
     fleet.0.nodes[2].set_failing(true);
-    wait_for("a verdict of all connected proxies", || {
+    wait_for("verdict of all connected proxies", || {
         (0..PROXIES).filter(|p| ![4, 5].contains(p)).all(|p| fleet.ejects(p, 2))
     });
     assert!(!fleet.ejects(4, 2), "proxy 4 receives no evidence");
@@ -166,7 +166,7 @@
         (0..PROXIES).all(|p| fleet.0.read_metric(p, "partners_answering") == Some(PROXIES as u64))
     });
     // A busy host may cause short verdicts.
-    wait_for("no verdict from the false reports", || (0..NODES).all(|node| fleet.count_ejecting(node) == 0));
+    wait_for("end of the false verdicts", || (0..NODES).all(|node| fleet.count_ejecting(node) == 0));
     assert!(false_reporter.accepted() > 0, "the false reports must arrive");
 }
 
--- a/crates/dewpier/tests/operate.rs
+++ b/crates/dewpier/tests/operate.rs
@@ -71,7 +71,7 @@
     let backend = ScriptedServer::always_ok("a");
     let proxy = start_with_operator(&settings(), &[&backend]);
     let ready = "GET /-/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n";
-    wait_for("a yes", || proxy.exchange(ready).status() == 200);
+    wait_for("positive check", || proxy.exchange(ready).status() == 200);
     let (mut idle, mut silent, mut active) = (proxy.connect(), proxy.connect(), proxy.connect());
     assert_eq!(exchange(&mut idle, &request_text("look", 5000)).status(), 200);
     assert!(proxy.call("drain-on").starts_with("YES"));
@@ -101,7 +101,7 @@
 fn drains_lose_no_request_of_busy_clients() {
     let backend = ScriptedServer::always_ok("a");
     let proxy = start_with_operator(&settings(), &[&backend]);
-    wait_for("a yes", || proxy.call("check").starts_with("YES"));
+    wait_for("positive check", || proxy.call("check").starts_with("YES"));
     let is_over = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let client = || {
@@ -148,7 +148,7 @@
         _ => ScriptedReply::Respond(format_response("200 OK", "b")),
     });
     let proxy = start_with_operator(&settings(), &[&closing, &rejecting]);
-    wait_for("a yes", || proxy.call("check").starts_with("YES"));
+    wait_for("positive check", || proxy.call("check").starts_with("YES"));
     let mut outcomes = std::collections::BTreeMap::<(String, &str), u64>::new();
     for n in 0..300 {
         let class = ["look", "save", "order"][n % 3];
@@ -182,13 +182,13 @@
     let (ended, _end) = std::sync::mpsc::channel();
     let silent = ScriptedServer::new(move |_, _| ScriptedReply::NeverRespond(ended.clone()));
     let proxy = start_with_operator(&settings(), &[&silent]);
-    wait_for("a yes", || proxy.call("check").starts_with("YES"));
+    wait_for("positive check", || proxy.call("check").starts_with("YES"));
     let mut client = proxy.connect();
     client.get_mut().write_all(request_text("order", 20_000).as_bytes()).unwrap();
-    wait_for("a pending request", || proxy.metric("pending") == 1);
-    wait_for("an attempt", || proxy.metric("upstream_requests") == 1);
+    wait_for("pending request", || proxy.metric("pending") == 1);
+    wait_for("attempt", || proxy.metric("upstream_requests") == 1);
     drop(client);
-    wait_for("its end", || proxy.metric("pending") == 0);
+    wait_for("end of the request", || proxy.metric("pending") == 0);
 }
 
 #[test]
@@ -215,7 +215,7 @@
         let output = program().args(["operate", call, "--at", address]).output().unwrap();
         (output.status.code(), String::from_utf8(output.stdout).unwrap())
     };
-    wait_for("a yes", || call("check", &address).0 == Some(0));
+    wait_for("positive check", || call("check", &address).0 == Some(0));
     assert_eq!(call("drain-on", &address).0, Some(0));
     let (code, reply) = call("check", &address);
     assert!(code == Some(1) && reply.starts_with("NO"), "{reply}");
--- a/crates/dewpier/tests/plan.rs
+++ b/crates/dewpier/tests/plan.rs
@@ -79,7 +79,7 @@
     replace_file(&file, with_drained(1, 2).as_bytes());
     let restarted = DewpierProcess::start_planner(&address.to_string(), &file);
     for forwarder in &forwarders {
-        wait_for("the new plan", || {
+        wait_for("new plan", || {
             forwarder.log_lines().iter().filter(|l| l.contains("backends from")).count() >= 3
         });
     }
@@ -99,7 +99,7 @@
     for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order_id) {
         *orders.entry(order).or_default() += 1;
     }
-    assert!(orders.len() > 100 && orders.values().all(|n| *n == 1), "an order ran twice");
+    assert!(orders.len() > 100 && orders.values().all(|n| *n == 1), "an order ran more than once");
     forwarders.into_iter().for_each(DewpierProcess::terminate);
     restarted.terminate();
 }
@@ -221,7 +221,7 @@
     }
     assert_shown(&["f0: by own watch", "it holds for ", "draining"]);
     let before: usize = backends.iter().skip(1).map(Backend::request_count).sum();
-    wait_for("load by its own watch", || {
+    wait_for("load with its own list", || {
         backends.iter().skip(1).map(Backend::request_count).sum::<usize>() > before + 500
     });
     assert_eq!(count_after_drain_grace(&backends[0], drained_at), 0);
@@ -240,7 +240,7 @@
     }
     let counts = || backends.iter().skip(2).map(Backend::request_count).collect::<Vec<_>>();
     let before = counts();
-    wait_for("load by planners", || counts().iter().zip(&before).all(|(now, then)| *now > then + 50));
+    wait_for("load with the planners", || counts().iter().zip(&before).all(|(now, then)| *now > then + 50));
     assert_eq!(
         (
             count_after_drain_grace(&backends[0], drained_at),
--- a/crates/dewpier/tests/planners.rs
+++ b/crates/dewpier/tests/planners.rs
@@ -76,7 +76,7 @@
     for order in backends.iter().flat_map(|b| b.arrivals()).filter_map(|a| a.order_id) {
         *orders.entry(order).or_default() += 1;
     }
-    assert!(orders.len() > 100 && orders.values().all(|n| *n == 1), "an order ran twice");
+    assert!(orders.len() > 100 && orders.values().all(|n| *n == 1), "an order ran more than once");
 }
 
 #[test]
@@ -359,7 +359,7 @@
     planners.iter_mut().for_each(kill);
     forwarder.wait_for_log(0, "from its own watch");
     let before: Vec<usize> = backends.iter().map(Backend::request_count).collect();
-    wait_for("load by its own watch", || {
+    wait_for("load with its own list", || {
         backends.iter().zip(&before).map(|(b, n)| b.request_count() - n).sum::<usize>() > 500
     });
     assert_eq!(count_after_drain_grace(&backends[drained_node], drained_at), 0);
--- a/crates/dewpier/tests/proxy.rs
+++ b/crates/dewpier/tests/proxy.rs
@@ -160,7 +160,9 @@
     wait_for("attempt", || backend.request_count() == 1);
     proxy.signal("-TERM");
     // Existing and new connections each serve more than one further request and are then closed.
-    wait_for("stop", || proxy.exchange("GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n").status() == 503);
+    wait_for("stop of the proxy", || {
+        proxy.exchange("GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n").status() == 503
+    });
     let mut new = [proxy.connect(), proxy.connect()];
     let [first, unused] = &mut new;
     for stream in [0, 1, 0, 1] {
@@ -251,7 +253,7 @@
             _ => ScriptedReply::NeverRespond(channel().0),
         });
     let proxy = Proxy::start(&settings(), &known_list(&[&old]), discovery.address);
-    wait_for("further call", || discovery.request_count() >= 3);
+    wait_for("further request", || discovery.request_count() >= 3);
     assert_eq!(proxy.exchange(&request_text("look", 20_000)).body, b"old");
     phase.store(1, Ordering::SeqCst);
     let is_next_watch = |m: &Message| m.start_line.contains("since=2&");
@@ -277,7 +279,7 @@
         _ => ScriptedReply::NeverRespond(channel().0),
     });
     let proxy = Proxy::start(&settings(), &known_list(&[&old]), discovery.address);
-    wait_for("third call", || discovery.request_count() >= 3);
+    wait_for("third request", || discovery.request_count() >= 3);
     let calls = discovery.received_requests.lock().unwrap();
     let waits: Vec<(u64, u64)> = calls.iter().map(|call| since_and_wait(&call.start_line)).collect();
     assert!(waits[0].0 == 1 && (1..=2000).contains(&waits[0].1), "{}", calls[0].start_line);
@@ -330,6 +332,6 @@
     // The deadline is far longer than this test; a failed request is repeated after a tenth of it.
     settings["rules"]["ask-within"] = json!(40.0);
     let proxy = Proxy::start(&settings, &known_list(&[&old]), discovery.address);
-    wait_for("the new list", || proxy.exchange(&request_text("look", 20_000)).body == b"new");
+    wait_for("new list", || proxy.exchange(&request_text("look", 20_000)).body == b"new");
     assert!(discovery.request_count() >= 2);
 }
--- a/crates/dewpier/tests/rulings.rs
+++ b/crates/dewpier/tests/rulings.rs
@@ -51,7 +51,7 @@
         assert!(call(&harness, node, &format!("avoid 600 pricing-{node:02}")).starts_with("YES"));
     }
     let set_at = Instant::now();
-    wait_for("the override at all proxies", || {
+    wait_for("override at all proxies", || {
         all_proxies(&|p| (0..3).all(|node| is_ejected(&harness, p, node)))
     });
     // One round to send the override and one to apply it.
@@ -68,27 +68,27 @@
     // A partitioned proxy keeps a cancelled override until the override's end.
     assert!(call(&harness, 1, "avoid 8 pricing-05").starts_with("YES"));
     let ends_at = Instant::now() + Duration::from_secs(8);
-    wait_for("the override at all proxies", || all_proxies(&|p| is_ejected(&harness, p, 5)));
+    wait_for("override at all proxies", || all_proxies(&|p| is_ejected(&harness, p, 5)));
     harness.datagram_network.set_faults(LinkFaults { cut: true, ..LinkFaults::default() }, |_, to| to == 6);
     assert!(call(&harness, 4, "as-seen pricing-05").starts_with("YES"));
-    wait_for("the override to be cancelled", || all_proxies(&|p| p == 6 || !is_ejected(&harness, p, 5)));
+    wait_for("cancellation of the override", || all_proxies(&|p| p == 6 || !is_ejected(&harness, p, 5)));
     assert!(
         Instant::now() > ends_at || is_ejected(&harness, 6, 5),
         "the partitioned proxy must keep the override"
     );
-    wait_for("the end of the override", || Instant::now() > ends_at);
+    wait_for("end of the override", || Instant::now() > ends_at);
     std::thread::sleep(settings().send_interval + SLACK);
     assert!(!is_ejected(&harness, 6, 5), "the override holds after its end");
     // A restarted proxy receives the overrides and can cancel them.
     harness.datagram_network.set_faults(LinkFaults::default(), |_, _| true);
     harness.restart(2);
-    wait_for("the overrides at the new process", || {
+    wait_for("overrides at the new process", || {
         (0..3).all(|node| harness.read_verdicts(2).is_some() && is_ejected(&harness, 2, node))
     });
     for node in 0..3 {
         assert!(call(&harness, 2, &format!("as-seen pricing-{node:02}")).starts_with("YES"));
     }
-    wait_for("all nodes to return", || all_proxies(&|p| (0..3).all(|node| !is_ejected(&harness, p, node))));
+    wait_for("return of all nodes", || all_proxies(&|p| (0..3).all(|node| !is_ejected(&harness, p, node))));
     let since = Instant::now();
     wait_for("traffic to the nodes", || (0..3).all(|node| !senders(&harness, node, since).is_empty()));
 }
@@ -103,11 +103,11 @@
     let has_verdict = |p: usize| {
         harness.read_verdicts(p).is_some_and(|h| h.iter().any(|h| h.node == 1 && h.kind == "failing"))
     };
-    wait_for("a verdict", || (0..PROXIES).any(has_verdict));
+    wait_for("verdict", || (0..PROXIES).any(has_verdict));
     assert!((0..PROXIES).all(|p| !is_ejected(&harness, p, 1)), "{}", call(&harness, 0, "verdicts"));
     // The verdict ejects the node once the trust is cancelled.
     assert!(call(&harness, 5, "as-seen pricing-01").starts_with("YES"));
-    wait_for("the verdict to eject the node", || (0..PROXIES).any(|p| is_ejected(&harness, p, 1)));
+    wait_for("ejection of the node", || (0..PROXIES).any(|p| is_ejected(&harness, p, 1)));
     for (text, reason) in [
         ("avoid 600 pricing-99", "expected the name of one listed node"),
         ("avoid 0 pricing-02", "expected 1 to 604800 s"),
@@ -119,5 +119,5 @@
         assert!(reply.starts_with("NO ") && reply.contains(reason), "{text}: {reply}");
     }
     // The override was cancelled at another proxy; the cancellation arrives within two rounds.
-    wait_for("no active override", || harness.read_metric(0, "rulings") == Some(0));
+    wait_for("end of all overrides", || harness.read_metric(0, "rulings") == Some(0));
 }
--- a/crates/dewpier/tests/secured.rs
+++ b/crates/dewpier/tests/secured.rs
@@ -200,7 +200,7 @@
     assert!(!text.contains("backends from"), "{text}");
     assert!(addresses[..2].iter().all(|a| text.contains(&format!("planner {a}: "))), "{text}");
     let following = DewpierProcess::start_forwarder_with("f1", &addresses, &settings);
-    wait_for("the list of the true planner", || {
+    wait_for("list of the true planner", || {
         following.log_lines().iter().any(|l| l.contains("1 backends from"))
     });
     following.terminate();
--- a/crates/dewpier/tests/serve.rs
+++ b/crates/dewpier/tests/serve.rs
@@ -456,7 +456,9 @@
     let before = [backends[0].request_count(), backends[1].request_count()];
     replace_file(&proxy.inventory_file, good.as_bytes());
     let returned_at = Instant::now();
-    wait_for("return", || backends.iter().zip(before).take(2).all(|(b, n)| b.request_count() > n));
+    wait_for("load on the returned nodes", || {
+        backends.iter().zip(before).take(2).all(|(b, n)| b.request_count() > n)
+    });
     println!("both nodes are used again after {:?}", returned_at.elapsed());
     assert_all_served(&load.stop(), &backends);
     proxy.terminate();
--- a/crates/dewpier/tests/shutdown.rs
+++ b/crates/dewpier/tests/shutdown.rs
@@ -125,7 +125,7 @@
         proxy.write_config(&config);
         let signalled_at = Instant::now();
         signals.iter().for_each(|signal| proxy.signal(signal));
-        wait_for("stop", || proxy.exchange(READY).status() == 503);
+        wait_for("stop of the proxy", || proxy.exchange(READY).status() == 503);
         release.send(()).unwrap();
         assert_eq!(read_message(&mut client).expect("an answer").status(), 200, "{signals:?}");
         drop(client);
--- a/crates/dewpier/tests/snapshot.rs
+++ b/crates/dewpier/tests/snapshot.rs
@@ -31,9 +31,9 @@
 fn restart_all(snapshots: bool) -> (usize, usize) {
     let harness = start(5, snapshots);
     harness.nodes[BAD].set_failing(true);
-    wait_for("a verdict of all proxies", || (0..PROXIES).all(|p| is_ejected(&harness, p, BAD)));
+    wait_for("verdict of all proxies", || (0..PROXIES).all(|p| is_ejected(&harness, p, BAD)));
     assert!(harness.call_operator(4, "avoid 600 pricing-06").is_some_and(|reply| reply.starts_with("YES")));
-    wait_for("the override at all proxies", || (0..PROXIES).all(|p| is_ejected(&harness, p, 6)));
+    wait_for("override at all proxies", || (0..PROXIES).all(|p| is_ejected(&harness, p, 6)));
     if snapshots {
         let written = |p: usize| harness.read_metric(p, "snapshots_written").unwrap_or_default();
         let before: Vec<u64> = (0..PROXIES).map(written).collect();
@@ -46,7 +46,7 @@
     harness.restart_all();
     let count_ejected = |node: usize| (0..PROXIES).filter(|p| is_ejected(&harness, *p, node)).count();
     if snapshots {
-        wait_for("the first verdicts of all proxies", || count_ejected(6) == PROXIES);
+        wait_for("first verdicts of all proxies", || count_ejected(6) == PROXIES);
     } else {
         std::thread::sleep(harness.bounds().send_interval * 10);
     }
@@ -58,7 +58,7 @@
     if snapshots {
         // Restored evidence keeps aging: without new failures the verdict expires within the bound, the override stays.
         harness.nodes[BAD].set_failing(false);
-        wait_for("the verdict to expire", || count_ejected(BAD) == 0);
+        wait_for("expiry of the verdict", || count_ejected(BAD) == 0);
         let max_duration =
             harness.bounds().max_evidence_age + harness.bounds().send_interval + Duration::from_secs(2);
         assert!(killed_at.elapsed() < max_duration, "the verdict expired after {:?}", killed_at.elapsed());
@@ -79,7 +79,7 @@
 fn invalid_snapshot_is_reported_once_and_ignored() {
     let harness = start(6, true);
     assert!(harness.call_operator(0, "avoid 600 pricing-06").is_some_and(|reply| reply.starts_with("YES")));
-    wait_for("the override at all proxies", || (0..PROXIES).all(|p| is_ejected(&harness, p, 6)));
+    wait_for("override at all proxies", || (0..PROXIES).all(|p| is_ejected(&harness, p, 6)));
     let written = |p: usize| harness.read_metric(p, "snapshots_written").unwrap_or_default();
     let before: Vec<u64> = (0..PROXIES).map(written).collect();
     wait_for("new snapshots of all proxies", || (0..PROXIES).all(|p| written(p) >= before[p] + 2));
@@ -103,17 +103,17 @@
         let lines = harness.log_lines_containing(proxy, "restoring the snapshot failed");
         assert!(lines.len() == 1 && lines[0].contains(reason), "{proxy}: {lines:?}");
         // The process serves and writes snapshots again.
-        wait_for("a new snapshot", || harness.read_metric(proxy, "snapshots_written") > Some(1));
+        wait_for("new snapshot", || harness.read_metric(proxy, "snapshots_written") > Some(1));
         assert!(!is_ejected(&harness, proxy, 6), "proxy {proxy} uses an invalid snapshot");
     }
     // A valid snapshot is restored.
     harness.restart_with_snapshot(1, &valid);
     assert_eq!(harness.log_lines_containing(1, "restored the snapshot of the previous process").len(), 1);
-    wait_for("the restored override", || is_ejected(&harness, 1, 6));
+    wait_for("restored override", || is_ejected(&harness, 1, 6));
     // A deleted folder is reported once and has no other effect.
     let snapshot_file = harness.snapshot_path(7);
     std::fs::remove_dir_all(snapshot_file.parent().unwrap()).unwrap();
-    wait_for("failures", || harness.read_metric(7, "snapshots_failed") > Some(2));
+    wait_for("failed snapshots", || harness.read_metric(7, "snapshots_failed") > Some(2));
     assert_eq!(harness.log_lines_containing(7, "writing the snapshot failed").len(), 1);
     assert!(harness.call_operator(7, "check").is_some_and(|reply| reply.starts_with("YES")));
 }
@@ -136,7 +136,7 @@
 fn staleness_bound_holds_over_a_restart_unless_snapshots_are_postdated() {
     let harness = start(8, true);
     harness.nodes[BAD].set_failing(true);
-    wait_for("a verdict of all proxies", || (0..PROXIES).all(|p| is_ejected(&harness, p, BAD)));
+    wait_for("verdict of all proxies", || (0..PROXIES).all(|p| is_ejected(&harness, p, BAD)));
     let written = |p: usize| harness.read_metric(p, "snapshots_written").unwrap_or_default();
     let before: Vec<u64> = (0..PROXIES).map(written).collect();
     wait_for("new snapshots of all proxies", || (0..PROXIES).all(|p| written(p) >= before[p] + 2));
@@ -153,7 +153,7 @@
         let forged = postdate(file, p, killed_at.elapsed());
         harness.restart_with_snapshot(p, if p % 2 == 0 { file } else { &forged });
     }
-    wait_for("the first verdicts of all proxies", || {
+    wait_for("first verdicts of all proxies", || {
         (0..PROXIES).all(|p| harness.read_metric(p, "snapshots_written") > Some(1))
     });
     let (with_true_snapshot, with_forged_snapshot): (Vec<usize>, Vec<usize>) =
@@ -173,7 +173,7 @@
 fn evidence_on_a_replaced_node_does_not_eject_its_successor() {
     let harness = start(7, false);
     harness.nodes[BAD].set_failing(true);
-    wait_for("a verdict of all proxies", || (0..PROXIES).all(|p| is_ejected(&harness, p, BAD)));
+    wait_for("verdict of all proxies", || (0..PROXIES).all(|p| is_ejected(&harness, p, BAD)));
     harness.set_draining(&[BAD]);
     harness.nodes[BAD].set_failing(false);
     let count = harness.nodes[BAD].request_count();
--- a/crates/dewpier/tests/streams.rs
+++ b/crates/dewpier/tests/streams.rs
@@ -35,7 +35,7 @@
     config["limits"] = json!({"cores": 1.0, "memory_mb": 48, "sockets": 1024});
     config["operator"] = json!("127.0.0.1:0");
     let proxy = Proxy::start_with_config(&config, idle_discovery().address);
-    wait_for("a yes", || proxy.call("check").starts_with("YES"));
+    wait_for("positive check", || proxy.call("check").starts_with("YES"));
     proxy
 }
 
@@ -89,7 +89,7 @@
         }
     });
     assert!(max_memory_kb(&proxy) < MAX_MEMORY_KB, "{} kB", max_memory_kb(&proxy));
-    wait_for("all counted", || proxy.metric("pending") == 0);
+    wait_for("end of all requests", || proxy.metric("pending") == 0);
     assert_eq!(proxy.metric("downstream_requests.order.completed"), STREAMS as u64);
     assert_eq!(proxy.metric("upstream_requests"), 2 * STREAMS as u64);
 }
@@ -186,7 +186,7 @@
         assert_eq!((status, received.is_correct, received.is_complete), (200, true, false), "{query}");
         assert!(received.size <= cut, "{query}: {received:?}");
     }
-    wait_for("all counted", || proxy.metric("pending") == 0);
+    wait_for("end of all requests", || proxy.metric("pending") == 0);
     assert_eq!(proxy.metric("downstream_requests.order.failed"), 40);
     assert_eq!(proxy.metric("downstream_requests.order.completed"), 0);
 }
@@ -206,7 +206,7 @@
         let answer = read_message(&mut stream).map(|answer| answer.status());
         assert!(answer.is_none_or(|status| status >= 400), "{answer:?}");
     }
-    wait_for("all ended", || proxy.metric("pending") == 0);
+    wait_for("end of all requests", || proxy.metric("pending") == 0);
     assert_eq!(bulk.body_counts[0].load(Ordering::SeqCst), 0);
     assert_eq!(proxy.metric("upstream_requests"), 0, "no complete request was sent");
 }
--- a/crates/dewpier/tests/upgrade.rs
+++ b/crates/dewpier/tests/upgrade.rs
@@ -45,19 +45,19 @@
 /// Starts the first proxy, waits until it accepts clients, and returns its address.
 fn start_first(start: impl Fn(&str) -> Proxy) -> (Proxy, std::net::SocketAddr) {
     let proxy = start("127.0.0.1:0");
-    wait_for("a yes", || is_accepting(&proxy));
+    wait_for("positive check", || is_accepting(&proxy));
     let address = proxy.address;
     (proxy, address)
 }
 
 /// Returns the request ids that reached the backends more than once.
 fn duplicate_ids(backends: &[&ScriptedServer]) -> Vec<String> {
-    let mut seen = HashSet::new();
+    let mut known_ids = HashSet::new();
     let mut duplicates = Vec::new();
     for backend in backends {
         for message in backend.received_requests.lock().unwrap().iter() {
             let id = message.header("x-txn").unwrap().to_string();
-            if !seen.insert(id.clone()) {
+            if !known_ids.insert(id.clone()) {
                 duplicates.push(id);
             }
         }
@@ -159,14 +159,16 @@
     let backends = [start_backend(), start_backend()];
     let all = [&backends[0], &backends[1]];
     let (config, folder, lists) = (operator_config(&all), folder("ups"), idle_discovery());
-    let start = |address: &str| Proxy::start_at(address, &config, lists.address, &folder).expect("it starts");
+    let start = |address: &str| {
+        Proxy::start_at(address, &config, lists.address, &folder).expect("the proxy should start")
+    };
     let (mut old, address) = start_first(start);
     let counts = under_load(address, |orders| {
         for n in 0..upgrades {
             let unanswered = orders.counts()[1];
             let new = start(&address.to_string());
-            wait_for("a yes of the new process", || is_accepting(&new));
-            wait_for("a no of the old process", || !is_accepting(&old));
+            wait_for("positive check of the new process", || is_accepting(&new));
+            wait_for("negative check of the old process", || !is_accepting(&old));
             std::thread::sleep(Duration::from_millis(rng.next_u64() % 40));
             stop_in_order(std::mem::replace(&mut old, new));
             let unanswered = orders.counts()[1] - unanswered;
@@ -190,7 +192,9 @@
     let backends = [start_backend(), start_backend()];
     let all = [&backends[0], &backends[1]];
     let (config, folder, lists) = (operator_config(&all), folder("dies"), idle_discovery());
-    let start = |address: &str| Proxy::start_at(address, &config, lists.address, &folder).expect("it starts");
+    let start = |address: &str| {
+        Proxy::start_at(address, &config, lists.address, &folder).expect("the proxy should start")
+    };
     let (mut old, address) = start_first(start);
     let [_, unanswered, failed] = under_load(address, |orders| {
         for is_suspended in [false, true, false, true] {
@@ -199,9 +203,9 @@
                 old.signal("-STOP");
             }
             let new = start(&address.to_string());
-            wait_for("a yes of the new process", || is_accepting(&new));
+            wait_for("positive check of the new process", || is_accepting(&new));
             old.signal("-KILL");
-            wait_for("its end", || old.child.try_wait().unwrap().is_some());
+            wait_for("exit of the old process", || old.child.try_wait().unwrap().is_some());
             old = new;
             wait_for_orders(orders);
         }
@@ -219,7 +223,7 @@
     let (full_config, folder, lists) = (operator_config(&all), folder("never"), idle_discovery());
     let old = Proxy::start_at("127.0.0.1:0", &full_config, lists.address, &folder).unwrap();
     let address = old.address.to_string();
-    wait_for("a yes", || is_accepting(&old));
+    wait_for("positive check", || is_accepting(&old));
     let [_, _, failed] = under_load(old.address, |orders| {
         // This process has no backend and receives none.
         let unlisted = Proxy::start_at(&address, &operator_config(&[]), lists.address, &folder).unwrap();
@@ -227,17 +231,17 @@
         assert!(is_accepting(&old) && !is_accepting(&unlisted));
         // A third process starts meanwhile and listens on the same address.
         let third = Proxy::start_at(&address, &full_config, lists.address, &folder).unwrap();
-        wait_for("a yes of the third process", || is_accepting(&third));
+        wait_for("positive check of the third process", || is_accepting(&third));
         wait_for_orders(orders);
         drop(third);
         drop(unlisted);
         wait_for_orders(orders);
         // A process that takes over and is killed at once.
         let short_lived = Proxy::start_at(&address, &full_config, lists.address, &folder).unwrap();
-        wait_for("a yes", || is_accepting(&short_lived));
-        wait_for("a no", || !is_accepting(&old));
+        wait_for("positive check", || is_accepting(&short_lived));
+        wait_for("negative check", || !is_accepting(&old));
         drop(short_lived);
-        wait_for("a yes again", || is_accepting(&old));
+        wait_for("positive check after the takeover", || is_accepting(&old));
         wait_for_orders(orders);
     });
     assert_eq!(failed, 0);
@@ -256,15 +260,15 @@
     std::fs::create_dir_all(&long).unwrap();
     for place in [stale.clone(), PathBuf::from("/dev/null"), long] {
         let old = Proxy::start_at("127.0.0.1:0", &config, lists.address, &place).unwrap();
-        wait_for("a yes", || is_accepting(&old));
+        wait_for("positive check", || is_accepting(&old));
         let file = place.join(format!("dewpier-{}.handover", old.address));
         if place == stale {
-            wait_for("its socket", || file.exists());
+            wait_for("handover socket", || file.exists());
             std::fs::remove_file(&file).unwrap();
             std::fs::write(&file, "left behind").unwrap();
         }
         let new = Proxy::start_at(&old.address.to_string(), &config, lists.address, &place).unwrap();
-        wait_for("a yes of the new process", || is_accepting(&new));
+        wait_for("positive check of the new process", || is_accepting(&new));
         stop_in_order(old);
         assert_eq!(new.exchange(&request_text("order", 5000)).status(), 200);
         stop_in_order(new);
@@ -282,11 +286,11 @@
     config["settings"]["rules"]["ask-within"] = json!(600.0);
     let folder = folder("asks");
     let old = Proxy::start_at("127.0.0.1:0", &config, lists.address, &folder).unwrap();
-    wait_for("a yes", || is_accepting(&old));
+    wait_for("positive check", || is_accepting(&old));
     let before = lists.request_count();
     let new = Proxy::start_at(&old.address.to_string(), &config, lists.address, &folder).unwrap();
-    wait_for("a yes of the new process", || is_accepting(&new));
-    wait_for("a request for changes", || lists.request_count() > before);
+    wait_for("positive check of the new process", || is_accepting(&new));
+    wait_for("request for changes", || lists.request_count() > before);
     assert!(before <= 1 && old.address == new.address);
 }
 
@@ -301,17 +305,17 @@
     let (folder, lists) = (folder("last"), idle_discovery());
     let old = Proxy::start_at("127.0.0.1:0", &config, lists.address, &folder).unwrap();
     let address = old.address;
-    wait_for("a yes", || is_accepting(&old));
+    wait_for("positive check", || is_accepting(&old));
     // The successor receives the socket and is stopped.
     let mut successor = Proxy::start_at(&address.to_string(), &config, lists.address, &folder).unwrap();
-    wait_for("a yes of the new process", || is_accepting(&successor));
+    wait_for("positive check of the new process", || is_accepting(&successor));
     stop_in_order(old);
     successor.signal("-TERM");
     let mut stream = successor.connect();
     std::thread::sleep(Duration::from_millis(1500));
     stream.get_mut().write_all(request_text("order", 2900).as_bytes()).unwrap();
-    wait_for("an attempt", || held.request_count() == 1);
-    wait_for("a refused connection", || TcpStream::connect(address).is_err());
+    wait_for("attempt", || held.request_count() == 1);
+    wait_for("refused connection", || TcpStream::connect(address).is_err());
     assert!(successor.child.try_wait().unwrap().is_none(), "the process must stay until its last answer");
     release.send(()).unwrap();
     assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
@@ -325,7 +329,7 @@
     let (full_config, folder, lists) = (operator_config(&[&backends[0]]), folder("waits"), idle_discovery());
     let old = Proxy::start_at("127.0.0.1:0", &full_config, lists.address, &folder).unwrap();
     let address = old.address.to_string();
-    wait_for("a yes", || is_accepting(&old));
+    wait_for("positive check", || is_accepting(&old));
     stop_in_order(Proxy::start_at(&address, &operator_config(&[]), lists.address, &folder).unwrap());
     assert_eq!(old.exchange(&request_text("order", 5000)).status(), 200);
     // When the old process ends first, the new one must answer.
