--- a/crates/inventory/src/io/mod.rs
+++ b/crates/inventory/src/io/mod.rs
@@ -1,7 +1,7 @@
-//! The files themselves: reading one at once, and watching one from a thread of its own.
+//! Reads inventory files, and watches them from a separate thread.
 
 mod file;
 mod watch;
 
-pub use file::{CONFIRMATION, ReadError, read_file};
-pub use watch::{Source, Update, confirm};
+pub use file::{CONFIRMATION_SUFFIX, ReadError, read_file};
+pub use watch::{InventoryWatcher, Update, confirm};
