--- a/crates/dewpier/tests/client_gone.rs
+++ b/crates/dewpier/tests/client_gone.rs
@@ -27,8 +27,8 @@
         ("nothing", Vec::new()),
         ("half a head", b"GET /api HTTP/1.1\r\nHost: a".to_vec()),
         ("a whole request", request_text("look", 9000).into_bytes()),
-        ("as much as is kept", vec![b'x'; 15 << 10]),
-        ("more than is kept", vec![b'x'; 3 << 20]),
+        ("as much as is buffered", vec![b'x'; 15 << 10]),
+        ("more than is buffered", vec![b'x'; 3 << 20]),
     ]
 }
 
--- a/crates/dewpier/tests/discovery_watch.rs
+++ b/crates/dewpier/tests/discovery_watch.rs
@@ -58,7 +58,7 @@
             }
             server_changed_at.lock().unwrap().get_or_insert_with(Instant::now);
             match fault(before - normal_calls) {
-                Some(play) => play,
+                Some(reply) => reply,
                 None if has_new_version => no_answer(),
                 None => change(),
             }
@@ -134,9 +134,9 @@
 /// A fault of the first `calls` requests after the change.
 fn first(
     calls: usize,
-    play: fn() -> ScriptedReply,
+    reply: fn() -> ScriptedReply,
 ) -> impl Fn(usize) -> Option<ScriptedReply> + Clone + Send + Sync {
-    move |call| (call < calls).then(play)
+    move |call| (call < calls).then(reply)
 }
 
 #[test]
--- a/crates/dewpier/tests/mysql.rs
+++ b/crates/dewpier/tests/mysql.rs
@@ -110,7 +110,7 @@
     {
         std::fs::copy(deploy.join(name), folder.join(name)).unwrap();
     }
-    for (from, to, place, words) in [
+    for (from, to, place, expected_text) in [
         ("127.0.0.1:3307", "0.0.0.0:3307", "mysql.toml:10:10", "a loopback address"),
         ("read_aim_ms = 1000", "read_aim_ms = 20000", "mysql.toml:14:15", "1 to 10000"),
         ("hold_kb = 1024 ", "hold_kb = 999999 ", "mysql.toml:18:11", "0 to 131072"),
@@ -122,6 +122,9 @@
         let path = folder.join("mysql.toml");
         std::fs::write(&path, good.replace(from, to)).unwrap();
         let (code, _, message) = check(&path);
-        assert!(code == Some(2) && message.contains(place) && message.contains(words), "{to}: {message}");
+        assert!(
+            code == Some(2) && message.contains(place) && message.contains(expected_text),
+            "{to}: {message}"
+        );
     }
 }
--- a/crates/dewpier/tests/plan.rs
+++ b/crates/dewpier/tests/plan.rs
@@ -200,14 +200,17 @@
     let loads: Vec<LoadGenerator> =
         forwarders.iter().zip(["f0", "f1"]).map(|(f, name)| start_load(f.address, name)).collect();
     wait_for("load on all", || backends.iter().all(|b| b.request_count() > 2));
-    let assert_shown = |words: &[&str]| {
+    let assert_shown = |expected_texts: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_dewpier"))
             .args(["plan", "show", "--config"])
             .arg(&forwarders[0].config_file)
             .output()
             .unwrap();
         let text = String::from_utf8(output.stdout).unwrap();
-        assert!(output.status.success() && words.iter().all(|w| text.contains(w)), "{words:?} {text}");
+        assert!(
+            output.status.success() && expected_texts.iter().all(|w| text.contains(w)),
+            "{expected_texts:?} {text}"
+        );
     };
     assert_shown(&["f0: by planners, plan ", " ms ago", "it holds for ", "pricing-00", "serving"]);
     // The planner is killed right after it has read a drain. Another node drains while no planner runs.
--- a/crates/dewpier/tests/secured.rs
+++ b/crates/dewpier/tests/secured.rs
@@ -122,7 +122,7 @@
     let _ = plain.read_to_end(&mut answer);
     assert!(answer.len() < 64, "expected at most a TLS alert: {answer:?}");
     planners[0].wait_for_log(lines, "a follower is refused");
-    for (files, address, words) in [
+    for (files, address, expected_text) in [
         (theirs.files("forwarder"), addresses[1], "a follower is refused"),
         (ours.files("planner"), addresses[1], "a follower is refused"),
         (ours.files("forwarder"), cluster[1], "a planner is refused"),
@@ -132,7 +132,7 @@
         // The stranger trusts the planner's authority, so that only the planner rejects the connection.
         let files = CertificateFiles { authority: ours.files("planner").authority, ..files };
         assert_eq!(exchange(address, files, b"\x06\x00\x00\x00\x08\x01\x12\x02\x0a\x00"), b"");
-        planners[1].wait_for_log(lines, words);
+        planners[1].wait_for_log(lines, expected_text);
     }
 
     // Drains are still sent after the certificates are replaced.
@@ -212,7 +212,7 @@
     std::fs::write(ours.folder.join("empty.pem"), "").unwrap();
     let good = ours.files("planner");
     let empty = ours.folder.join("empty.pem");
-    for (files, words) in [
+    for (files, expected_text) in [
         (
             CertificateFiles { authority: "/none/such.pem".into(), ..good.clone() },
             "/none/such.pem: expected certificates",
@@ -228,7 +228,7 @@
         ),
     ] {
         let message = Security::read(files).unwrap_err().to_string();
-        assert!(message.contains(words), "{words}: {message}");
+        assert!(message.contains(expected_text), "{expected_text}: {message}");
     }
     assert!(Security::read(good).is_ok());
 }
