--- a/crates/standins/src/faulty_relay.rs
+++ b/crates/standins/src/faulty_relay.rs
@@ -1,5 +1,5 @@
-//! A way to a server on which connections go wrong, by a seed: cut, stalled or garbled at a place in some message of
-//! either side. Messages are what one write brought, as servers and clients of a request-answer protocol have it.
+//! A relay to a server that breaks connections at random: it cuts, stalls or corrupts them at some byte of a message
+//! in either direction. Data from one read counts as one message, which holds for request-response protocols.
 
 use crate::rng::Rng;
 use std::io::{ErrorKind, Read, Write};
@@ -8,79 +8,85 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// How often a pump sees whether it is over.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a connection checks whether the relay stops.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What goes wrong.
+/// A fault of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageFault {
-    /// The connection ends, for both.
+    /// The connection ends for both sides.
     Cut,
-    /// Nothing more comes for so many milliseconds; then it ends.
+    /// Nothing is forwarded for this many milliseconds, then the connection ends.
     Stall(u64),
-    /// A byte of the first five is another one.
+    /// One of the first five bytes of the message is changed.
     Garble,
 }
 
-/// Where.
+/// The message and byte at which a fault occurs.
 #[derive(Clone, Copy, Debug)]
-struct Place {
-    /// 0 for what clients say, 1 for what they are told.
-    way: usize,
+struct FaultPosition {
+    /// 0 for messages from the client, 1 for messages from the server.
+    direction: usize,
     message: usize,
-    /// So many bytes of it go through; where that is more than it has, counted from its end.
-    bytes: usize,
-    wrong: MessageFault,
+    /// Number of bytes that are forwarded first; values near `usize::MAX` count from the end of the message.
+    byte_offset: usize,
+    fault: MessageFault,
 }
 
 #[derive(Default)]
 struct Shared {
-    over: AtomicBool,
+    is_stopping: AtomicBool,
     spoilt: AtomicUsize,
 }
 
-/// Carries connections to a server for as long as it is kept.
+/// A relay to a server; it stops when dropped.
 pub struct FaultyRelay {
-    /// Where to connect instead.
+    /// Address on which the relay listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-/// Behind nothing, within a header, behind it, behind the first byte, somewhere, before the last byte, behind all.
-const PLACES: [usize; 9] = [0, 1, 3, 4, 5, 9, 60, usize::MAX - 1, usize::MAX];
+/// Byte positions of faults: before the message, within and after a packet header, later, before the last byte and at
+/// the end.
+const FAULT_BYTES: [usize; 9] = [0, 1, 3, 4, 5, 9, 60, usize::MAX - 1, usize::MAX];
 
 impl FaultyRelay {
-    /// To that server. Of a hundred connections so many go wrong, in one of their first `messages`.
-    pub fn start(to: SocketAddr, seed: u64, of_hundred: usize, messages: usize) -> Self {
+    /// Starts a relay to a server. `percent` of all connections fail, in one of their first `messages` messages.
+    pub fn start(to: SocketAddr, seed: u64, percent: usize, messages: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the address of a bound socket");
         let shared: Arc<Shared> = Arc::default();
-        let known = shared.clone();
+        let thread_shared = shared.clone();
         std::thread::spawn(move || {
             let mut rng = Rng::new(seed);
             for stream in listener.incoming().map_while(Result::ok) {
-                if known.over.load(Ordering::SeqCst) {
+                if thread_shared.is_stopping.load(Ordering::SeqCst) {
                     return;
                 }
-                let wrong = match rng.below(10) {
+                let fault = match rng.below(10) {
                     0..=4 => MessageFault::Cut,
                     5..=6 => MessageFault::Stall(50 + rng.below(250) as u64),
                     _ => MessageFault::Garble,
                 };
-                // What clients say is not garbled: a statement may mean something else then, and be one.
-                let way = if wrong == MessageFault::Garble { 1 } else { rng.below(2) };
-                let place = Place { way, message: rng.below(messages), bytes: *rng.pick(&PLACES), wrong };
-                let place = (rng.below(100) < of_hundred).then_some(place);
-                let known = known.clone();
+                // Client messages are not corrupted, because the result could be another valid statement.
+                let direction = if fault == MessageFault::Garble { 1 } else { rng.below(2) };
+                let position = FaultPosition {
+                    direction,
+                    message: rng.below(messages),
+                    byte_offset: *rng.pick(&FAULT_BYTES),
+                    fault,
+                };
+                let position = (rng.below(100) < percent).then_some(position);
+                let thread_shared = thread_shared.clone();
                 std::thread::spawn(move || {
-                    let _ = carry(stream, to, place, &known); // whatever ends it, both ends see it end
+                    let _ = relay_connection(stream, to, position, &thread_shared); // both sides see the connection end
                 });
             }
         });
         Self { address, shared }
     }
 
-    /// Connections that went wrong.
+    /// Returns the number of failed connections so far.
     pub fn failed_connections(&self) -> usize {
         self.shared.spoilt.load(Ordering::SeqCst)
     }
@@ -88,36 +94,42 @@
 
 impl Drop for FaultyRelay {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::SeqCst);
-        let _ = TcpStream::connect(self.address); // the listener wakes up to see that it is over
+        self.shared.is_stopping.store(true, Ordering::SeqCst);
+        let _ = TcpStream::connect(self.address); // wakes the listener so that it stops
     }
 }
 
-fn carry(from: TcpStream, to: SocketAddr, place: Option<Place>, shared: &Arc<Shared>) -> std::io::Result<()> {
+fn relay_connection(
+    from: TcpStream,
+    to: SocketAddr,
+    position: Option<FaultPosition>,
+    shared: &Arc<Shared>,
+) -> std::io::Result<()> {
     let to = TcpStream::connect(to)?;
     let ends = Arc::new(Mutex::new([from.try_clone()?, to.try_clone()?]));
-    let (back_from, back_to) = (to.try_clone()?, from.try_clone()?);
-    let (known, also) = (shared.clone(), ends.clone());
-    let back = std::thread::spawn(move || pump(back_from, back_to, 1, place, &known, &also));
-    let ended = pump(from, to, 0, place, shared, &ends);
-    let _ = back.join();
-    ended
+    let (reply_from, reply_to) = (to.try_clone()?, from.try_clone()?);
+    let (reply_shared, reply_ends) = (shared.clone(), ends.clone());
+    let reply_thread =
+        std::thread::spawn(move || forward(reply_from, reply_to, 1, position, &reply_shared, &reply_ends));
+    let result = forward(from, to, 0, position, shared, &ends);
+    let _ = reply_thread.join();
+    result
 }
 
-fn pump(
+fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
-    way: usize,
-    place: Option<Place>,
+    direction: usize,
+    position: Option<FaultPosition>,
     shared: &Shared,
     ends: &Mutex<[TcpStream; 2]>,
 ) -> std::io::Result<()> {
-    from.set_read_timeout(Some(LOOK))?;
+    from.set_read_timeout(Some(POLL_INTERVAL))?;
     to.set_nodelay(true)?;
     let mut buffer = vec![0; 64 << 10];
     let mut messages = 0;
-    let ended = loop {
-        if shared.over.load(Ordering::SeqCst) {
+    let result = loop {
+        if shared.is_stopping.load(Ordering::SeqCst) {
             break Ok(());
         }
         let read = match from.read(&mut buffer) {
@@ -126,26 +138,28 @@
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
             Err(error) => break Err(error),
         };
-        let place = place.filter(|place| place.way == way && place.message == messages);
+        let position =
+            position.filter(|position| position.direction == direction && position.message == messages);
         messages += 1;
-        let Some(Place { bytes, wrong, .. }) = place else {
+        let Some(FaultPosition { byte_offset, fault, .. }) = position else {
             if let Err(error) = to.write_all(&buffer[..read]) {
                 break Err(error);
             }
             continue;
         };
         shared.spoilt.fetch_add(1, Ordering::SeqCst);
-        let through = if bytes <= read { bytes } else { read - (usize::MAX - bytes).min(read) };
-        match wrong {
+        let forwarded =
+            if byte_offset <= read { byte_offset } else { read - (usize::MAX - byte_offset).min(read) };
+        match fault {
             MessageFault::Garble => {
-                buffer[bytes.min(read - 1).min(4)] ^= 0x15;
+                buffer[byte_offset.min(read - 1).min(4)] ^= 0x15;
                 if let Err(error) = to.write_all(&buffer[..read]) {
                     break Err(error);
                 }
             }
-            MessageFault::Cut => break to.write_all(&buffer[..through]),
+            MessageFault::Cut => break to.write_all(&buffer[..forwarded]),
             MessageFault::Stall(ms) => {
-                let written = to.write_all(&buffer[..through]);
+                let written = to.write_all(&buffer[..forwarded]);
                 std::thread::sleep(Duration::from_millis(ms));
                 break written;
             }
@@ -154,5 +168,5 @@
     for end in ends.lock().unwrap_or_else(PoisonError::into_inner).iter() {
         let _ = end.shutdown(Shutdown::Both);
     }
-    ended
+    result
 }
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -1,5 +1,6 @@
-//! A way between two peers that can be cut, as a network is: nothing is lost on it and nothing closed, bytes
-//! wait until it is mended. Where it leads to several, it is a front that deals out connections.
+//! A relay between two peers whose traffic can be blocked in either direction. Nothing is lost and no connection
+//! closes: bytes wait until the relay is unblocked. With several targets it distributes connections like a load
+//! balancer.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,52 +8,52 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// How often a pump sees whether its way is cut or over.
-const LOOK: Duration = Duration::from_millis(5);
-/// Connections that are carried at once; further ones are closed.
-const MOST: usize = 256;
+/// Interval at which a connection checks whether it is blocked or the relay stops.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum number of open connections; further ones are closed.
+const MAX_CONNECTIONS: usize = 256;
 
 #[derive(Default)]
 struct Shared {
-    /// From those who connect, and back to them.
-    cut: [AtomicBool; 2],
-    over: AtomicBool,
-    carried: AtomicUsize,
-    /// Where connections go, in turn.
+    /// Whether data from and to the connecting side is blocked.
+    is_blocked: [AtomicBool; 2],
+    is_stopping: AtomicBool,
+    open_connections: AtomicUsize,
+    /// Targets, used in turn.
     to: Mutex<Vec<SocketAddr>>,
-    dealt: AtomicUsize,
+    accepted: AtomicUsize,
 }
 
-/// Carries connections to an address for as long as it is kept.
+/// A relay; it stops when dropped.
 pub struct Relay {
-    /// Where to connect instead.
+    /// Address on which the relay listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Relay {
-    /// To that address, which need not listen yet.
+    /// Starts a relay to one target, which need not listen yet.
     pub fn start(to: SocketAddr) -> Self {
         Self::round_robin(vec![to])
     }
 
-    /// To these, one connection after the other; where there are none connections are closed.
+    /// Starts a relay that distributes connections over targets in turn; without targets it closes them.
     pub fn round_robin(to: Vec<SocketAddr>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the address of a bound socket");
         let shared = Arc::new(Shared { to: Mutex::new(to), ..Shared::default() });
-        let known = shared.clone();
+        let thread_shared = shared.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if known.over.load(Ordering::SeqCst) {
+                if thread_shared.is_stopping.load(Ordering::SeqCst) {
                     return;
                 }
-                if known.carried.load(Ordering::SeqCst) < MOST {
-                    known.carried.fetch_add(1, Ordering::SeqCst);
-                    let known = known.clone();
+                if thread_shared.open_connections.load(Ordering::SeqCst) < MAX_CONNECTIONS {
+                    thread_shared.open_connections.fetch_add(1, Ordering::SeqCst);
+                    let thread_shared = thread_shared.clone();
                     std::thread::spawn(move || {
-                        let _ = carry(stream, &known); // whatever ends it, both ends see it end
-                        known.carried.fetch_sub(1, Ordering::SeqCst);
+                        let _ = relay_connection(stream, &thread_shared); // both sides see the connection end
+                        thread_shared.open_connections.fetch_sub(1, Ordering::SeqCst);
                     });
                 }
             }
@@ -60,65 +61,67 @@
         Self { address, shared }
     }
 
-    /// From now on connections go there.
+    /// Replaces the targets of new connections.
     pub fn set_targets(&self, to: Vec<SocketAddr>) {
         *self.shared.to.lock().unwrap_or_else(PoisonError::into_inner) = to;
     }
 
-    /// Holds back what those who connect say, and what they are told.
-    pub fn set_blocked(&self, said: bool, told: bool) {
-        self.shared.cut[0].store(said, Ordering::SeqCst);
-        self.shared.cut[1].store(told, Ordering::SeqCst);
+    /// Blocks or unblocks data from the connecting side (`requests`) and to it (`responses`).
+    pub fn set_blocked(&self, requests: bool, responses: bool) {
+        self.shared.is_blocked[0].store(requests, Ordering::SeqCst);
+        self.shared.is_blocked[1].store(responses, Ordering::SeqCst);
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::SeqCst);
-        let _ = TcpStream::connect(self.address); // the listener wakes up to see that it is over
+        self.shared.is_stopping.store(true, Ordering::SeqCst);
+        let _ = TcpStream::connect(self.address); // wakes the listener so that it stops
     }
 }
 
-fn carry(from: TcpStream, shared: &Arc<Shared>) -> std::io::Result<()> {
-    // A connection is no more made over a cut way than a byte sent.
-    while shared.cut.iter().any(|c| c.load(Ordering::SeqCst)) {
-        if shared.over.load(Ordering::SeqCst) {
+fn relay_connection(from: TcpStream, shared: &Arc<Shared>) -> std::io::Result<()> {
+    // No new connection is established while a direction is blocked.
+    while shared.is_blocked.iter().any(|c| c.load(Ordering::SeqCst)) {
+        if shared.is_stopping.load(Ordering::SeqCst) {
             return Ok(());
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    let dealt = shared.dealt.fetch_add(1, Ordering::SeqCst);
+    let accepted = shared.accepted.fetch_add(1, Ordering::SeqCst);
     let to = {
         let to = shared.to.lock().unwrap_or_else(PoisonError::into_inner);
-        to.get(dealt % to.len().max(1)).copied().ok_or(ErrorKind::NotConnected)?
+        to.get(accepted % to.len().max(1)).copied().ok_or(ErrorKind::NotConnected)?
     };
     let to = TcpStream::connect(to)?;
-    let (back_from, back_to) = (to.try_clone()?, from.try_clone()?);
-    let known = shared.clone();
-    let back = std::thread::spawn(move || pump(back_from, back_to, &known, 1));
-    let ended = pump(from, to, shared, 0);
-    let _ = back.join();
-    ended
+    let (reply_from, reply_to) = (to.try_clone()?, from.try_clone()?);
+    let thread_shared = shared.clone();
+    let reply_thread = std::thread::spawn(move || forward(reply_from, reply_to, &thread_shared, 1));
+    let result = forward(from, to, shared, 0);
+    let _ = reply_thread.join();
+    result
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, shared: &Shared, way: usize) -> std::io::Result<()> {
-    from.set_read_timeout(Some(LOOK))?;
+fn forward(mut from: TcpStream, mut to: TcpStream, shared: &Shared, direction: usize) -> std::io::Result<()> {
+    from.set_read_timeout(Some(POLL_INTERVAL))?;
     to.set_nodelay(true)?;
     let mut buffer = vec![0; 16 << 10];
-    let ended = loop {
-        if shared.over.load(Ordering::SeqCst) {
+    let result = loop {
+        if shared.is_stopping.load(Ordering::SeqCst) {
             break Ok(());
         }
-        if shared.cut[way].load(Ordering::SeqCst) {
-            std::thread::sleep(LOOK);
+        if shared.is_blocked[direction].load(Ordering::SeqCst) {
+            std::thread::sleep(POLL_INTERVAL);
             continue;
         }
         match from.read(&mut buffer) {
             Ok(0) => break Ok(()),
             Ok(read) => {
-                // It may have been cut while this waited to read.
-                while shared.cut[way].load(Ordering::SeqCst) && !shared.over.load(Ordering::SeqCst) {
-                    std::thread::sleep(LOOK);
+                // The relay may have been blocked during the read.
+                while shared.is_blocked[direction].load(Ordering::SeqCst)
+                    && !shared.is_stopping.load(Ordering::SeqCst)
+                {
+                    std::thread::sleep(POLL_INTERVAL);
                 }
                 if let Err(error) = to.write_all(&buffer[..read]) {
                     break Err(error);
@@ -130,5 +133,5 @@
     };
     let _ = to.shutdown(Shutdown::Both);
     let _ = from.shutdown(Shutdown::Both);
-    ended
+    result
 }
--- a/crates/standins/src/rng.rs
+++ b/crates/standins/src/rng.rs
@@ -1,24 +1,24 @@
-//! Random numbers that are the same for the same seed, on every machine and for good.
+//! Random numbers that depend only on the seed, on every platform and in every version.
 
 /// SplitMix64 (Steele, Lea and Flood, "Fast splittable pseudorandom number generators", 2014).
 #[derive(Clone, Debug)]
 pub struct Rng(u64);
 
 impl Rng {
-    /// One that begins at this seed.
+    /// Creates a generator with a seed.
     pub fn new(seed: u64) -> Self {
         Self(seed)
     }
 
-    /// The seed that the environment variable names, or this one; printed, so that a failure can be
-    /// played again.
+    /// Creates a generator with the seed in an environment variable, or with `default`. Prints the seed, so that a
+    /// failure can be reproduced.
     pub fn from_env(variable: &str, default: u64) -> Self {
         let seed = std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(default);
         println!("{variable}={seed}");
         Self::new(seed)
     }
 
-    /// The next number.
+    /// Returns the next number.
     pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
@@ -27,13 +27,13 @@
         z ^ (z >> 31)
     }
 
-    /// A number below `end`, which is not 0.
+    /// Returns a number below `end`, which must not be 0.
     pub fn below(&mut self, end: usize) -> usize {
         (self.next_u64() % end.max(1) as u64) as usize
     }
 
-    /// One of these.
-    pub fn pick<'a, T>(&mut self, of: &'a [T]) -> &'a T {
-        &of[self.below(of.len())]
+    /// Returns a random element.
+    pub fn pick<'a, T>(&mut self, elements: &'a [T]) -> &'a T {
+        &elements[self.below(elements.len())]
     }
 }
--- a/crates/standins/src/shop.rs
+++ b/crates/standins/src/shop.rs
@@ -1,5 +1,4 @@
-//! Clients of a shop in a closed loop, half of what they ask safe and half of it orders, and an
-//! exact account of what became of each.
+//! Clients in a closed loop that send safe requests and orders in turn and count the result of each.
 
 use crate::faulty::FaultyBackend;
 use crate::message::{Message, read_message};
@@ -9,62 +8,62 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Longer than any answer may take.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What became of the requests of one method.
+/// Results of the requests of one method.
 #[derive(Clone, Debug, Default)]
 pub struct RequestCounts {
-    /// The right answer came.
+    /// Answered with status 200 and the expected body.
     pub succeeded: u64,
-    /// Answered 429 or 503.
+    /// Answered with 429 or 503.
     pub rejected: u64,
-    /// Those of them that said after how many seconds to come again.
+    /// Those of the rejected requests whose response has a `retry-after` header.
     pub with_retry_after: u64,
-    /// Answered with another error.
+    /// Answered with another status from 500 on.
     pub failed: u64,
-    /// No answer, or half of one.
+    /// Not answered, or with an incomplete response.
     pub unanswered: u64,
-    /// A good status, and not the right body.
+    /// Answered with another status, or with 200 and the wrong body.
     pub invalid: u64,
-    /// Sent once more, as their connection was closed between two requests without a word of an answer.
+    /// Sent again on a new connection, because the reused one was closed before any byte of a response.
     pub resent: u64,
-    /// How long the refused and failed ones waited.
+    /// Response times of rejected and failed requests.
     pub error_times: Vec<Duration>,
-    /// How long the served ones took.
+    /// Response times of successful requests.
     pub success_times: Vec<Duration>,
 }
 
 impl RequestCounts {
-    /// All requests.
+    /// Returns the number of all requests.
     pub fn total(&self) -> u64 {
         self.succeeded + self.rejected + self.failed + self.unanswered + self.invalid
     }
 
-    /// The part that was served, from 0 to 1.
+    /// Returns the fraction of successful requests.
     pub fn success_fraction(&self) -> f64 {
         self.succeeded as f64 / self.total().max(1) as f64
     }
 
-    fn record(&mut self, answer: Option<Message>, id: &str, took: Duration) {
-        let Some(answer) = answer else {
+    fn record(&mut self, response: Option<Message>, id: &str, response_time: Duration) {
+        let Some(response) = response else {
             self.unanswered += 1;
             return;
         };
-        match answer.status() {
-            200 if answer.body == id.as_bytes() => {
+        match response.status() {
+            200 if response.body == id.as_bytes() => {
                 self.succeeded += 1;
-                self.success_times.push(took);
+                self.success_times.push(response_time);
             }
             429 | 503 => {
                 self.rejected += 1;
-                let seconds = answer.header("retry-after").and_then(|s| s.parse::<u64>().ok());
+                let seconds = response.header("retry-after").and_then(|s| s.parse::<u64>().ok());
                 self.with_retry_after += u64::from(seconds.is_some());
-                self.error_times.push(took);
+                self.error_times.push(response_time);
             }
             500.. => {
                 self.failed += 1;
-                self.error_times.push(took);
+                self.error_times.push(response_time);
             }
             _ => self.invalid += 1,
         }
@@ -83,29 +82,29 @@
     }
 }
 
-/// What became of all requests of a play.
+/// Results of all requests of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunCounts {
-    /// Safe requests.
+    /// Results of safe requests.
     pub safe: RequestCounts,
-    /// Orders.
+    /// Results of orders.
     pub orders: RequestCounts,
-    /// How long the play took.
+    /// Duration of the run.
     pub duration: Duration,
 }
 
-/// So many clients ask for `requests` altogether, every second one an order of its own name, each
-/// client one request after the other. With `pause` they wait so long between two.
+/// Runs clients until they have sent `requests` requests in total, every second one an order with a unique name. Each
+/// client waits for the response, and then for `pause`, before its next request.
 pub fn run_clients(address: SocketAddr, clients: usize, requests: u64, pause: Duration) -> RunCounts {
-    let next = AtomicU64::new(0);
+    let next_number = AtomicU64::new(0);
     let start = Instant::now();
     let client = || {
-        let mut accounts = RunCounts::default();
-        let mut kept = None;
+        let mut counts = RunCounts::default();
+        let mut idle_connection = None;
         loop {
-            let number = next.fetch_add(1, Ordering::SeqCst);
+            let number = next_number.fetch_add(1, Ordering::SeqCst);
             if number >= requests {
-                return accounts;
+                return counts;
             }
             let id = format!("n{number}");
             let text = match number % 2 {
@@ -114,53 +113,53 @@
                     "POST /orders HTTP/1.1\r\nHost: shop\r\nX-Id: {id}\r\nX-Order: {id}\r\nContent-Length: 2\r\n\r\nok"
                 ),
             };
-            let asked = Instant::now();
-            let ask = |mut stream: BufReader<TcpStream>| {
+            let sent_at = Instant::now();
+            let exchange = |mut stream: BufReader<TcpStream>| {
                 stream.get_mut().write_all(text.as_bytes()).ok()?;
-                // Nothing but the end, or a reset: nobody has read the request.
-                let closed =
+                // The connection ended or was reset before any byte of a response.
+                let is_closed =
                     stream.fill_buf().map_or_else(|e| e.kind() != ErrorKind::WouldBlock, <[u8]>::is_empty);
-                if closed {
+                if is_closed {
                     return None;
                 }
-                let answer = read_message(&mut stream);
-                let closes =
-                    answer.as_ref().is_none_or(|a| a.header("connection").is_some_and(|c| c == "close"));
-                Some((answer, (!closes).then_some(stream)))
+                let response = read_message(&mut stream);
+                let is_closing =
+                    response.as_ref().is_none_or(|a| a.header("connection").is_some_and(|c| c == "close"));
+                Some((response, (!is_closing).then_some(stream)))
             };
-            let account = if number.is_multiple_of(2) { &mut accounts.safe } else { &mut accounts.orders };
-            let on_kept = kept.take().and_then(|stream| {
-                let asked = ask(stream);
-                account.resent += u64::from(asked.is_none());
-                asked
+            let request_counts = if number.is_multiple_of(2) { &mut counts.safe } else { &mut counts.orders };
+            let on_idle_connection = idle_connection.take().and_then(|stream| {
+                let exchanged = exchange(stream);
+                request_counts.resent += u64::from(exchanged.is_none());
+                exchanged
             });
-            let answered = on_kept.or_else(|| ask(connect(address)?));
-            let (answer, still) = answered.unwrap_or_default();
-            kept = still;
-            account.record(answer, &id, asked.elapsed());
+            let exchanged = on_idle_connection.or_else(|| exchange(connect(address)?));
+            let (response, still_open) = exchanged.unwrap_or_default();
+            idle_connection = still_open;
+            request_counts.record(response, &id, sent_at.elapsed());
             std::thread::sleep(pause);
         }
     };
-    let mut all = RunCounts::default();
+    let mut totals = RunCounts::default();
     std::thread::scope(|scope| {
-        let started: Vec<_> = (0..clients).map(|_| scope.spawn(client)).collect();
-        for one in started.into_iter().filter_map(|c| c.join().ok()) {
-            all.safe.add(one.safe);
-            all.orders.add(one.orders);
+        let threads: Vec<_> = (0..clients).map(|_| scope.spawn(client)).collect();
+        for counts in threads.into_iter().filter_map(|c| c.join().ok()) {
+            totals.safe.add(counts.safe);
+            totals.orders.add(counts.orders);
         }
     });
-    all.duration = start.elapsed();
-    all
+    totals.duration = start.elapsed();
+    totals
 }
 
 fn connect(address: SocketAddr) -> Option<BufReader<TcpStream>> {
     let stream = TcpStream::connect(address).ok()?;
     stream.set_nodelay(true).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).ok()?;
     Some(BufReader::new(stream))
 }
 
-/// Orders that have run more than once, over all these backends.
+/// Returns the orders that ran more than once, over all backends.
 pub fn duplicate_orders(backends: &[FaultyBackend]) -> Vec<String> {
     let mut runs: HashMap<String, usize> = HashMap::new();
     for (order, count) in backends.iter().flat_map(|b| b.executions_by_order()) {
