--- a/crates/standins/src/backend.rs
+++ b/crates/standins/src/backend.rs
@@ -1,4 +1,4 @@
-//! Backends that take their time, die, come back, and remember what reached them and when.
+//! Mock backends that can be slow, fail, stop and restart, and that record the requests they receive.
 
 use crate::faulty::reset_stream;
 use crate::message::{Message, format_response, read_message};
@@ -10,95 +10,94 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What reached a backend.
+/// A request that reached a backend.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When its first byte was there: a send counts from there where a drain is concerned.
+    /// When its first byte arrived.
     pub received_at: Instant,
     /// Its method.
     pub method: String,
-    /// Its header `X-Order`, by which tests name what must not run twice.
+    /// Its `X-Order` header, which identifies a request that must run only once.
     pub order_id: Option<String>,
-    /// It was not answered as usual: by the node's fault, or that of the way.
+    /// Whether it was not answered normally, because of a fault of the backend or of the path.
     pub is_faulty: bool,
 }
 
-/// What becomes of requests on the way from one caller, and of their answers. Callers are told apart by what comes
-/// before the first `-` in `X-Order`.
+/// A fault of the path between one caller and a backend. The part of `X-Order` before the first `-` identifies the
+/// caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PathFault {
-    /// Requests wait until the way is mended.
+    /// Requests are held until the fault ends.
     RequestsHeld,
-    /// Answers wait until the way is mended.
+    /// Responses are held until the fault ends.
     ResponsesHeld,
-    /// The connection is reset before a request has run.
+    /// The connection is reset before the request has run.
     ResetBeforeRequest,
-    /// It is reset once the request has run.
+    /// The connection is reset after the request has run.
     ResetAfterRequest,
-    /// Answers come byte by byte, each after so many milliseconds.
+    /// Responses arrive byte by byte, each after this many milliseconds.
     SlowResponse(u64),
 }
 
-/// An answer that takes so many times what is usual is a bad one.
-const BAD_TIMES: u64 = 4;
-/// How often a way that is held looks whether it is mended.
-const LOOK: Duration = Duration::from_millis(5);
+/// A response that takes longer than this multiple of the normal time counts as faulty.
+const FAULTY_DELAY_RATIO: u64 = 4;
+/// Interval at which a held request checks whether its fault has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Arrivals that are remembered; later ones are only counted.
-const MOST_REMEMBERED: usize = 200_000;
+/// Maximum number of recorded requests; later ones are only counted.
+const MAX_RECORDED_REQUESTS: usize = 200_000;
 
 #[derive(Default)]
 struct Shared {
-    alive: AtomicBool,
-    /// How long an answer takes, in microseconds.
-    work: AtomicU64,
-    /// How long it takes as long as nothing is wrong.
-    usual: AtomicU64,
-    failing: AtomicBool,
-    /// Each of so many fails; 0 for none.
-    one_in: AtomicUsize,
+    is_running: AtomicBool,
+    /// Current response time in microseconds.
+    response_micros: AtomicU64,
+    /// Normal response time in microseconds.
+    normal_response_micros: AtomicU64,
+    is_failing: AtomicBool,
+    /// One in this many requests fails; 0 for none.
+    failure_interval: AtomicUsize,
     paths: Mutex<HashMap<String, PathFault>>,
     count: AtomicUsize,
     arrivals: Mutex<Vec<Arrival>>,
-    /// A copy of each open connection, by its number.
+    /// Copies of the open connections, by number.
     connections: Mutex<HashMap<usize, TcpStream>>,
-    connected: AtomicUsize,
+    accepted_connections: AtomicUsize,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A stand-in backend. It answers 200 with its name, each connection on a thread of its own, and
-/// ends when it is dropped.
+/// A mock backend that answers 200 with its name, on one thread per connection; it stops when dropped.
 pub struct Backend {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     name: String,
     shared: Arc<Shared>,
 }
 
 impl Backend {
-    /// One that takes so long for an answer.
-    pub fn start(name: &str, work: Duration) -> Self {
+    /// Starts a backend with a normal response time.
+    pub fn start(name: &str, response_time: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the address of a bound socket");
         let backend = Self { address, name: name.into(), shared: Arc::default() };
-        backend.set_response_time(work);
-        backend.shared.usual.store(work.as_micros() as u64, Ordering::SeqCst);
+        backend.set_response_time(response_time);
+        backend.shared.normal_response_micros.store(response_time.as_micros() as u64, Ordering::SeqCst);
         backend.listen(listener);
         backend
     }
 
     fn listen(&self, listener: TcpListener) {
-        self.shared.alive.store(true, Ordering::SeqCst);
+        self.shared.is_running.store(true, Ordering::SeqCst);
         let (shared, name) = (self.shared.clone(), self.name.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if !shared.alive.load(Ordering::SeqCst) {
+                if !shared.is_running.load(Ordering::SeqCst) {
                     return;
                 }
-                let number = shared.connected.fetch_add(1, Ordering::SeqCst);
+                let number = shared.accepted_connections.fetch_add(1, Ordering::SeqCst);
                 if let Ok(copy) = stream.try_clone() {
                     lock(&shared.connections).insert(number, copy);
                 }
@@ -111,22 +110,22 @@
         });
     }
 
-    /// From now on an answer takes so long.
-    pub fn set_response_time(&self, work: Duration) {
-        self.shared.work.store(work.as_micros() as u64, Ordering::SeqCst);
+    /// Sets the response time.
+    pub fn set_response_time(&self, response_time: Duration) {
+        self.shared.response_micros.store(response_time.as_micros() as u64, Ordering::SeqCst);
     }
 
-    /// From now on it answers 500, or no longer.
-    pub fn set_failing(&self, failing: bool) {
-        self.shared.failing.store(failing, Ordering::SeqCst);
+    /// Sets whether every request is answered with 500.
+    pub fn set_failing(&self, is_failing: bool) {
+        self.shared.is_failing.store(is_failing, Ordering::SeqCst);
     }
 
-    /// From now on every so manieth request is answered 500; 0 for none.
+    /// Sets that one in `count` requests is answered with 500; 0 for none.
     pub fn set_failure_interval(&self, count: usize) {
-        self.shared.one_in.store(count, Ordering::SeqCst);
+        self.shared.failure_interval.store(count, Ordering::SeqCst);
     }
 
-    /// From now on the way from that caller is like this, or well.
+    /// Sets or clears the fault of the path from a caller.
     pub fn set_path_fault(&self, caller: &str, path: Option<PathFault>) {
         let mut paths = lock(&self.shared.paths);
         match path {
@@ -135,10 +134,10 @@
         }
     }
 
-    /// Dies: its connections break, and new ones are refused.
+    /// Stops: connections break, and new ones are refused.
     pub fn kill(&self) {
-        if self.shared.alive.swap(false, Ordering::SeqCst) {
-            // The listener wakes up to see that it is over, and goes.
+        if self.shared.is_running.swap(false, Ordering::SeqCst) {
+            // Wakes the listener so that it stops.
             let _ = TcpStream::connect(self.address);
             for (_, stream) in lock(&self.shared.connections).drain() {
                 let _ = stream.shutdown(Shutdown::Both);
@@ -146,27 +145,27 @@
         }
     }
 
-    /// Comes back at its old address. Panics where that is not free again within [`crate::LONG`].
+    /// Restarts at the same address. Panics if the address is not free within [`crate::WAIT_TIMEOUT`].
     pub fn restart(&self) {
         let mut bound = None;
-        wait_for("free address", || {
+        wait_for("a free address", || {
             bound = TcpListener::bind(self.address).ok();
             bound.is_some()
         });
         bound.into_iter().for_each(|listener| self.listen(listener));
     }
 
-    /// How many requests have reached it.
+    /// Returns the number of requests received.
     pub fn request_count(&self) -> usize {
         self.shared.count.load(Ordering::SeqCst)
     }
 
-    /// How often it was connected to.
+    /// Returns the number of connections accepted.
     pub fn connection_count(&self) -> usize {
-        self.shared.connected.load(Ordering::SeqCst)
+        self.shared.accepted_connections.load(Ordering::SeqCst)
     }
 
-    /// What has reached it, in order.
+    /// Returns the recorded requests in the order of arrival.
     pub fn arrivals(&self) -> Vec<Arrival> {
         lock(&self.shared.arrivals).clone()
     }
@@ -178,22 +177,22 @@
     }
 }
 
-/// The next request, and when it began.
-fn next(stream: &mut BufReader<TcpStream>) -> Option<(Instant, Message)> {
+/// Reads the next request and returns when it began.
+fn read_request(stream: &mut BufReader<TcpStream>) -> Option<(Instant, Message)> {
     stream.fill_buf().ok()?;
     let at = Instant::now();
     Some((at, read_message(stream)?))
 }
 
 impl Shared {
-    fn path(&self, caller: &str) -> Option<PathFault> {
+    fn path_fault(&self, caller: &str) -> Option<PathFault> {
         lock(&self.paths).get(caller).copied()
     }
 
-    /// Waits until the way is another one than this.
-    fn wait(&self, caller: &str, path: PathFault) {
-        while self.path(caller) == Some(path) && self.alive.load(Ordering::SeqCst) {
-            std::thread::sleep(LOOK);
+    /// Waits until the path from the caller no longer has this fault.
+    fn wait_while(&self, caller: &str, path: PathFault) {
+        while self.path_fault(caller) == Some(path) && self.is_running.load(Ordering::SeqCst) {
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
@@ -201,50 +200,52 @@
 fn serve(stream: TcpStream, shared: &Shared, name: &str) {
     let _ = stream.set_nodelay(true);
     let mut stream = BufReader::new(stream);
-    while let Some((at, message)) = next(&mut stream) {
-        let order = message.header("x-order").map(String::from);
-        let caller = order.as_deref().and_then(|o| o.split('-').next()).unwrap_or_default().to_string();
-        let path = shared.path(&caller);
+    while let Some((received_at, message)) = read_request(&mut stream) {
+        let order_id = message.header("x-order").map(String::from);
+        let caller = order_id.as_deref().and_then(|o| o.split('-').next()).unwrap_or_default().to_string();
+        let path = shared.path_fault(&caller);
         match path {
-            Some(PathFault::RequestsHeld) => shared.wait(&caller, PathFault::RequestsHeld),
+            Some(PathFault::RequestsHeld) => shared.wait_while(&caller, PathFault::RequestsHeld),
             Some(PathFault::ResetBeforeRequest) => return reset_stream(stream.get_ref()),
             _ => {}
         }
         let count = shared.count.fetch_add(1, Ordering::SeqCst) + 1;
-        let one_in = shared.one_in.load(Ordering::SeqCst);
-        let failing = shared.failing.load(Ordering::SeqCst) || one_in > 0 && count.is_multiple_of(one_in);
-        let work = shared.work.load(Ordering::SeqCst);
-        let late = work > BAD_TIMES * shared.usual.load(Ordering::SeqCst).max(1);
+        let failure_interval = shared.failure_interval.load(Ordering::SeqCst);
+        let is_failing = shared.is_failing.load(Ordering::SeqCst)
+            || failure_interval > 0 && count.is_multiple_of(failure_interval);
+        let response_micros = shared.response_micros.load(Ordering::SeqCst);
+        let is_late = response_micros
+            > FAULTY_DELAY_RATIO * shared.normal_response_micros.load(Ordering::SeqCst).max(1);
         let method = message.start_line.split(' ').next().unwrap_or_default().to_string();
         {
             let mut arrivals = lock(&shared.arrivals);
-            if arrivals.len() < MOST_REMEMBERED {
+            if arrivals.len() < MAX_RECORDED_REQUESTS {
                 arrivals.push(Arrival {
-                    received_at: at,
+                    received_at,
                     method,
-                    order_id: order,
-                    is_faulty: failing || late || path.is_some(),
+                    order_id,
+                    is_faulty: is_failing || is_late || path.is_some(),
                 });
             }
         }
-        if work > 0 {
-            std::thread::sleep(Duration::from_micros(work));
+        if response_micros > 0 {
+            std::thread::sleep(Duration::from_micros(response_micros));
         }
         match path {
-            Some(PathFault::ResponsesHeld) => shared.wait(&caller, PathFault::ResponsesHeld),
+            Some(PathFault::ResponsesHeld) => shared.wait_while(&caller, PathFault::ResponsesHeld),
             Some(PathFault::ResetAfterRequest) => return reset_stream(stream.get_ref()),
             _ => {}
         }
-        let status = if failing { "500 Internal Server Error" } else { "200 OK" };
+        let status = if is_failing { "500 Internal Server Error" } else { "200 OK" };
         let text = format_response(status, name);
-        let said = match path {
-            Some(PathFault::SlowResponse(each)) => text.bytes().try_for_each(|byte| {
-                std::thread::sleep(Duration::from_millis(each));
+        let written = match path {
+            Some(PathFault::SlowResponse(interval_ms)) => text.bytes().try_for_each(|byte| {
+                std::thread::sleep(Duration::from_millis(interval_ms));
                 stream.get_mut().write_all(&[byte])
             }),
             _ => stream.get_mut().write_all(text.as_bytes()),
         };
-        if said.is_err() {
+        if written.is_err() {
             return;
         }
     }
--- a/crates/standins/src/faulty.rs
+++ b/crates/standins/src/faulty.rs
@@ -1,5 +1,5 @@
-//! Backends that answer at once and fail a part of what they are asked, in every way in which a
-//! connection can fail, drawn from a seed.
+//! Mock backends that answer at once and fail a fraction of their requests in every way in which a connection can
+//! fail, at random from a seed.
 
 use crate::message::{Message, format_response, read_message};
 use crate::rng::Rng;
@@ -11,30 +11,30 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The ways in which a request may fail.
+/// A way in which a request fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The connection is reset while nothing of the request has been read.
+    /// The connection is reset before the request is read.
     ResetBeforeRead,
-    /// It is reset once all of it has been read.
+    /// The connection is reset after the request was read.
     ResetAfterRead,
-    /// Half of the answer comes, then the connection ends.
+    /// Half of the response is sent, then the connection ends.
     PartialResponse,
-    /// Nothing comes for [`SILENT`], then the connection ends.
+    /// Nothing is sent for [`NO_RESPONSE_DURATION`], then the connection ends.
     NoResponse,
-    /// The answer is 500.
+    /// The response is 500.
     ServerError,
-    /// The answer is 503, without a word on whether it has run.
+    /// The response is 503, and does not say whether the request has run.
     Unavailable,
-    /// The right answer comes after [`SLOW`].
+    /// The correct response is sent after [`RESPONSE_DELAY`].
     DelayedResponse,
-    /// What comes is no HTTP.
+    /// The response is not HTTP.
     InvalidResponse,
-    /// The right answer comes, and the connection is closed behind it without a word.
+    /// The correct response is sent, and the connection closes without notice.
     CloseAfterResponse,
 }
 
-/// All of them.
+/// All faults.
 pub const ALL_FAULTS: [Fault; 9] = [
     Fault::ResetBeforeRead,
     Fault::ResetAfterRead,
@@ -47,27 +47,27 @@
     Fault::CloseAfterResponse,
 ];
 
-/// How long [`Fault::Silent`] lasts.
+/// Duration of [`Fault::NoResponse`].
 pub const NO_RESPONSE_DURATION: Duration = Duration::from_secs(4);
-/// How late [`Fault::Slow`] is.
+/// Delay of [`Fault::DelayedResponse`].
 pub const RESPONSE_DELAY: Duration = Duration::from_millis(400);
 
 struct Shared {
-    /// Faults in a million requests.
-    part: AtomicU64,
+    /// Failures per million requests.
+    failures_per_million: AtomicU64,
     faults: Vec<Fault>,
-    /// Idle times, in microseconds, 0 for none: after the first a connection is closed, after the second
-    /// it is kept, and what comes on it is read and not answered.
-    closes_after: AtomicU64,
-    swallows_after: AtomicU64,
-    /// How long it then takes until the reset.
-    swallows_for: AtomicU64,
+    /// Idle times in microseconds, 0 for none: after the first a connection is closed; after the second it stays
+    /// open, but requests on it are read and not executed.
+    idle_close_micros: AtomicU64,
+    idle_reset_micros: AtomicU64,
+    /// Time in microseconds from such a request to the reset of its connection.
+    reset_delay_micros: AtomicU64,
     rng: Mutex<Rng>,
-    /// Requests that were read whole, and those that were not read.
-    begun: AtomicUsize,
-    unread: AtomicUsize,
-    connected: AtomicUsize,
-    /// How often each order has run, by its header `X-Order`.
+    /// Requests that were read completely, and requests that were not executed.
+    executed: AtomicUsize,
+    not_executed: AtomicUsize,
+    accepted_connections: AtomicUsize,
+    /// Executions of each order, by its `X-Order` header.
     orders: Mutex<HashMap<String, usize>>,
 }
 
@@ -75,97 +75,95 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A stand-in that answers each request with its header `X-Id`, or fails it. Its thread ends with
-/// the process.
+/// A mock backend that answers each request with its `X-Id` header, or fails it. Its thread ends with the process.
 pub struct FaultyBackend {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl FaultyBackend {
-    /// One that fails this part of its requests, in one of these ways each.
-    pub fn start(seed: u64, part: f64, faults: &[Fault]) -> Self {
+    /// Starts a backend that fails `fraction` of its requests, each with one of `faults`.
+    pub fn start(seed: u64, fraction: f64, faults: &[Fault]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the address of a bound socket");
         let shared = Arc::new(Shared {
-            part: AtomicU64::new(0),
+            failures_per_million: AtomicU64::new(0),
             faults: faults.to_vec(),
-            closes_after: AtomicU64::new(0),
-            swallows_after: AtomicU64::new(0),
-            swallows_for: AtomicU64::new(0),
+            idle_close_micros: AtomicU64::new(0),
+            idle_reset_micros: AtomicU64::new(0),
+            reset_delay_micros: AtomicU64::new(0),
             rng: Mutex::new(Rng::new(seed)),
-            begun: AtomicUsize::new(0),
-            unread: AtomicUsize::new(0),
-            connected: AtomicUsize::new(0),
+            executed: AtomicUsize::new(0),
+            not_executed: AtomicUsize::new(0),
+            accepted_connections: AtomicUsize::new(0),
             orders: Mutex::default(),
         });
-        let faulty = Self { address, shared: shared.clone() };
-        faulty.set_failure_fraction(part);
+        let backend = Self { address, shared: shared.clone() };
+        backend.set_failure_fraction(fraction);
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                shared.connected.fetch_add(1, Ordering::SeqCst);
+                shared.accepted_connections.fetch_add(1, Ordering::SeqCst);
                 let shared = shared.clone();
                 std::thread::spawn(move || serve(stream, &shared));
             }
         });
-        faulty
+        backend
     }
 
-    /// From now on it fails this part.
-    pub fn set_failure_fraction(&self, part: f64) {
-        self.shared.part.store((part * 1e6) as u64, Ordering::SeqCst);
+    /// Sets the fraction of requests that fail.
+    pub fn set_failure_fraction(&self, fraction: f64) {
+        self.shared.failures_per_million.store((fraction * 1e6) as u64, Ordering::SeqCst);
     }
 
-    /// From now on it closes a connection that has stood idle for so long.
+    /// Sets the idle time after which connections are closed.
     pub fn set_idle_close_after(&self, idle: Duration) {
-        self.shared.closes_after.store(idle.as_micros() as u64, Ordering::SeqCst);
+        self.shared.idle_close_micros.store(idle.as_micros() as u64, Ordering::SeqCst);
     }
 
-    /// From now on it keeps such a connection open, and resets it without a word and without running
-    /// anything once a whole request has come on it: as does a server, or what stands between, that has
-    /// forgotten the connection.
+    /// Sets the idle time after which a connection stays open, but is reset without executing anything once a
+    /// complete request has arrived, as by a server or a firewall that has dropped the connection from its tables.
     pub fn set_idle_reset_after(&self, idle: Duration) {
-        self.shared.swallows_after.store(idle.as_micros() as u64, Ordering::SeqCst);
+        self.shared.idle_reset_micros.store(idle.as_micros() as u64, Ordering::SeqCst);
     }
 
-    /// The reset comes so long after the request, as where the way is long or the machine busy.
+    /// Sets the delay from such a request to the reset, as on a slow network or a busy host.
     pub fn set_reset_delay(&self, wait: Duration) {
-        self.shared.swallows_for.store(wait.as_micros() as u64, Ordering::SeqCst);
+        self.shared.reset_delay_micros.store(wait.as_micros() as u64, Ordering::SeqCst);
     }
 
-    /// How many attempts have reached it, read or not.
+    /// Returns the number of attempts received, executed or not.
     pub fn attempt_count(&self) -> usize {
-        self.shared.begun.load(Ordering::SeqCst) + self.shared.unread.load(Ordering::SeqCst)
+        self.shared.executed.load(Ordering::SeqCst) + self.shared.not_executed.load(Ordering::SeqCst)
     }
 
-    /// How often it was connected to.
+    /// Returns the number of connections accepted.
     pub fn connection_count(&self) -> usize {
-        self.shared.connected.load(Ordering::SeqCst)
+        self.shared.accepted_connections.load(Ordering::SeqCst)
     }
 
-    /// How often each order has run.
+    /// Returns how often each order was executed.
     pub fn executions_by_order(&self) -> HashMap<String, usize> {
         lock(&self.shared.orders).clone()
     }
 }
 
 impl Shared {
-    fn draw(&self) -> Option<Fault> {
+    fn draw_fault(&self) -> Option<Fault> {
         let mut rng = lock(&self.rng);
-        let fails = (rng.below(1_000_000) as u64) < self.part.load(Ordering::SeqCst);
-        (fails && !self.faults.is_empty()).then(|| *rng.pick(&self.faults))
+        let is_failing = (rng.below(1_000_000) as u64) < self.failures_per_million.load(Ordering::SeqCst);
+        (is_failing && !self.faults.is_empty()).then(|| *rng.pick(&self.faults))
     }
 
-    fn run(&self, message: &Message) {
-        self.begun.fetch_add(1, Ordering::SeqCst);
+    fn record_execution(&self, message: &Message) {
+        self.executed.fetch_add(1, Ordering::SeqCst);
         if let Some(order) = message.header("x-order") {
             *lock(&self.orders).entry(order.to_string()).or_default() += 1;
         }
     }
 }
 
-/// Ends a connection so that its other side sees a reset.
+/// Resets a connection when it is closed.
 pub(crate) fn reset_stream(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
@@ -175,44 +173,45 @@
     let mut stream = BufReader::new(stream);
     let mut answered = false;
     loop {
-        let idle = Instant::now();
-        let after = |limit: &AtomicU64| Duration::from_micros(limit.load(Ordering::SeqCst));
-        let closes = Some(after(&shared.closes_after)).filter(|limit| answered && !limit.is_zero());
-        let _ = stream.get_ref().set_read_timeout(closes);
-        // Something has come, and is not read yet.
+        let idle_since = Instant::now();
+        let duration = |limit: &AtomicU64| Duration::from_micros(limit.load(Ordering::SeqCst));
+        let idle_timeout =
+            Some(duration(&shared.idle_close_micros)).filter(|limit| answered && !limit.is_zero());
+        let _ = stream.get_ref().set_read_timeout(idle_timeout);
+        // Data has arrived and is not read yet.
         if !matches!(stream.get_ref().peek(&mut [0]), Ok(1)) {
             return;
         }
         let _ = stream.get_ref().set_read_timeout(None);
-        let swallows = after(&shared.swallows_after);
-        if answered && !swallows.is_zero() && idle.elapsed() > swallows {
+        let reset_after_idle = duration(&shared.idle_reset_micros);
+        if answered && !reset_after_idle.is_zero() && idle_since.elapsed() > reset_after_idle {
             let _ = read_message(&mut stream);
-            std::thread::sleep(after(&shared.swallows_for));
-            shared.unread.fetch_add(1, Ordering::SeqCst);
+            std::thread::sleep(duration(&shared.reset_delay_micros));
+            shared.not_executed.fetch_add(1, Ordering::SeqCst);
             return reset_stream(stream.get_ref());
         }
-        let fault = shared.draw();
+        let fault = shared.draw_fault();
         if fault == Some(Fault::ResetBeforeRead) {
-            shared.unread.fetch_add(1, Ordering::SeqCst);
+            shared.not_executed.fetch_add(1, Ordering::SeqCst);
             return reset_stream(stream.get_ref());
         }
         let Some(message) = read_message(&mut stream) else { return };
-        shared.run(&message);
-        let right = format_response("200 OK", message.header("x-id").unwrap_or_default());
-        let said = match fault {
-            None | Some(Fault::CloseAfterResponse) => right,
+        shared.record_execution(&message);
+        let correct = format_response("200 OK", message.header("x-id").unwrap_or_default());
+        let response = match fault {
+            None | Some(Fault::CloseAfterResponse) => correct,
             Some(Fault::ResetBeforeRead | Fault::ResetAfterRead) => return reset_stream(stream.get_ref()),
-            Some(Fault::PartialResponse) => right[..right.len() / 2].to_string(),
+            Some(Fault::PartialResponse) => correct[..correct.len() / 2].to_string(),
             Some(Fault::NoResponse) => return std::thread::sleep(NO_RESPONSE_DURATION),
             Some(Fault::ServerError) => format_response("500 Internal Server Error", "error"),
             Some(Fault::Unavailable) => format_response("503 Service Unavailable", "busy"),
             Some(Fault::InvalidResponse) => "\u{1}\u{2}nothing of the kind\r\n\r\n".to_string(),
             Some(Fault::DelayedResponse) => {
                 std::thread::sleep(RESPONSE_DELAY);
-                right
+                correct
             }
         };
-        let written = stream.get_mut().write_all(said.as_bytes());
+        let written = stream.get_mut().write_all(response.as_bytes());
         if written.is_err()
             || matches!(
                 fault,
--- a/crates/standins/src/mysql.rs
+++ b/crates/standins/src/mysql.rs
@@ -1,6 +1,6 @@
-//! A stand-in for a MySQL server: logins by `mysql_native_password`, text commands that a script answers, and
-//! failures on demand. Written from the public protocol pages and apart from `crates/mysql`, so that a mistake
-//! there is not made here as well.
+//! A mock MySQL server with `mysql_native_password` logins, scripted responses to statements, and failures on demand.
+//! It is written from the public protocol documentation and independent of `crates/mysql`, so that it does not repeat
+//! errors of that code.
 
 use crate::wait_for;
 use sha1::{Digest, Sha1};
@@ -11,87 +11,87 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Statements that are remembered; later ones are only answered.
-const MOST_REMEMBERED: usize = 200_000;
-/// All that is offered to who logs in: 4.1, secure logins, transactions, named methods, several results, a
-/// database with the login, and OK for the end of rows.
+/// Maximum number of recorded statements; later ones are only answered.
+const MAX_RECORDED_STATEMENTS: usize = 200_000;
+/// Capabilities offered to clients: protocol 4.1, secure connection, transactions, plugin authentication, multiple
+/// results, database at login and deprecated EOF.
 const CAPABILITIES: u32 = 0x013a_a30f;
 const DEPRECATE_EOF: u32 = 1 << 24;
 const CONNECT_WITH_DB: u32 = 8;
 const NONCE: [u8; 20] = *b"a nonce of 20 bytes!";
 
-/// What a statement finds.
+/// A statement as received.
 #[derive(Clone, Debug)]
 pub struct ReceivedStatement {
-    /// The number of its connection.
+    /// Number of its connection.
     pub connection: u32,
-    /// The database that this is in.
+    /// Current database of the connection.
     pub database: Option<String>,
-    /// Its text.
+    /// Text of the statement.
     pub text: String,
-    /// A transaction is open.
+    /// Whether a transaction is open.
     pub in_transaction: bool,
-    /// What SET has set on this connection.
+    /// Variables set on the connection by SET.
     pub variables: HashMap<String, String>,
 }
 
-/// What a statement is answered with.
+/// Response to a statement.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// Rows that were changed, and the id that was generated.
+    /// OK packet with the number of affected rows and the generated id.
     Ok(u64, u64),
-    /// An error.
+    /// Error with its number, SQL state and text.
     Error(u16, &'static str, String),
-    /// Rows of text.
+    /// Columns and rows of text.
     Rows(Vec<&'static str>, Vec<Vec<Option<String>>>),
-    /// The answer, after so long.
+    /// The response after a delay.
     Delayed(Duration, Box<Reply>),
-    /// The first bytes of the answer, and the end of the connection.
+    /// The first bytes of the response, then the connection closes.
     Truncated(usize, Box<Reply>),
-    /// The first bytes of the answer, and silence.
+    /// The first bytes of the response, then nothing more.
     Stalled(usize, Box<Reply>),
 }
 
 type Script = dyn Fn(&ReceivedStatement) -> Reply + Send + Sync;
 
 struct Shared {
-    alive: AtomicBool,
-    refusing: AtomicBool,
+    is_running: AtomicBool,
+    is_refusing: AtomicBool,
     password: Mutex<String>,
     script: Box<Script>,
     statements: Mutex<Vec<ReceivedStatement>>,
     connections: Mutex<HashMap<u32, TcpStream>>,
-    numbers: AtomicU32,
+    next_number: AtomicU32,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A server. It ends when it is dropped.
+/// A mock server; it stops when dropped.
 pub struct MySqlServer {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl MySqlServer {
-    /// One that lets in whoever has this password, and answers as the script says. BEGIN, COMMIT, ROLLBACK and
-    /// SET it does by itself, and asks the script then what to say.
+    /// Starts a server that accepts logins with this password and answers statements by the script. It applies BEGIN,
+    /// COMMIT, ROLLBACK, SET and USE to the connection, and then calls the script for the response.
     pub fn start(
         password: &str,
         script: impl Fn(&ReceivedStatement) -> Reply + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the address of a bound socket");
         let shared = Arc::new(Shared {
-            alive: AtomicBool::new(false),
-            refusing: AtomicBool::new(false),
+            is_running: AtomicBool::new(false),
+            is_refusing: AtomicBool::new(false),
             password: Mutex::new(password.into()),
             script: Box::new(script),
             statements: Mutex::default(),
             connections: Mutex::default(),
-            numbers: AtomicU32::new(1),
+            next_number: AtomicU32::new(1),
         });
         let server = Self { address, shared };
         server.listen(listener);
@@ -99,21 +99,21 @@
     }
 
     fn listen(&self, listener: TcpListener) {
-        self.shared.alive.store(true, Ordering::SeqCst);
+        self.shared.is_running.store(true, Ordering::SeqCst);
         let shared = self.shared.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if !shared.alive.load(Ordering::SeqCst) {
+                if !shared.is_running.load(Ordering::SeqCst) {
                     return;
                 }
-                let number = shared.numbers.fetch_add(1, Ordering::SeqCst);
+                let number = shared.next_number.fetch_add(1, Ordering::SeqCst);
                 if let Ok(copy) = stream.try_clone() {
                     lock(&shared.connections).insert(number, copy);
                 }
                 let shared = shared.clone();
                 std::thread::spawn(move || {
                     let mut connection = Connection::new(stream, number);
-                    let _ = connection.serve(&shared); // whatever ends it, the other side sees it end
+                    let _ = connection.serve(&shared); // the peer sees the connection end
                     let _ = connection.stream.shutdown(Shutdown::Both);
                     lock(&shared.connections).remove(&number);
                 });
@@ -121,49 +121,49 @@
         });
     }
 
-    /// From now on newcomers are told that there are too many of them, or no longer.
-    pub fn set_refusing(&self, refusing: bool) {
-        self.shared.refusing.store(refusing, Ordering::SeqCst);
+    /// Sets whether new connections are refused with "Too many connections".
+    pub fn set_refusing(&self, is_refusing: bool) {
+        self.shared.is_refusing.store(is_refusing, Ordering::SeqCst);
     }
 
-    /// Dies: its connections break, and new ones are refused.
+    /// Stops: connections break, and new ones are refused.
     pub fn kill(&self) {
-        if self.shared.alive.swap(false, Ordering::SeqCst) {
-            let _ = TcpStream::connect(self.address); // the listener wakes up, and goes
+        if self.shared.is_running.swap(false, Ordering::SeqCst) {
+            let _ = TcpStream::connect(self.address); // wakes the listener so that it stops
             self.close_connections();
         }
     }
 
-    /// Its connections break.
+    /// Closes all open connections.
     pub fn close_connections(&self) {
         for (_, stream) in lock(&self.shared.connections).drain() {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Comes back at its old address. Panics where that is not free again within [`crate::LONG`].
+    /// Restarts at the same address. Panics if the address is not free within [`crate::WAIT_TIMEOUT`].
     pub fn restart(&self) {
         let mut bound = None;
-        wait_for("free address", || {
+        wait_for("a free address", || {
             bound = TcpListener::bind(self.address).ok();
             bound.is_some()
         });
         bound.into_iter().for_each(|listener| self.listen(listener));
     }
 
-    /// Connections that are open now.
+    /// Returns the number of open connections.
     pub fn connection_count(&self) -> usize {
         lock(&self.shared.connections).len()
     }
 
-    /// What has reached it, in order.
+    /// Returns the recorded statements in order.
     pub fn statements(&self) -> Vec<ReceivedStatement> {
         lock(&self.shared.statements).clone()
     }
 
-    /// How often a text has reached it.
+    /// Returns how often a statement was received.
     pub fn count_statements(&self, text: &str) -> usize {
-        lock(&self.shared.statements).iter().filter(|asked| asked.text == text).count()
+        lock(&self.shared.statements).iter().filter(|statement| statement.text == text).count()
     }
 }
 
@@ -173,12 +173,12 @@
     }
 }
 
-fn counted(out: &mut Vec<u8>, part: &[u8]) {
-    number(out, part.len() as u64);
+fn write_length_encoded(out: &mut Vec<u8>, part: &[u8]) {
+    write_integer(out, part.len() as u64);
     out.extend_from_slice(part);
 }
 
-fn number(out: &mut Vec<u8>, value: u64) {
+fn write_integer(out: &mut Vec<u8>, value: u64) {
     match value {
         0..=250 => out.push(value as u8),
         251..=0xffff => {
@@ -196,66 +196,66 @@
     }
 }
 
-/// A column, or a parameter: charset utf8mb4, a length, VARCHAR, no flags.
-fn definition(name: &str) -> Vec<u8> {
+/// Formats the definition of a column or parameter: character set utf8mb4, type VARCHAR, no flags.
+fn format_definition(name: &str) -> Vec<u8> {
     let mut definition = Vec::new();
     for part in ["def", "", "t", "t", name, name] {
-        counted(&mut definition, part.as_bytes());
+        write_length_encoded(&mut definition, part.as_bytes());
     }
     definition.extend_from_slice(&[0x0c, 45, 0, 0xff, 0, 0, 0, 0xfd, 0, 0, 0, 0, 0]);
     definition
 }
 
-/// A number for a statement, which no other has on any connection of any server.
-fn shared_number() -> u32 {
+/// Returns a statement id that is unique across all connections and servers.
+fn next_statement_id() -> u32 {
     static NEXT: AtomicU32 = AtomicU32::new(1000);
     NEXT.fetch_add(1, Ordering::SeqCst)
 }
 
-fn numbered(rest: &[u8]) -> io::Result<(u32, &[u8])> {
-    let (id, rest) = rest.split_first_chunk::<4>().ok_or(bad("short"))?;
+fn split_statement_id(rest: &[u8]) -> io::Result<(u32, &[u8])> {
+    let (id, rest) = rest.split_first_chunk::<4>().ok_or(invalid_data("the packet is too short"))?;
     Ok((u32::from_le_bytes(*id), rest))
 }
 
 impl Prepared {
-    /// The text with its parameters in it: whole numbers as such, all else as text.
-    fn bound(&mut self, rest: &[u8]) -> io::Result<String> {
+    /// Returns the text with its parameters inserted: integers as numbers, all others as quoted text.
+    fn bind_parameters(&mut self, rest: &[u8]) -> io::Result<String> {
         let count = self.text.matches('?').count();
         if count == 0 {
             return Ok(self.text.clone());
         }
-        let short = || bad("short");
-        let (nulls, rest) = rest.split_at_checked(count.div_ceil(8)).ok_or(short())?;
-        let (bound, mut rest) = rest.split_first().ok_or(short())?;
-        if *bound == 1 {
-            let (types, after) = rest.split_at_checked(2 * count).ok_or(short())?;
+        let too_short = || invalid_data("the packet is too short");
+        let (nulls, rest) = rest.split_at_checked(count.div_ceil(8)).ok_or(too_short())?;
+        let (has_types, mut rest) = rest.split_first().ok_or(too_short())?;
+        if *has_types == 1 {
+            let (types, after) = rest.split_at_checked(2 * count).ok_or(too_short())?;
             (self.types, rest) = (types.to_vec(), after);
         }
         let mut text = String::new();
         for (i, part) in self.text.split('?').enumerate() {
             if i > 0 {
                 let i = i - 1;
-                let kind = *self.types.get(2 * i).ok_or(short())?;
-                if let Some(data) = self.ahead.remove(&(i as u16)) {
+                let kind = *self.types.get(2 * i).ok_or(too_short())?;
+                if let Some(data) = self.long_data.remove(&(i as u16)) {
                     text += &format!("'{}'", String::from_utf8_lossy(&data));
                 } else if nulls[i / 8] & 1 << (i % 8) != 0 || kind == 6 {
                     text += "NULL";
                 } else {
-                    let whole = match kind {
+                    let integer_bytes = match kind {
                         1 => 1,
                         2 => 2,
                         3 => 4,
                         8 => 8,
                         _ => 0,
                     };
-                    if whole > 0 {
-                        let (number, after) = rest.split_at_checked(whole).ok_or(short())?;
+                    if integer_bytes > 0 {
+                        let (number, after) = rest.split_at_checked(integer_bytes).ok_or(too_short())?;
                         text +=
                             &number.iter().rev().fold(0u64, |sum, b| sum << 8 | u64::from(*b)).to_string();
                         rest = after;
                     } else {
-                        let length = usize::from(*rest.first().ok_or(short())?);
-                        let value = rest.get(1..1 + length).filter(|_| length < 251).ok_or(short())?;
+                        let length = usize::from(*rest.first().ok_or(too_short())?);
+                        let value = rest.get(1..1 + length).filter(|_| length < 251).ok_or(too_short())?;
                         text += &format!("'{}'", String::from_utf8_lossy(value));
                         rest = &rest[1 + length..];
                     }
@@ -267,7 +267,7 @@
     }
 }
 
-fn bad(what: &str) -> io::Error {
+fn invalid_data(what: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
 
@@ -279,7 +279,7 @@
     database: Option<String>,
     in_transaction: bool,
     variables: HashMap<String, String>,
-    /// Prepared statements, their parameters' types, and what was sent ahead.
+    /// Prepared statements, by id.
     prepared: HashMap<u32, Prepared>,
 }
 
@@ -287,7 +287,7 @@
 struct Prepared {
     text: String,
     types: Vec<u8>,
-    ahead: HashMap<u16, Vec<u8>>,
+    long_data: HashMap<u16, Vec<u8>>,
 }
 
 impl Connection {
@@ -305,14 +305,14 @@
         }
     }
 
-    fn read(&mut self) -> io::Result<Vec<u8>> {
+    fn read_packet(&mut self) -> io::Result<Vec<u8>> {
         let mut whole = Vec::new();
         loop {
             let mut head = [0; 4];
             self.stream.read_exact(&mut head)?;
             let length = usize::from(head[0]) | usize::from(head[1]) << 8 | usize::from(head[2]) << 16;
             if head[3] != self.sequence {
-                return Err(bad("a packet out of order"));
+                return Err(invalid_data("the packet is out of order"));
             }
             self.sequence = self.sequence.wrapping_add(1);
             let at = whole.len();
@@ -324,7 +324,7 @@
         }
     }
 
-    fn frame(&mut self, out: &mut Vec<u8>, payload: &[u8]) {
+    fn write_packet(&mut self, out: &mut Vec<u8>, payload: &[u8]) {
         let mut rest = payload;
         loop {
             let (part, after) = rest.split_at(rest.len().min(0xff_ffff));
@@ -339,9 +339,9 @@
         }
     }
 
-    fn say(&mut self, payload: &[u8]) -> io::Result<()> {
+    fn send_packet(&mut self, payload: &[u8]) -> io::Result<()> {
         let mut out = Vec::new();
-        self.frame(&mut out, payload);
+        self.write_packet(&mut out, payload);
         self.stream.write_all(&out)
     }
 
@@ -349,22 +349,22 @@
         2 | u16::from(self.in_transaction)
     }
 
-    fn ok(&self, mark: u8, rows: u64, id: u64) -> Vec<u8> {
-        let mut out = vec![mark];
-        number(&mut out, rows);
-        number(&mut out, id);
+    fn format_ok(&self, header: u8, rows: u64, id: u64) -> Vec<u8> {
+        let mut out = vec![header];
+        write_integer(&mut out, rows);
+        write_integer(&mut out, id);
         out.extend_from_slice(&self.status().to_le_bytes());
         out.extend_from_slice(&[0, 0]);
         out
     }
 
-    fn error(number: u16, state: &str, text: &str) -> Vec<u8> {
+    fn format_error(number: u16, state: &str, text: &str) -> Vec<u8> {
         [&[0xff][..], &number.to_le_bytes(), b"#", state.as_bytes(), text.as_bytes()].concat()
     }
 
     fn login(&mut self, shared: &Shared) -> io::Result<bool> {
-        if shared.refusing.load(Ordering::SeqCst) {
-            self.say(&Self::error(1040, "08004", "Too many connections"))?;
+        if shared.is_refusing.load(Ordering::SeqCst) {
+            self.send_packet(&Self::format_error(1040, "08004", "Too many connections"))?;
             return Ok(false);
         }
         let mut greeting = vec![10];
@@ -381,28 +381,31 @@
         greeting.extend_from_slice(&NONCE[8..]);
         greeting.push(0);
         greeting.extend_from_slice(b"mysql_native_password\0");
-        self.say(&greeting)?;
-        let said = self.read()?;
-        self.capabilities =
-            u32::from_le_bytes(said.get(..4).and_then(|b| b.try_into().ok()).ok_or(bad("short"))?);
-        let mut rest = said.get(32..).ok_or(bad("short"))?.iter().copied();
+        self.send_packet(&greeting)?;
+        let login = self.read_packet()?;
+        self.capabilities = u32::from_le_bytes(
+            login.get(..4).and_then(|b| b.try_into().ok()).ok_or(invalid_data("the packet is too short"))?,
+        );
+        let mut rest = login.get(32..).ok_or(invalid_data("the packet is too short"))?.iter().copied();
         let _user: Vec<u8> = rest.by_ref().take_while(|b| *b != 0).collect();
-        let length = usize::from(rest.next().ok_or(bad("no proof"))?);
-        let proof: Vec<u8> = rest.by_ref().take(length).collect();
+        let length =
+            usize::from(rest.next().ok_or(invalid_data("the login has no authentication response"))?);
+        let authentication: Vec<u8> = rest.by_ref().take(length).collect();
         if self.capabilities & CONNECT_WITH_DB != 0 {
             let name: Vec<u8> = rest.by_ref().take_while(|b| *b != 0).collect();
             self.database = Some(String::from_utf8_lossy(&name).into_owned()).filter(|name| !name.is_empty());
         }
         let password = lock(&shared.password).clone();
-        let once = Sha1::digest(password.as_bytes());
-        let mask = Sha1::new().chain_update(NONCE).chain_update(Sha1::digest(once)).finalize();
-        let expected: Vec<u8> = once.iter().zip(mask).map(|(a, b)| a ^ b).collect();
-        let right = if password.is_empty() { proof.is_empty() } else { proof == expected };
-        match right {
-            true => self.say(&self.ok(0, 0, 0))?,
-            false => self.say(&Self::error(1045, "28000", "Access denied"))?,
+        let password_hash = Sha1::digest(password.as_bytes());
+        let mask = Sha1::new().chain_update(NONCE).chain_update(Sha1::digest(password_hash)).finalize();
+        let expected: Vec<u8> = password_hash.iter().zip(mask).map(|(a, b)| a ^ b).collect();
+        let is_accepted =
+            if password.is_empty() { authentication.is_empty() } else { authentication == expected };
+        match is_accepted {
+            true => self.send_packet(&self.format_ok(0, 0, 0))?,
+            false => self.send_packet(&Self::format_error(1045, "28000", "Access denied"))?,
         }
-        Ok(right)
+        Ok(is_accepted)
     }
 
     fn serve(&mut self, shared: &Shared) -> io::Result<()> {
@@ -411,71 +414,79 @@
         }
         loop {
             self.sequence = 0;
-            let command = self.read()?;
-            let (code, rest) = command.split_first().ok_or(bad("an empty command"))?;
+            let command = self.read_packet()?;
+            let (code, rest) = command.split_first().ok_or(invalid_data("the command is empty"))?;
             let text = String::from_utf8_lossy(rest).into_owned();
             match code {
                 0x01 => return Ok(()),
-                0x02 if text == "nowhere" => self.say(&Self::error(1049, "42000", "Unknown database"))?,
+                0x02 if text == "nowhere" => {
+                    self.send_packet(&Self::format_error(1049, "42000", "Unknown database"))?
+                }
                 0x02 => {
                     self.database = Some(text);
-                    self.say(&self.ok(0, 0, 0))?;
+                    self.send_packet(&self.format_ok(0, 0, 0))?;
                 }
-                0x03 => self.statement(shared, text)?,
-                0x09 => self.say(b"Uptime: 7")?,
-                0x0e => self.say(&self.ok(0, 0, 0))?,
+                0x03 => self.execute_text(shared, text)?,
+                0x09 => self.send_packet(b"Uptime: 7")?,
+                0x0e => self.send_packet(&self.format_ok(0, 0, 0))?,
                 0x16 => self.prepare(text)?,
-                0x17 => self.execute(shared, rest)?,
+                0x17 => self.execute_prepared(shared, rest)?,
                 0x18 => {
-                    let (id, rest) = numbered(rest)?;
-                    let (parameter, data) = rest.split_at_checked(2).ok_or(bad("short"))?;
+                    let (id, rest) = split_statement_id(rest)?;
+                    let (parameter, data) =
+                        rest.split_at_checked(2).ok_or(invalid_data("the packet is too short"))?;
                     let parameter = u16::from_le_bytes([parameter[0], parameter[1]]);
-                    let prepared = self.prepared.get_mut(&id).ok_or(bad("no such statement"))?;
-                    prepared.ahead.entry(parameter).or_default().extend_from_slice(data);
+                    let prepared =
+                        self.prepared.get_mut(&id).ok_or(invalid_data("the statement does not exist"))?;
+                    prepared.long_data.entry(parameter).or_default().extend_from_slice(data);
                 }
-                0x19 => drop(self.prepared.remove(&numbered(rest)?.0)),
+                0x19 => drop(self.prepared.remove(&split_statement_id(rest)?.0)),
                 0x1f => {
                     (self.in_transaction, self.variables) = (false, HashMap::new());
                     self.prepared.clear();
-                    self.say(&self.ok(0, 0, 0))?;
+                    self.send_packet(&self.format_ok(0, 0, 0))?;
                 }
-                _ => self.say(&Self::error(1047, "08S01", "Unknown command"))?,
+                _ => self.send_packet(&Self::format_error(1047, "08S01", "Unknown command"))?,
             }
         }
     }
 
     fn prepare(&mut self, text: String) -> io::Result<()> {
         if text.to_ascii_lowercase().contains("wrong") {
-            return self.say(&Self::error(1146, "42S02", "Table 'wrong' doesn't exist"));
+            return self.send_packet(&Self::format_error(1146, "42S02", "Table 'wrong' doesn't exist"));
         }
-        let id = shared_number();
+        let id = next_statement_id();
         let parameters = text.matches('?').count() as u16;
         self.prepared.insert(id, Prepared { text, ..Prepared::default() });
         let mut out = Vec::new();
         let head = [&[0][..], &id.to_le_bytes(), &[0, 0], &parameters.to_le_bytes(), &[0, 0, 0]].concat();
-        self.frame(&mut out, &head);
+        self.write_packet(&mut out, &head);
         let eof = [&[0xfe, 0, 0][..], &self.status().to_le_bytes()].concat();
         for _ in 0..parameters {
-            let definition = definition("?");
-            self.frame(&mut out, &definition);
+            let definition = format_definition("?");
+            self.write_packet(&mut out, &definition);
         }
         if parameters > 0 && self.capabilities & DEPRECATE_EOF == 0 {
-            self.frame(&mut out, &eof);
+            self.write_packet(&mut out, &eof);
         }
         self.stream.write_all(&out)
     }
 
-    /// Executes a statement with its parameters written into its text, and answers in binary rows.
-    fn execute(&mut self, shared: &Shared, rest: &[u8]) -> io::Result<()> {
-        let (id, rest) = numbered(rest)?;
+    /// Executes a prepared statement with its parameters inserted into its text, and answers in binary rows.
+    fn execute_prepared(&mut self, shared: &Shared, rest: &[u8]) -> io::Result<()> {
+        let (id, rest) = split_statement_id(rest)?;
         let Some(prepared) = self.prepared.get_mut(&id) else {
-            return self.say(&Self::error(1243, "HY000", "Unknown prepared statement handler"));
+            return self.send_packet(&Self::format_error(
+                1243,
+                "HY000",
+                "Unknown prepared statement handler",
+            ));
         };
-        let text = prepared.bound(rest.get(5..).ok_or(bad("short"))?)?;
+        let text = prepared.bind_parameters(rest.get(5..).ok_or(invalid_data("the packet is too short"))?)?;
         self.run(shared, text, true)
     }
 
-    fn statement(&mut self, shared: &Shared, text: String) -> io::Result<()> {
+    fn execute_text(&mut self, shared: &Shared, text: String) -> io::Result<()> {
         self.run(shared, text, false)
     }
 
@@ -492,7 +503,7 @@
         if let Some(name) = upper.strip_prefix("USE ") {
             self.database = Some(name.to_ascii_lowercase());
         }
-        let asked = ReceivedStatement {
+        let statement = ReceivedStatement {
             connection: self.number,
             database: self.database.clone(),
             text,
@@ -501,11 +512,11 @@
         };
         {
             let mut statements = lock(&shared.statements);
-            if statements.len() < MOST_REMEMBERED {
-                statements.push(asked.clone());
+            if statements.len() < MAX_RECORDED_STATEMENTS {
+                statements.push(statement.clone());
             }
         }
-        let mut reply = (shared.script)(&asked);
+        let mut reply = (shared.script)(&statement);
         loop {
             match reply {
                 Reply::Delayed(time, then) => {
@@ -513,49 +524,51 @@
                     reply = *then;
                 }
                 Reply::Truncated(bytes, then) => {
-                    let whole = self.worded(&then, binary);
+                    let whole = self.format_reply(&then, binary);
                     self.stream.write_all(&whole[..bytes.min(whole.len())])?;
-                    return Err(bad("cut"));
+                    return Err(invalid_data("the response is truncated"));
                 }
                 Reply::Stalled(bytes, then) => {
-                    let whole = self.worded(&then, binary);
+                    let whole = self.format_reply(&then, binary);
                     self.stream.write_all(&whole[..bytes.min(whole.len())])?;
-                    return self.read().map(drop); // until the other side has enough of it
+                    return self.read_packet().map(drop); // until the peer closes the connection
                 }
                 whole => {
-                    let whole = self.worded(&whole, binary);
+                    let whole = self.format_reply(&whole, binary);
                     return self.stream.write_all(&whole);
                 }
             }
         }
     }
 
-    /// An answer in frames.
-    fn worded(&mut self, reply: &Reply, binary: bool) -> Vec<u8> {
+    /// Formats a response as packets.
+    fn format_reply(&mut self, reply: &Reply, binary: bool) -> Vec<u8> {
         let mut out = Vec::new();
         match reply {
             Reply::Ok(rows, id) => {
-                let ok = self.ok(0, *rows, *id);
-                self.frame(&mut out, &ok);
+                let ok = self.format_ok(0, *rows, *id);
+                self.write_packet(&mut out, &ok);
+            }
+            Reply::Error(number, state, text) => {
+                self.write_packet(&mut out, &Self::format_error(*number, state, text))
             }
-            Reply::Error(number, state, text) => self.frame(&mut out, &Self::error(*number, state, text)),
             Reply::Rows(columns, rows) => {
                 let mut count = Vec::new();
-                number(&mut count, columns.len() as u64);
-                self.frame(&mut out, &count);
+                write_integer(&mut count, columns.len() as u64);
+                self.write_packet(&mut out, &count);
                 for column in columns {
-                    let definition = definition(column);
-                    self.frame(&mut out, &definition);
+                    let definition = format_definition(column);
+                    self.write_packet(&mut out, &definition);
                 }
                 let eof = [&[0xfe, 0, 0][..], &self.status().to_le_bytes()].concat();
-                let new = self.capabilities & DEPRECATE_EOF != 0;
-                if !new {
-                    self.frame(&mut out, &eof);
+                let deprecate_eof = self.capabilities & DEPRECATE_EOF != 0;
+                if !deprecate_eof {
+                    self.write_packet(&mut out, &eof);
                 }
                 for row in rows {
                     let mut packet = Vec::new();
                     if binary {
-                        // The nulls' bits begin at the third.
+                        // The bitmap of NULLs starts at the third bit.
                         let mut nulls = vec![0; (row.len() + 9) / 8];
                         for (i, _) in row.iter().enumerate().filter(|(_, value)| value.is_none()) {
                             nulls[(i + 2) / 8] |= 1 << ((i + 2) % 8);
@@ -565,18 +578,18 @@
                     }
                     for value in row {
                         match value {
-                            Some(text) => counted(&mut packet, text.as_bytes()),
+                            Some(text) => write_length_encoded(&mut packet, text.as_bytes()),
                             None if binary => {}
                             None => packet.push(0xfb),
                         }
                     }
-                    self.frame(&mut out, &packet);
+                    self.write_packet(&mut out, &packet);
                 }
-                let end = if new { self.ok(0xfe, 0, 0) } else { eof };
-                self.frame(&mut out, &end);
+                let end = if deprecate_eof { self.format_ok(0xfe, 0, 0) } else { eof };
+                self.write_packet(&mut out, &end);
             }
             Reply::Delayed(_, then) | Reply::Truncated(_, then) | Reply::Stalled(_, then) => {
-                return self.worded(then, binary);
+                return self.format_reply(then, binary);
             }
         }
         out
--- a/crates/standins/src/scripted_server.rs
+++ b/crates/standins/src/scripted_server.rs
@@ -1,4 +1,4 @@
-//! Servers whose every answer a test plays.
+//! Mock servers whose responses a test scripts.
 
 use crate::WAIT_TIMEOUT;
 use crate::message::{Message, format_response, read_message};
@@ -9,109 +9,114 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// What a played server does with a request, given how many it has had before.
+/// Reaction of a scripted server to a request.
 pub enum ScriptedReply {
-    /// Answers so.
+    /// Sends the response.
     Respond(String),
-    /// Writes the first, and the second after that time.
+    /// Sends the first part, and the second part after this time.
     RespondInTwoParts(String, Duration, String),
-    /// Writes so many bytes at a time, with a rest after each, until the other side ends the connection.
+    /// Sends this many bytes at a time with a pause after each, until the peer closes the connection.
     RespondInChunks(String, usize, Duration),
-    /// Answers, then closes without having said so, and tells.
+    /// Sends the response, closes the connection without notice and notifies the test.
     RespondAndClose(String, Sender<()>),
-    /// Closes without an answer.
+    /// Closes the connection without a response.
     Close,
-    /// Says nothing; tells when the other side ends the connection.
+    /// Sends nothing, and notifies the test when the peer closes the connection.
     NeverRespond(Sender<()>),
 }
 
-/// A server that the test plays.
+/// A mock server that follows a script.
 pub struct ScriptedServer {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// What it was asked.
+    /// Requests received so far.
     pub received_requests: Arc<Mutex<Vec<Message>>>,
-    /// How often it was connected to.
+    /// Number of connections accepted.
     pub connection_count: Arc<AtomicUsize>,
 }
 
 impl ScriptedServer {
-    /// A server that does with each request what `play` says.
-    pub fn new(play: impl Fn(usize, &Message) -> ScriptedReply + Send + Sync + 'static) -> Self {
-        Self::bind(SocketAddr::from(([127, 0, 0, 1], 0)), play)
+    /// Starts a server. `script` decides on each request, given the number of earlier requests.
+    pub fn new(script: impl Fn(usize, &Message) -> ScriptedReply + Send + Sync + 'static) -> Self {
+        Self::bind(SocketAddr::from(([127, 0, 0, 1], 0)), script)
     }
 
-    /// The same at that address.
+    /// Starts a server at an address.
     pub fn bind(
         address: SocketAddr,
-        play: impl Fn(usize, &Message) -> ScriptedReply + Send + Sync + 'static,
+        script: impl Fn(usize, &Message) -> ScriptedReply + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind(address).expect("a free port");
-        let address = listener.local_addr().expect("an address");
-        let played = Self { address, received_requests: Arc::default(), connection_count: Arc::default() };
-        let (requests, connections) = (played.received_requests.clone(), played.connection_count.clone());
-        let play = Arc::new(play);
+        let address = listener.local_addr().expect("the address of a bound socket");
+        let server = Self { address, received_requests: Arc::default(), connection_count: Arc::default() };
+        let (requests, connections) = (server.received_requests.clone(), server.connection_count.clone());
+        let script = Arc::new(script);
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 connections.fetch_add(1, Ordering::SeqCst);
-                let (requests, play) = (requests.clone(), play.clone());
-                std::thread::spawn(move || serve(stream, &requests, &*play));
+                let (requests, script) = (requests.clone(), script.clone());
+                std::thread::spawn(move || serve(stream, &requests, &*script));
             }
         });
-        played
+        server
     }
 
-    /// A server that answers all with 200 and its name.
+    /// Starts a server that answers all requests with 200 and its name.
     pub fn always_ok(name: &'static str) -> Self {
         Self::new(move |_, _| ScriptedReply::Respond(format_response("200 OK", name)))
     }
 
-    /// The same, but its first answer waits until it is let go.
+    /// Starts such a server that holds its first response until the returned sender is used.
     pub fn with_held_response(name: &'static str) -> (Self, Sender<()>) {
-        let (release, held) = channel();
-        let held = Mutex::new(held);
-        let played = Self::new(move |before, _| {
-            if before == 0 {
-                let held = held.lock().unwrap_or_else(PoisonError::into_inner);
-                held.recv_timeout(WAIT_TIMEOUT).expect("it is let go");
+        let (release, released) = channel();
+        let released = Mutex::new(released);
+        let server = Self::new(move |earlier_requests, _| {
+            if earlier_requests == 0 {
+                let released = released.lock().unwrap_or_else(PoisonError::into_inner);
+                released.recv_timeout(WAIT_TIMEOUT).expect("the response is released");
             }
             ScriptedReply::Respond(format_response("200 OK", name))
         });
-        (played, release)
+        (server, release)
     }
 
-    /// How many requests it has had.
+    /// Returns the number of requests received.
     pub fn request_count(&self) -> usize {
         self.received_requests.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
 }
 
-fn serve(stream: TcpStream, requests: &Mutex<Vec<Message>>, play: &dyn Fn(usize, &Message) -> ScriptedReply) {
+fn serve(
+    stream: TcpStream,
+    requests: &Mutex<Vec<Message>>,
+    script: &dyn Fn(usize, &Message) -> ScriptedReply,
+) {
     let mut stream = BufReader::new(stream);
     while let Some(message) = read_message(&mut stream) {
-        let before = {
+        let earlier_requests = {
             let mut requests = requests.lock().unwrap_or_else(PoisonError::into_inner);
             requests.push(message.clone());
             requests.len() - 1
         };
-        match play(before, &message) {
+        match script(earlier_requests, &message) {
             ScriptedReply::Respond(text) => drop(stream.get_mut().write_all(text.as_bytes())),
             ScriptedReply::RespondInTwoParts(text, wait, more) => {
                 let _ = stream.get_mut().write_all(text.as_bytes());
                 std::thread::sleep(wait);
                 let _ = stream.get_mut().write_all(more.as_bytes());
             }
-            ScriptedReply::RespondInChunks(text, size, rest) => {
-                for piece in text.as_bytes().chunks(size) {
-                    if stream.get_mut().write_all(piece).is_err() {
+            ScriptedReply::RespondInChunks(text, size, pause) => {
+                for chunk in text.as_bytes().chunks(size) {
+                    if stream.get_mut().write_all(chunk).is_err() {
                         return;
                     }
-                    std::thread::sleep(rest);
+                    std::thread::sleep(pause);
                 }
             }
             ScriptedReply::RespondAndClose(text, closed) => {
                 let _ = stream.get_mut().write_all(text.as_bytes());
-                // Not by dropping it: a process that is just being started has a copy.
+                // Dropping the stream does not close the connection while a process that is being started holds a
+                // copy of it.
                 let _ = stream.get_mut().shutdown(Shutdown::Both);
                 let _ = closed.send(());
                 return;
