--- a/crates/dewpier/tests/reload.rs
+++ b/crates/dewpier/tests/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration is read again, and the list comes from the discovery named there.
+//! SIGHUP: the proxy reads its configuration again and takes the list from the discovery service named there.
 
 mod common;
 
@@ -6,34 +6,38 @@
 use serde_json::json;
 use std::sync::mpsc::channel;
 
-/// A discovery that has this list, whole, and nothing newer: a call that names another version is told all of it.
-fn having(generation: u64, backend: &ScriptedServer) -> ScriptedServer {
-    let all =
-        list(generation, true, &[entry(&format!("s-{generation}"), backend.address, "SERVING")]).to_string();
+/// A discovery service with one fixed list: a call that names another version receives the whole list.
+fn fixed_discovery(generation: u64, backend: &ScriptedServer) -> ScriptedServer {
+    let whole_list = discovery_list(
+        generation,
+        true,
+        &[list_entry(&format!("s-{generation}"), backend.address, "SERVING")],
+    )
+    .to_string();
     ScriptedServer::new(move |_, message| {
         match message.start_line.contains(&format!("since={generation}&")) {
-            false => ScriptedReply::Respond(format_response("200 OK", &all)),
+            false => ScriptedReply::Respond(format_response("200 OK", &whole_list)),
             true => ScriptedReply::NeverRespond(channel().0),
         }
     })
 }
 
 #[test]
-fn on_sighup_the_list_comes_from_the_discovery_that_the_file_names() {
+fn sighup_takes_the_list_from_the_discovery_service_in_the_configuration() {
     let backends = ["old", "new", "newest"].map(ScriptedServer::always_ok);
-    let mut config = config_of(&settings(), &known(&[&backends[0]]));
-    let first = quiet();
-    let mut proxy = Proxy::with(&config, first.address);
+    let mut config = build_config(&settings(), &known_list(&[&backends[0]]));
+    let first = idle_discovery();
+    let mut proxy = Proxy::start_with_config(&config, first.address);
     wait_for("watch", || first.request_count() == 1);
-    assert_eq!(proxy.ask(&request("look", 9000)).body, b"old");
-    // The versions of the next one are lower: they say nothing beside those of the first.
+    assert_eq!(proxy.exchange(&request_text("look", 9000)).body, b"old");
+    // Versions of different discovery services are not compared: the second one has a lower version.
     let mut discoveries = Vec::new();
     for (generation, name) in [(7, "new"), (3, "newest")] {
-        let discovery = having(generation, &backends[1 + discoveries.len()]);
+        let discovery = fixed_discovery(generation, &backends[1 + discoveries.len()]);
         config["discovery"] = json!(discovery.address.to_string());
-        proxy.configure(&config);
+        proxy.write_config(&config);
         proxy.signal("-HUP");
-        wait_for("list", || proxy.ask(&request("look", 9000)).body == name.as_bytes());
+        wait_for("list", || proxy.exchange(&request_text("look", 9000)).body == name.as_bytes());
         wait_for("watch", || discovery.request_count() >= 2);
         let requests = discovery.received_requests.lock().unwrap().clone();
         assert!(
@@ -48,11 +52,11 @@
         );
         discoveries.push(discovery);
     }
-    // What can't be used changes nothing, also several times and during a stop.
+    // An invalid configuration changes nothing, also when it is repeated.
     for text in ["{", "{}", &config.to_string().replace("127.0.0.1:", "nowhere:")] {
-        proxy.configure_as(text);
+        proxy.write_config_text(text);
         proxy.signal("-HUP");
-        assert_eq!(proxy.ask(&request("look", 9000)).body, b"newest");
+        assert_eq!(proxy.exchange(&request_text("look", 9000)).body, b"newest");
     }
     proxy.signal("-TERM");
     proxy.signal("-HUP");
@@ -61,29 +65,30 @@
 }
 
 #[test]
-fn a_discovery_that_knows_no_watch_from_the_beginning_is_asked_for_its_list() {
-    for refuses in [true, false] {
+fn discovery_that_cannot_send_changes_since_version_0_is_asked_for_its_list() {
+    for rejects_watch in [true, false] {
         let backends = ["old", "new"].map(ScriptedServer::always_ok);
-        let all = list(5, true, &[entry("s-new", backends[1].address, "SERVING")]).to_string();
-        let part = backends[0].address;
+        let whole_list =
+            discovery_list(5, true, &[list_entry("s-new", backends[1].address, "SERVING")]).to_string();
+        let partial_address = backends[0].address;
         let discovery = ScriptedServer::new(move |_, message| match message.start_line.as_str() {
-            "GET /api/targets HTTP/1.1" => ScriptedReply::Respond(format_response("200 OK", &all)),
-            first if first.contains("since=0&") && refuses => {
+            "GET /api/targets HTTP/1.1" => ScriptedReply::Respond(format_response("200 OK", &whole_list)),
+            first if first.contains("since=0&") && rejects_watch => {
                 ScriptedReply::Respond(format_response("400 Bad Request", ""))
             }
             first if first.contains("since=0&") => {
-                // What changed there since the beginning, and not all that there is.
-                let part = list(5, false, &[entry("s-part", part, "SERVING")]);
-                ScriptedReply::Respond(format_response("200 OK", &part.to_string()))
+                // Only the changes since version 0, not the whole list.
+                let changes = discovery_list(5, false, &[list_entry("s-part", partial_address, "SERVING")]);
+                ScriptedReply::Respond(format_response("200 OK", &changes.to_string()))
             }
             _ => ScriptedReply::NeverRespond(channel().0),
         });
-        let mut config = config_of(&settings(), &known(&[&backends[0]]));
-        let proxy = Proxy::with(&config, quiet().address);
-        assert_eq!(proxy.ask(&request("look", 9000)).body, b"old");
+        let mut config = build_config(&settings(), &known_list(&[&backends[0]]));
+        let proxy = Proxy::start_with_config(&config, idle_discovery().address);
+        assert_eq!(proxy.exchange(&request_text("look", 9000)).body, b"old");
         config["discovery"] = json!(discovery.address.to_string());
-        proxy.configure(&config);
+        proxy.write_config(&config);
         proxy.signal("-HUP");
-        wait_for("list", || proxy.ask(&request("look", 9000)).body == b"new");
+        wait_for("list", || proxy.exchange(&request_text("look", 9000)).body == b"new");
     }
 }
