--- a/crates/standins/src/backend.rs
+++ b/crates/standins/src/backend.rs
@@ -57,7 +57,7 @@
     is_failing: AtomicBool,
     /// One in this many requests fails; 0 for none.
     failure_interval: AtomicUsize,
-    paths: Mutex<HashMap<String, PathFault>>,
+    path_faults: Mutex<HashMap<String, PathFault>>,
     count: AtomicUsize,
     arrivals: Mutex<Vec<Arrival>>,
     /// Copies of the open connections, by number.
@@ -126,11 +126,11 @@
     }
 
     /// Sets or clears the fault of the path from a caller.
-    pub fn set_path_fault(&self, caller: &str, path: Option<PathFault>) {
-        let mut paths = lock(&self.shared.paths);
-        match path {
-            Some(path) => drop(paths.insert(caller.into(), path)),
-            None => drop(paths.remove(caller)),
+    pub fn set_path_fault(&self, caller: &str, path_fault: Option<PathFault>) {
+        let mut path_faults = lock(&self.shared.path_faults);
+        match path_fault {
+            Some(path_fault) => drop(path_faults.insert(caller.into(), path_fault)),
+            None => drop(path_faults.remove(caller)),
         }
     }
 
@@ -186,12 +186,12 @@
 
 impl Shared {
     fn path_fault(&self, caller: &str) -> Option<PathFault> {
-        lock(&self.paths).get(caller).copied()
+        lock(&self.path_faults).get(caller).copied()
     }
 
     /// Waits until the path from the caller no longer has this fault.
-    fn wait_while(&self, caller: &str, path: PathFault) {
-        while self.path_fault(caller) == Some(path) && self.is_running.load(Ordering::SeqCst) {
+    fn wait_while(&self, caller: &str, path_fault: PathFault) {
+        while self.path_fault(caller) == Some(path_fault) && self.is_running.load(Ordering::SeqCst) {
             std::thread::sleep(POLL_INTERVAL);
         }
     }
@@ -200,11 +200,11 @@
 fn serve(stream: TcpStream, shared: &Shared, name: &str) {
     let _ = stream.set_nodelay(true);
     let mut stream = BufReader::new(stream);
-    while let Some((received_at, message)) = read_request(&mut stream) {
-        let order_id = message.header("x-order").map(String::from);
+    while let Some((received_at, request)) = read_request(&mut stream) {
+        let order_id = request.header("x-order").map(String::from);
         let caller = order_id.as_deref().and_then(|o| o.split('-').next()).unwrap_or_default().to_string();
-        let path = shared.path_fault(&caller);
-        match path {
+        let path_fault = shared.path_fault(&caller);
+        match path_fault {
             Some(PathFault::RequestsHeld) => shared.wait_while(&caller, PathFault::RequestsHeld),
             Some(PathFault::ResetBeforeRequest) => return reset_stream(stream.get_ref()),
             _ => {}
@@ -216,7 +216,7 @@
         let response_micros = shared.response_micros.load(Ordering::SeqCst);
         let is_late = response_micros
             > FAULTY_DELAY_RATIO * shared.normal_response_micros.load(Ordering::SeqCst).max(1);
-        let method = message.start_line.split(' ').next().unwrap_or_default().to_string();
+        let method = request.start_line.split(' ').next().unwrap_or_default().to_string();
         {
             let mut arrivals = lock(&shared.arrivals);
             if arrivals.len() < MAX_RECORDED_REQUESTS {
@@ -224,21 +224,21 @@
                     received_at,
                     method,
                     order_id,
-                    is_faulty: is_failing || is_late || path.is_some(),
+                    is_faulty: is_failing || is_late || path_fault.is_some(),
                 });
             }
         }
         if response_micros > 0 {
             std::thread::sleep(Duration::from_micros(response_micros));
         }
-        match path {
+        match path_fault {
             Some(PathFault::ResponsesHeld) => shared.wait_while(&caller, PathFault::ResponsesHeld),
             Some(PathFault::ResetAfterRequest) => return reset_stream(stream.get_ref()),
             _ => {}
         }
         let status = if is_failing { "500 Internal Server Error" } else { "200 OK" };
         let text = format_response(status, name);
-        let written = match path {
+        let written = match path_fault {
             Some(PathFault::SlowResponse(interval_ms)) => text.bytes().try_for_each(|byte| {
                 std::thread::sleep(Duration::from_millis(interval_ms));
                 stream.get_mut().write_all(&[byte])
--- a/crates/standins/src/faulty_relay.rs
+++ b/crates/standins/src/faulty_relay.rs
@@ -36,7 +36,7 @@
 #[derive(Default)]
 struct Shared {
     is_stopping: AtomicBool,
-    spoilt: AtomicUsize,
+    failed_connections: AtomicUsize,
 }
 
 /// A relay to a server; it stops when dropped.
@@ -88,7 +88,7 @@
 
     /// Returns the number of failed connections so far.
     pub fn failed_connections(&self) -> usize {
-        self.shared.spoilt.load(Ordering::SeqCst)
+        self.shared.failed_connections.load(Ordering::SeqCst)
     }
 }
 
@@ -147,7 +147,7 @@
             }
             continue;
         };
-        shared.spoilt.fetch_add(1, Ordering::SeqCst);
+        shared.failed_connections.fetch_add(1, Ordering::SeqCst);
         let forwarded =
             if byte_offset <= read { byte_offset } else { read - (usize::MAX - byte_offset).min(read) };
         match fault {
--- a/crates/standins/src/mysql.rs
+++ b/crates/standins/src/mysql.rs
@@ -235,13 +235,13 @@
         for (i, part) in self.text.split('?').enumerate() {
             if i > 0 {
                 let i = i - 1;
-                let kind = *self.types.get(2 * i).ok_or(too_short())?;
+                let parameter_type = *self.types.get(2 * i).ok_or(too_short())?;
                 if let Some(data) = self.long_data.remove(&(i as u16)) {
                     text += &format!("'{}'", String::from_utf8_lossy(&data));
-                } else if nulls[i / 8] & 1 << (i % 8) != 0 || kind == 6 {
+                } else if nulls[i / 8] & 1 << (i % 8) != 0 || parameter_type == 6 {
                     text += "NULL";
                 } else {
-                    let integer_bytes = match kind {
+                    let integer_bytes = match parameter_type {
                         1 => 1,
                         2 => 2,
                         3 => 4,
@@ -267,8 +267,8 @@
     }
 }
 
-fn invalid_data(what: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what)
+fn invalid_data(reason: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, reason)
 }
 
 struct Connection {
@@ -306,7 +306,7 @@
     }
 
     fn read_packet(&mut self) -> io::Result<Vec<u8>> {
-        let mut whole = Vec::new();
+        let mut packet_bytes = Vec::new();
         loop {
             let mut head = [0; 4];
             self.stream.read_exact(&mut head)?;
@@ -315,11 +315,11 @@
                 return Err(invalid_data("the packet is out of order"));
             }
             self.sequence = self.sequence.wrapping_add(1);
-            let at = whole.len();
-            whole.resize(at + length, 0);
-            self.stream.read_exact(&mut whole[at..])?;
+            let at = packet_bytes.len();
+            packet_bytes.resize(at + length, 0);
+            self.stream.read_exact(&mut packet_bytes[at..])?;
             if length < 0xff_ffff {
-                return Ok(whole);
+                return Ok(packet_bytes);
             }
         }
     }
@@ -524,18 +524,18 @@
                     reply = *then;
                 }
                 Reply::Truncated(bytes, then) => {
-                    let whole = self.format_reply(&then, binary);
-                    self.stream.write_all(&whole[..bytes.min(whole.len())])?;
+                    let packet_bytes = self.format_reply(&then, binary);
+                    self.stream.write_all(&packet_bytes[..bytes.min(packet_bytes.len())])?;
                     return Err(invalid_data("the response is truncated"));
                 }
                 Reply::Stalled(bytes, then) => {
-                    let whole = self.format_reply(&then, binary);
-                    self.stream.write_all(&whole[..bytes.min(whole.len())])?;
+                    let packet_bytes = self.format_reply(&then, binary);
+                    self.stream.write_all(&packet_bytes[..bytes.min(packet_bytes.len())])?;
                     return self.read_packet().map(drop); // until the peer closes the connection
                 }
-                whole => {
-                    let whole = self.format_reply(&whole, binary);
-                    return self.stream.write_all(&whole);
+                complete => {
+                    let packet_bytes = self.format_reply(&complete, binary);
+                    return self.stream.write_all(&packet_bytes);
                 }
             }
         }
--- a/crates/trials/src/checks.rs
+++ b/crates/trials/src/checks.rs
@@ -641,18 +641,18 @@
 
     #[test]
     fn verdicts_without_evidence_on_old_reports_or_of_isolated_proxies_are_reported() {
-        let seen = Record {
+        let recent = Record {
             arrivals: vec![arrival(0, 1000, true)],
             verdict_readings: vec![reading(3, 9400, true)],
             ..Record::default()
         };
-        assert!(violated_invariants(&seen, vec![]).is_empty());
-        let late = Record { verdict_readings: vec![reading(3, 9600, true)], ..seen.clone() };
+        assert!(violated_invariants(&recent, vec![]).is_empty());
+        let late = Record { verdict_readings: vec![reading(3, 9600, true)], ..recent.clone() };
         assert_eq!(violated_invariants(&late, vec![]), [Invariant::FreshVerdicts]);
         let gone =
             Step { at_ms: 100, duration_ms: 3000, fault: Fault::Node { node: 1, fault: NodeFault::Gone } };
         assert!(violated_invariants(&late, vec![gone]).is_empty());
-        let mut old = seen.clone();
+        let mut old = recent.clone();
         old.verdict_readings[0].verdicts[0].oldest_report_age = ms(4700);
         assert_eq!(violated_invariants(&old, vec![]), [Invariant::FreshVerdicts]);
         let cut = |at_ms| Step {
@@ -666,8 +666,8 @@
                 max_delay_ms: 0,
             },
         };
-        assert_eq!(violated_invariants(&seen, vec![cut(800)]), [Invariant::FreshVerdicts]);
-        assert!(violated_invariants(&seen, vec![cut(2000)]).is_empty());
+        assert_eq!(violated_invariants(&recent, vec![cut(800)]), [Invariant::FreshVerdicts]);
+        assert!(violated_invariants(&recent, vec![cut(2000)]).is_empty());
     }
 
     #[test]
--- a/crates/trials/src/harness.rs
+++ b/crates/trials/src/harness.rs
@@ -402,12 +402,12 @@
             Fault::Path { proxy, node, fault: kind } => {
                 self.nodes[*node].set_path_fault(&format!("p{proxy}"), Some(path_fault(*kind)));
             }
-            Fault::Datagrams { from, to, lost_per_mille, duplicated_per_mille, max_delay_ms: delay_ms } => {
+            Fault::Datagrams { from, to, lost_per_mille, duplicated_per_mille, max_delay_ms } => {
                 let link_faults = mesh::LinkFaults {
                     cut: *lost_per_mille >= 1000,
                     lost_per_mille: *lost_per_mille,
                     duplicated_per_mille: *duplicated_per_mille,
-                    max_delay: Duration::from_millis(*delay_ms),
+                    max_delay: Duration::from_millis(*max_delay_ms),
                 };
                 self.datagram_network.set_faults(link_faults, |a, b| from.contains(&a) && to.contains(&b));
             }
@@ -443,8 +443,10 @@
                 self.planners.iter().for_each(|p| p.begin_fault(*planner, *kind));
             }
             Fault::AllPlanners => self.planners.iter().for_each(Planners::kill_all),
-            Fault::Streams { proxies, planners, to, responses_only: answers } => {
-                self.planners.iter().for_each(|p| p.set_blocked(proxies, planners, to, !answers, true));
+            Fault::Streams { proxies, planners, to, responses_only } => {
+                self.planners
+                    .iter()
+                    .for_each(|p| p.set_blocked(proxies, planners, to, !responses_only, true));
             }
         }
     }
--- a/crates/trials/src/stall_watch.rs
+++ b/crates/trials/src/stall_watch.rs
@@ -21,12 +21,12 @@
         let (is_stopping, longest_ms) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
         let (stop, longest_seen_ms) = (is_stopping.clone(), longest_ms.clone());
         let thread = std::thread::spawn(move || {
-            let mut last = Instant::now();
+            let mut last_wake = Instant::now();
             while !stop.load(Ordering::SeqCst) {
                 std::thread::sleep(WAKE_INTERVAL);
-                let late = last.elapsed().saturating_sub(WAKE_INTERVAL);
-                longest_seen_ms.fetch_max(late.as_millis() as u64, Ordering::SeqCst);
-                last = Instant::now();
+                let delay = last_wake.elapsed().saturating_sub(WAKE_INTERVAL);
+                longest_seen_ms.fetch_max(delay.as_millis() as u64, Ordering::SeqCst);
+                last_wake = Instant::now();
             }
         });
         Self { is_stopping, longest_ms, thread: Some(thread) }
