--- a/src/interface.rs
+++ b/src/interface.rs
@@ -105,7 +105,7 @@
     pub overload_multiple: f64,
     /// Time for which such an overload makes a cold backend fail, in seconds.
     pub overload_duration: Time,
-    /// Time for which an ordered key rests after an attempt that may still be running, in seconds.
+    /// Time for which an ordered key stays blocked after an attempt that may still run, in seconds.
     pub key_settle_time: Time,
     /// Time within which idle connections to a draining backend have to be closed, in seconds, if required.
     pub connection_release_deadline: Option<Time>,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -13,30 +13,30 @@
 
 /// Minimum probability of a repeat (the paper's P_min), which covers lost messages.
 const MIN_REPEAT_PROBABILITY: f64 = 0.1;
-/// Ratio of the upper to the lower threshold of unanswered calls (3 in the paper, whose copies cost less).
+/// Ratio of the upper to the lower threshold of unanswered calls (3 in the paper, where repeats cost less).
 const THRESHOLD_RATIO: f64 = 1.5;
 /// Minimum of the lower threshold in calls, so that a single call doesn't reduce its own repeat probability.
 const MIN_LOWER_THRESHOLD: f64 = 1.0;
 /// Time constant of the average send rate, in maximum T1s of the class with the longest aim.
-const SEND_RATE_MEMORY_T1S: f64 = 20.0;
+const SEND_RATE_TIME_CONSTANT_T1S: f64 = 20.0;
 /// Excess of unanswered calls, in standard deviations, that counts as chance while the mean excess is low.
 const MAX_EXCESS_TOLERANCE: f64 = 3.5;
 /// Excess of unanswered calls, in standard deviations, that counts as chance while the mean excess is high.
 const MIN_EXCESS_TOLERANCE: f64 = 0.5;
 /// Minimum standard deviation of the number of unanswered calls, as a fraction of the expected number.
 const MIN_DEVIATION_FRACTION: f64 = 0.2;
-/// Decrease of the excess tolerance per standard deviation of mean excess above [`CALM_MEAN_EXCESS`].
+/// Decrease of the excess tolerance per standard deviation of mean excess above [`LOW_MEAN_EXCESS`].
 const TOLERANCE_DECREASE: f64 = 4.0;
 /// Mean excess, in standard deviations, up to which [`MAX_EXCESS_TOLERANCE`] applies.
-const CALM_MEAN_EXCESS: f64 = 0.4;
+const LOW_MEAN_EXCESS: f64 = 0.4;
 /// Time constant of the mean excess, as a fraction of the time constant of the send rate.
-const EXCESS_MEMORY_FRACTION: f64 = 0.15;
+const EXCESS_TIME_CONSTANT_FRACTION: f64 = 0.15;
 /// A member this many times slower than the best one is an outlier, whose calls don't indicate an overload.
 const OUTLIER_SLOWNESS_RATIO: f64 = 2.5;
 /// Calls in flight per backend up to which there is no pressure: one slow backend can cause that many.
 const MIN_OVERLOAD_CALLS_PER_BACKEND: f64 = 2.0;
 /// Time constant of the answer rate, in mean answer times; short enough to follow a loss of capacity.
-const ANSWER_RATE_MEMORY_ANSWER_TIMES: f64 = 8.0;
+const ANSWER_RATE_TIME_CONSTANT_ANSWER_TIMES: f64 = 8.0;
 /// A call is not started with less time left than this fraction of the normal answer time.
 const MIN_TIME_LEFT_FRACTION: f64 = 0.6;
 /// T1 exceeds the mean answer time by this many mean deviations, as TCP's retransmission timeout does.
@@ -44,7 +44,7 @@
 /// Maximum of T1 as a fraction of the time left, so that a repeat can still be answered in time.
 const MAX_T1_FRACTION: f64 = 0.4;
 /// An attempt is lost once its backend has answered another one sent this many normal answer times later.
-/// Overloaded backends answer in about the order of arrival, so their attempts are not taken for lost.
+/// Overloaded backends answer in about the order of arrival, so their attempts don't count as lost.
 const LOST_ANSWER_TIMES: f64 = 8.0;
 /// Jitter of T1 as a fraction in both directions, which keeps balancers from repeating in step.
 const T1_JITTER_FRACTION: f64 = 0.1;
@@ -64,11 +64,11 @@
 const FAST_FAILURE_EWMA_WEIGHT: f64 = 0.5;
 /// Time over which an unused share of a quota accumulates, in seconds.
 const QUOTA_BURST: Time = 1.0;
-/// Time constant with which slowness fades after a failure, as a fraction of that of the send rate.
-const SLOWNESS_MEMORY_FRACTION: f64 = 0.5;
-/// Time constant with which slowness fades without a recent failure, in mean answer times, if shorter.
-const SLOW_MEMORY_ANSWER_TIMES: f64 = 100.0;
-/// Maximum wait for admission under pressure, as a fraction of the call's patience.
+/// Time constant with which slowness decays after a failure, as a fraction of that of the send rate.
+const SLOWNESS_TIME_CONSTANT_FRACTION: f64 = 0.5;
+/// Time constant with which slowness decays without a recent failure, in mean answer times, if shorter.
+const SLOW_TIME_CONSTANT_ANSWER_TIMES: f64 = 100.0;
+/// Maximum wait for admission under pressure, as a fraction of the call's time left.
 const ADMISSION_WAIT_FRACTION: f64 = 0.25;
 /// Minimum subset size in inner tiers. Smaller random subsets often hold only slow backends.
 const MIN_SUBSET_SIZE: usize = 5;
@@ -84,7 +84,7 @@
 const SERVICE_TIME_EWMA_WEIGHT: f64 = 0.3;
 /// Sends per probe, where only probes bring load reports.
 const SENDS_PER_PROBE: usize = 3;
-/// Fraction of the rate that overloads a cold backend that all balancers together plan to send to it.
+/// All balancers together plan to send a cold backend this fraction of the rate that overloads it.
 const COLD_RATE_FRACTION: f64 = 0.6;
 /// Requests by which the budget of a cold backend may be overdrawn if no other backend can be used.
 const MAX_COLD_OVERDRAFT: f64 = 0.2;
@@ -125,15 +125,15 @@
         Self { count: 0.0, duration: 0.0, updated_at: now }
     }
 
-    fn decay(&mut self, now: Time, memory: Time) {
-        let retained = (-(now - self.updated_at).max(0.0) / memory).exp();
+    fn decay(&mut self, now: Time, time_constant: Time) {
+        let retained = (-(now - self.updated_at).max(0.0) / time_constant).exp();
         self.count *= retained;
-        self.duration = self.duration * retained + memory * (1.0 - retained);
+        self.duration = self.duration * retained + time_constant * (1.0 - retained);
         self.updated_at = now;
     }
 
-    fn increment(&mut self, now: Time, memory: Time) {
-        self.decay(now, memory);
+    fn increment(&mut self, now: Time, time_constant: Time) {
+        self.decay(now, time_constant);
         self.count += 1.0;
     }
 
@@ -151,9 +151,9 @@
 }
 
 impl AnswerTimes {
-    fn add_sample(&mut self, sample: Time, calm: bool) {
+    fn add_sample(&mut self, sample: Time, without_pressure: bool) {
         self.sample_count += 1.0;
-        let under_pressure = !calm && self.sample_count > 1.0 / ANSWER_TIME_EWMA_WEIGHT;
+        let under_pressure = !without_pressure && self.sample_count > 1.0 / ANSWER_TIME_EWMA_WEIGHT;
         let weight = ANSWER_TIME_EWMA_WEIGHT.max(1.0 / self.sample_count)
             * if under_pressure { PRESSURE_WEIGHT_FACTOR } else { 1.0 };
         self.deviation += weight * ((sample - self.mean).abs() - self.deviation);
@@ -178,7 +178,7 @@
     last_answered_send: Time,
     /// When it last showed that it works, or got an attempt while it had none.
     last_alive_at: Time,
-    /// Budget while the backend is cold, in requests: it may get a request unless this is below zero.
+    /// Budget while the backend is cold, in requests. Below zero it gets none; its turn begins at zero.
     cold_budget: TokenBucket,
     /// Service time of a request, by its load reports.
     service_time: Option<Time>,
@@ -317,7 +317,7 @@
     /// This balancer's part of each tenant's quota, in requests per second, and what is left of it.
     quota_shares: Vec<(f64, TokenBucket)>,
     /// Time constant of the send rate.
-    rate_memory: Time,
+    rate_time_constant: Time,
     /// Largest subset size that the calls in flight have required so far.
     busy_subset_size: usize,
     mean_service_time: Time,
@@ -367,7 +367,7 @@
                 .map(|quota| quota / settings.instance_count.max(1) as f64)
                 .map(share)
                 .collect(),
-            rate_memory: SEND_RATE_MEMORY_T1S * MAX_T1_FRACTION * longest_aim,
+            rate_time_constant: SEND_RATE_TIME_CONSTANT_T1S * MAX_T1_FRACTION * longest_aim,
             busy_subset_size: 0,
             mean_service_time: 0.0,
             send_count: 0,
@@ -424,22 +424,22 @@
     fn handle_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         let class = &self.settings.classes[request.class];
         // Two quanta cover the rounding of timers. A worthless late answer is not waited for.
-        let mut patience = request.budget - 2.0 * self.settings.quantum;
+        let mut time_left = request.budget - 2.0 * self.settings.quantum;
         if class.late_worth <= 0.0 {
-            patience = patience.min(class.aim);
+            time_left = time_left.min(class.aim);
         }
         let order_key = request.key.filter(|_| class.in_order);
         let over_share = self.record_arrival(request.class, request.tenant);
-        let t1 = self.t1(request.class, patience);
+        let t1 = self.t1(request.class, time_left);
         let ahead = order_key.and_then(|key| self.key_queues.get(&key)).map_or(0, |queue| queue.calls.len());
         let needed =
             MIN_TIME_LEFT_FRACTION * self.class_answer_times[request.class].mean * (ahead + 1) as f64;
         let rank = self.draw_rank(request.class, over_share);
         let must_wait = !self.can_admit(rank);
-        if patience <= needed || must_wait && order_key.is_some() {
+        if time_left <= needed || must_wait && order_key.is_some() {
             return actions.push(Action::Reject { id: request.id, retry_after: self.retry_after(t1) });
         }
-        let deadline = self.now + patience;
+        let deadline = self.now + time_left;
         let call = Call {
             id: request.id,
             class: request.class,
@@ -464,7 +464,7 @@
         self.queued_calls += usize::from(self.calls[slot].is_queued);
         if must_wait {
             self.enqueue_for_admission(slot);
-            let at = self.now + ADMISSION_WAIT_FRACTION * patience;
+            let at = self.now + ADMISSION_WAIT_FRACTION * time_left;
             return actions.push(Action::Timer { at, token: timer_token(slot, QUEUE_TIMER) });
         }
         let Some(key) = order_key else {
@@ -482,7 +482,7 @@
 
     fn start_call(&mut self, slot: Slot, actions: &mut Vec<Action>) {
         self.set_repeat_timer(slot, actions);
-        self.send_rate.increment(self.now, self.rate_memory);
+        self.send_rate.increment(self.now, self.rate_time_constant);
         if let Some((_, share)) = self.calls[slot].tenant.and_then(|t| self.quota_shares.get_mut(t)) {
             share.tokens = (share.tokens - 1.0).max(0.0);
         }
@@ -548,7 +548,7 @@
         let share = tenant.and_then(|t| self.quota_shares.get_mut(t));
         let over_share = share
             .is_some_and(|(rate, tokens)| tokens.refill(now, *rate, (*rate * QUOTA_BURST).max(1.0)) < 1.0);
-        self.arrival_rates[class][usize::from(over_share)].increment(self.now, self.rate_memory);
+        self.arrival_rates[class][usize::from(over_share)].increment(self.now, self.rate_time_constant);
         over_share
     }
 
@@ -571,7 +571,7 @@
         for (c, rates) in self.arrival_rates.iter().enumerate() {
             for (o, rate) in rates.iter().enumerate() {
                 let mut rate = *rate;
-                rate.decay(self.now, self.rate_memory);
+                rate.decay(self.now, self.rate_time_constant);
                 let rate = rate.per_second();
                 total += rate;
                 lower += if value(c, o == 1) < own_value { rate } else { 0.0 };
@@ -600,16 +600,17 @@
     /// Returns how far the unanswered calls exceed the number that the answer rate and answer times explain:
     /// 0 within a tolerance, 1 from twice that. An excess that lasts is not chance and lowers the tolerance.
     fn pressure(&mut self) -> f64 {
-        self.send_rate.decay(self.now, self.rate_memory);
-        self.answer_rate.decay(self.now, self.answer_rate_memory());
+        self.send_rate.decay(self.now, self.rate_time_constant);
+        self.answer_rate.decay(self.now, self.answer_rate_time_constant());
         let expected = self.answer_rate.per_second() * self.answer_times.mean;
         let excess = (self.load_indicating_calls() - expected)
             / expected.max(1.0).sqrt().max(MIN_DEVIATION_FRACTION * expected);
-        let decay =
-            (-(self.now - self.excess_updated_at) / (EXCESS_MEMORY_FRACTION * self.rate_memory)).exp();
+        let decay = (-(self.now - self.excess_updated_at)
+            / (EXCESS_TIME_CONSTANT_FRACTION * self.rate_time_constant))
+            .exp();
         self.mean_excess = excess + (self.mean_excess - excess) * decay;
         self.excess_updated_at = self.now;
-        let tolerance = (MAX_EXCESS_TOLERANCE - TOLERANCE_DECREASE * (self.mean_excess - CALM_MEAN_EXCESS))
+        let tolerance = (MAX_EXCESS_TOLERANCE - TOLERANCE_DECREASE * (self.mean_excess - LOW_MEAN_EXCESS))
             .clamp(MIN_EXCESS_TOLERANCE, MAX_EXCESS_TOLERANCE);
         if self.calls_per_backend() <= MIN_OVERLOAD_CALLS_PER_BACKEND {
             return 0.0;
@@ -617,8 +618,8 @@
         (excess / tolerance - 1.0).clamp(0.0, 1.0)
     }
 
-    fn answer_rate_memory(&self) -> Time {
-        ANSWER_RATE_MEMORY_ANSWER_TIMES * self.answer_times.mean.max(self.settings.quantum)
+    fn answer_rate_time_constant(&self) -> Time {
+        ANSWER_RATE_TIME_CONSTANT_ANSWER_TIMES * self.answer_times.mean.max(self.settings.quantum)
     }
 
     /// Estimated calls in flight per healthy backend, if all balancers have as many as this one.
@@ -646,7 +647,7 @@
     }
 
     /// Subset members that are not far slower than the best warm one. A cold member is not used as the
-    /// reference: it gets too few calls to look slow, and busy members would look bad beside it.
+    /// reference: it gets too few calls to appear slow, and busy members would count as outliers.
     fn healthy_members(&self) -> impl Iterator<Item = usize> {
         let slowness = |b: &usize| self.observed_slowness(&self.backends[*b]);
         let warm = self.subset.iter().filter(|b| self.capacity_fraction(**b) >= 1.0);
@@ -655,8 +656,8 @@
     }
 
     /// T1 of a call: above the normal answer time, but early enough for a repeat in the time left.
-    fn t1(&mut self, class: usize, patience: Time) -> Time {
-        let (normal, max) = (&self.class_answer_times[class], MAX_T1_FRACTION * patience);
+    fn t1(&mut self, class: usize, time_left: Time) -> Time {
+        let (normal, max) = (&self.class_answer_times[class], MAX_T1_FRACTION * time_left);
         let estimate = normal.mean + T1_DEVIATIONS * normal.deviation;
         (if normal.sample_count > 0.0 { estimate.min(max) } else { max }).max(self.settings.quantum)
     }
@@ -665,7 +666,7 @@
 
     /// The paper's p, from the unanswered calls of this balancer and its average rate of first sends.
     fn repeat_probability(&mut self, t1: Time) -> f64 {
-        self.send_rate.decay(self.now, self.rate_memory);
+        self.send_rate.decay(self.now, self.rate_time_constant);
         let unanswered = self.unanswered_calls() as f64;
         let min = (self.send_rate.per_second() * t1).max(MIN_LOWER_THRESHOLD);
         let max = THRESHOLD_RATIO * min;
@@ -710,7 +711,7 @@
         }
         self.calls[slot].timers_fired += 1;
         self.set_repeat_timer(slot, actions);
-        // A backend that has answered since is alive, and a copy would only double a long request's work.
+        // A backend that has answered since is alive, and a repeat would only double a long request's work.
         let is_alive = self.check_open_attempts(slot, false);
         let probability = (self.repeat_probability(self.calls[slot].t1) * (1.0 - self.pressure()))
             .max(MIN_REPEAT_PROBABILITY);
@@ -804,7 +805,7 @@
             usable.retain(|b| self.is_usable(*b));
         }
         if usable.is_empty() {
-            // A reset connection says little about its backend, which may be tried again.
+            // A reset connection doesn't show that its backend is faulty, so the backend may be tried again.
             let resets = self.calls[slot].attempts.iter().filter(|a| a.outcome == Some(Outcome::Reset));
             let resets: Vec<usize> = resets.map(|a| a.backend).collect();
             usable =
@@ -828,8 +829,8 @@
         (len > 0).then(|| self.rng.random_range(0..len))
     }
 
-    /// Load of a backend per weight: its calls in flight, including the next one, times its relative service
-    /// time and its slowness. Without slowness, a backend that fails fast or hangs would look idle.
+    /// Load of a backend: its calls in flight, including the next one, times its relative service time and
+    /// its slowness, divided by its weight. Without slowness, a backend that fails fast or hangs would appear idle.
     fn load(&self, backend: usize) -> f64 {
         let b = &self.backends[backend];
         let zone_load =
@@ -854,8 +855,7 @@
         if !self.subset.contains(&backend) {
             return false; // its budget is divided among the balancers that have it in their subset
         }
-        // An unused turn expires after the overload duration: turns that many balancers had saved for longer
-        // would be used at once.
+        // Turns that are unused for the overload duration expire, so that they don't accumulate.
         let rate = self.cold_send_rate(backend);
         let max_tokens = rate * self.settings.overload_duration;
         let tokens = self.backends[backend].cold_budget.refill(self.now, rate, f64::INFINITY);
@@ -867,8 +867,8 @@
         self.backends[backend].cold_budget.tokens >= 0.0
     }
 
-    /// Whether a request may be sent to a cold backend shortly before its next turn. Otherwise a fleet of
-    /// cold backends alone would reject requests while it is idle.
+    /// Whether a request may be sent to a cold backend shortly before its next turn. An idle fleet of only
+    /// cold backends would otherwise reject requests.
     fn can_overdraw(&self, backend: usize) -> bool {
         let b = &self.backends[backend];
         let has_budget = b.entry.usual_rate.is_none_or(|rate| rate > 0.0);
@@ -900,7 +900,7 @@
         self.warm_member_seconds += warm * (self.now - self.warm_updated_at);
         self.warm_updated_at = self.now;
         self.warm_answer_rate
-            .decay(self.warm_member_seconds, self.rate_memory * self.subset.len().max(1) as f64);
+            .decay(self.warm_member_seconds, self.rate_time_constant * self.subset.len().max(1) as f64);
     }
 
     /// Minimum fraction of its full capacity that a backend has now; 1 once it is warm.
@@ -939,13 +939,13 @@
                             self.update_warm_time();
                             self.warm_answer_rate.count += 1.0;
                         }
-                        self.answer_rate.increment(self.now, self.answer_rate_memory());
+                        self.answer_rate.increment(self.now, self.answer_rate_time_constant());
                         self.record_slowness(backend, class, result.duration, false);
-                        let is_calm = self.pressure() <= 0.0;
+                        let without_pressure = self.pressure() <= 0.0;
                         let sample =
                             result.duration.min(MAX_SAMPLE_AIM_FRACTION * self.settings.classes[class].aim);
-                        self.class_answer_times[class].add_sample(sample, is_calm);
-                        self.answer_times.add_sample(sample, is_calm);
+                        self.class_answer_times[class].add_sample(sample, without_pressure);
+                        self.answer_times.add_sample(sample, without_pressure);
                     }
                     Cancelled | NeverSent => {}
                     _ => self.record_slowness(backend, class, result.duration, true),
@@ -1042,7 +1042,7 @@
             return;
         }
         let sample = if failed { FAILURE_SLOWNESS } else { duration / normal };
-        // A backend that fails at once is idle in between, and would be chosen again and again.
+        // A backend that fails fast has few calls in flight, and would be chosen repeatedly.
         let is_fast_failure = failed && duration < FAST_FAILURE_FRACTION * normal;
         let weight = if is_fast_failure { FAST_FAILURE_EWMA_WEIGHT } else { SLOWNESS_EWMA_WEIGHT };
         let known = self.observed_slowness(&self.backends[backend]);
@@ -1097,13 +1097,13 @@
         known.max(((self.now - backend.last_alive_at) / self.answer_times.mean).min(FAILURE_SLOWNESS))
     }
 
-    /// Observed slowness, which fades towards 1 so that an avoided backend is tried again.
+    /// Observed slowness, which decays towards 1 so that an avoided backend is tried again.
     fn observed_slowness(&self, backend: &Backend) -> f64 {
-        let longest = SLOWNESS_MEMORY_FRACTION * self.rate_memory;
-        let failed = self.now - backend.last_failed_at < longest;
-        let memory =
-            if failed { longest } else { longest.min(SLOW_MEMORY_ANSWER_TIMES * self.answer_times.mean) };
-        let age = (self.now - backend.slowness_updated_at) / memory.max(f64::EPSILON);
+        let max = SLOWNESS_TIME_CONSTANT_FRACTION * self.rate_time_constant;
+        let failed = self.now - backend.last_failed_at < max;
+        let time_constant =
+            if failed { max } else { max.min(SLOW_TIME_CONSTANT_ANSWER_TIMES * self.answer_times.mean) };
+        let age = (self.now - backend.slowness_updated_at) / time_constant.max(f64::EPSILON);
         1.0 + (backend.slowness - 1.0) * (-age).exp()
     }
 
@@ -1197,7 +1197,7 @@
     /// Subset size: enough for all subsets together to cover all backends, and more for a balancer with more
     /// calls in flight, which Little's law gives as the send rate times the mean answer time.
     fn subset_size(&mut self) -> usize {
-        if self.send_rate.duration > 0.5 * self.rate_memory {
+        if self.send_rate.duration > 0.5 * self.rate_time_constant {
             let members_per_call = MEMBERS_PER_CALL[usize::from(self.settings.costly_connections)];
             let members = members_per_call * self.send_rate.per_second() * self.answer_times.mean;
             self.busy_subset_size = self.busy_subset_size.max(members as usize);
