--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -102,7 +102,7 @@
         let incarnation = (crate::list_updater::random_seed() as u32).max(1);
         let own_process = Process { proxy: ProxyId::from_name(&config.name), incarnation };
         let others: Vec<ProxyId> = config.peers.iter().map(|name| ProxyId::from_name(name)).collect();
-        let partners = dewpier_peers::partners(own_process.proxy, &others).len();
+        let partners = dewpier_peers::select_partners(own_process.proxy, &others).len();
         let send_rate = partners.max(1) as f64 / config.send_interval.as_secs_f64();
         let peers = Peers::new(
             dewpier_peers::Settings {
--- a/crates/dewpier/tests/snapshot.rs
+++ b/crates/dewpier/tests/snapshot.rs
@@ -120,7 +120,7 @@
 
 /// Forges a snapshot as if it had been written later by `offset`, with a valid authentication tag.
 fn postdate(snapshot: &[u8], proxy: usize, offset: Duration) -> Vec<u8> {
-    let (content, _) = snapshot.split_at(snapshot.len() - dewpier_peers::TAG_BYTES);
+    let (content, _) = snapshot.split_at(snapshot.len() - dewpier_peers::STORED_STATE_TAG_BYTES);
     let mut content = content.to_vec();
     let written_at_ms = u64::from_be_bytes(content[26..34].try_into().unwrap()) + offset.as_millis() as u64;
     content[26..34].copy_from_slice(&written_at_ms.to_be_bytes());
--- a/crates/peers/src/core.rs
+++ b/crates/peers/src/core.rs
@@ -1,7 +1,7 @@
 //! Tracks the processes of the fleet, accepts or rejects their datagrams, and writes the datagrams to partners.
 
 use crate::wire::{self, Header, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES};
-use crate::{MonotonicTime, Process, ProxyId, Settings, TopicHandler, partners};
+use crate::{MonotonicTime, Process, ProxyId, Settings, TopicHandler, select_partners};
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 use thiserror::Error;
@@ -123,7 +123,7 @@
 impl Peers {
     /// Creates the exchange of a process that has received nothing yet.
     pub fn new(settings: Settings, now: MonotonicTime) -> Self {
-        let partners = partners(settings.own_process.proxy, &settings.fleet);
+        let partners = select_partners(settings.own_process.proxy, &settings.fleet);
         let fleet = settings.fleet.iter().copied().chain([settings.own_process.proxy]).collect();
         let receive_tokens = f64::from(settings.max_datagrams_per_second);
         Self {
@@ -191,7 +191,7 @@
                 timestamp_ms: wrapping_millis(now),
                 echo,
             };
-            let bytes = wire::write(&self.settings.key, to, header, &payloads);
+            let bytes = wire::encode(&self.settings.key, to, header, &payloads);
             debug_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             self.counts.sent += 1;
             self.counts.sent_bytes += bytes.len() as u64;
@@ -231,7 +231,7 @@
         }
         self.receive_tokens -= 1.0;
         let own_process = self.settings.own_process;
-        let (header, payloads) = wire::read(&self.settings.key, own_process.proxy, bytes)?;
+        let (header, payloads) = wire::decode(&self.settings.key, own_process.proxy, bytes)?;
         if header.sender == own_process || !self.fleet.contains(&header.sender.proxy) {
             return Err(DatagramRejection::Stranger);
         }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -22,12 +22,12 @@
 mod core;
 pub mod io;
 mod partners;
-mod tag;
+mod stored_state_tag;
 mod wire;
 
 pub use crate::core::{DatagramCounts, DatagramRejection, OutgoingDatagram, Peers, RejectionCount};
-pub use partners::partners;
-pub use tag::TAG_BYTES;
+pub use partners::select_partners;
+pub use stored_state_tag::STORED_STATE_TAG_BYTES;
 pub use wire::{Key, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES};
 
 use std::time::Duration;
--- a/crates/peers/src/partners.rs
+++ b/crates/peers/src/partners.rs
@@ -12,7 +12,7 @@
 /// information reaches every proxy in at most log2(n) hops, half of that on average, by several paths.
 ///
 /// Proxies are ordered by the hashes of their names, because neighbours in an operator's list often fail together.
-pub fn partners(own_id: ProxyId, fleet: &[ProxyId]) -> Vec<ProxyId> {
+pub fn select_partners(own_id: ProxyId, fleet: &[ProxyId]) -> Vec<ProxyId> {
     let ring: Vec<ProxyId> =
         fleet.iter().copied().chain([own_id]).collect::<BTreeSet<_>>().into_iter().collect();
     let Ok(position) = ring.binary_search(&own_id) else { return Vec::new() };
@@ -46,7 +46,7 @@
         {
             let fleet = proxies(count);
             let partners_of: HashMap<ProxyId, Vec<ProxyId>> =
-                fleet.iter().map(|proxy| (*proxy, partners(*proxy, &fleet))).collect();
+                fleet.iter().map(|proxy| (*proxy, select_partners(*proxy, &fleet))).collect();
             for (proxy, own_partners) in &partners_of {
                 assert!(own_partners.len() <= max_partners, "{count}: {}", own_partners.len());
                 assert!(
@@ -74,7 +74,7 @@
     fn unlisted_own_id_and_duplicate_ids_are_accepted() {
         let mut fleet = proxies(5);
         fleet.extend(proxies(5));
-        let others = partners(ProxyId::from_name("new"), &fleet);
+        let others = select_partners(ProxyId::from_name("new"), &fleet);
         assert_eq!(others.len(), 5);
     }
 }
--- a/crates/peers/src/tag.rs
+++ b/crates/peers/src/stored_state_tag.rs
@@ -4,7 +4,7 @@
 use crate::{Key, ProxyId};
 
 /// The length of an authentication tag on stored state.
-pub const TAG_BYTES: usize = 16;
+pub const STORED_STATE_TAG_BYTES: usize = 16;
 /// Key derivation context; differs from that of datagrams, so that no datagram passes for stored state.
 const CONTEXT: &str = "dewpier-peers kept state 1";
 
@@ -17,18 +17,18 @@
     }
 
     /// Computes the authentication tag of state that a proxy stores.
-    pub fn compute_tag(&self, proxy: ProxyId, bytes: &[u8]) -> [u8; TAG_BYTES] {
-        let mut tag = [0; TAG_BYTES];
-        tag.copy_from_slice(&self.stored_state_hash(proxy, bytes).as_bytes()[..TAG_BYTES]);
+    pub fn compute_tag(&self, proxy: ProxyId, bytes: &[u8]) -> [u8; STORED_STATE_TAG_BYTES] {
+        let mut tag = [0; STORED_STATE_TAG_BYTES];
+        tag.copy_from_slice(&self.stored_state_hash(proxy, bytes).as_bytes()[..STORED_STATE_TAG_BYTES]);
         tag
     }
 
     /// Whether the tag was computed by that proxy, on these bytes, with this key. Compares in constant time.
     pub fn is_valid_tag(&self, proxy: ProxyId, bytes: &[u8], tag: &[u8]) -> bool {
-        let Ok(tag) = <[u8; TAG_BYTES]>::try_from(tag) else { return false };
+        let Ok(tag) = <[u8; STORED_STATE_TAG_BYTES]>::try_from(tag) else { return false };
         let expected = self.stored_state_hash(proxy, bytes);
         let mut padded = *expected.as_bytes();
-        padded[..TAG_BYTES].copy_from_slice(&tag);
+        padded[..STORED_STATE_TAG_BYTES].copy_from_slice(&tag);
         expected == blake3::Hash::from(padded)
     }
 }
@@ -39,22 +39,23 @@
 
     #[test]
     fn tag_is_valid_only_for_its_proxy_key_and_bytes() {
-        let (key, other_key) = (Key::from_secret(b"a secret of a fleet"), Key::from_secret(b"another one's"));
-        let (proxy, other_proxy) = (ProxyId::from_name("me"), ProxyId::from_name("you"));
-        let tag = key.compute_tag(proxy, b"what is kept");
-        assert!(key.is_valid_tag(proxy, b"what is kept", &tag));
+        let (key, other_key) =
+            (Key::from_secret(b"a secret of a fleet"), Key::from_secret(b"another secret"));
+        let (proxy, other_proxy) = (ProxyId::from_name("proxy-1"), ProxyId::from_name("proxy-2"));
+        let tag = key.compute_tag(proxy, b"stored state");
+        assert!(key.is_valid_tag(proxy, b"stored state", &tag));
         assert!(
-            !key.is_valid_tag(other_proxy, b"what is kept", &tag)
-                && !other_key.is_valid_tag(proxy, b"what is kept", &tag)
+            !key.is_valid_tag(other_proxy, b"stored state", &tag)
+                && !other_key.is_valid_tag(proxy, b"stored state", &tag)
         );
         assert!(
-            !key.is_valid_tag(proxy, b"what is kepT", &tag)
-                && !key.is_valid_tag(proxy, b"what is kept", &tag[1..])
+            !key.is_valid_tag(proxy, b"stored statE", &tag)
+                && !key.is_valid_tag(proxy, b"stored state", &tag[1..])
         );
-        for bit in 0..8 * TAG_BYTES {
+        for bit in 0..8 * STORED_STATE_TAG_BYTES {
             let mut corrupted = tag;
             corrupted[bit / 8] ^= 1 << (bit % 8);
-            assert!(!key.is_valid_tag(proxy, b"what is kept", &corrupted), "bit {bit}");
+            assert!(!key.is_valid_tag(proxy, b"stored state", &corrupted), "bit {bit}");
         }
     }
 }
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -62,7 +62,7 @@
 }
 
 /// Encodes a datagram. A payload that does not fit is left out as a whole.
-pub(crate) fn write(key: &Key, receiver: ProxyId, header: Header, payloads: &[(Topic, Vec<u8>)]) -> Vec<u8> {
+pub(crate) fn encode(key: &Key, receiver: ProxyId, header: Header, payloads: &[(Topic, Vec<u8>)]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     bytes.extend([MAGIC, VERSION]);
     bytes.extend(header.sender.proxy.0.to_be_bytes());
@@ -95,7 +95,7 @@
 pub(crate) type Payloads<'a> = Vec<(Topic, &'a [u8])>;
 
 /// Authenticates and decodes a datagram sent to `receiver`.
-pub(crate) fn read<'a>(
+pub(crate) fn decode<'a>(
     key: &Key,
     receiver: ProxyId,
     bytes: &'a [u8],
--- a/crates/verdicts/src/snapshot.rs
+++ b/crates/verdicts/src/snapshot.rs
@@ -15,7 +15,7 @@
 
 use crate::wire::ENTRY_BYTES;
 use crate::{AttemptCounts, OperatorOverrides, Verdicts};
-use dewpier_peers::{Key, ProxyId, TAG_BYTES};
+use dewpier_peers::{Key, ProxyId, STORED_STATE_TAG_BYTES};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use thiserror::Error;
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SnapshotError {
     /// The length, given in bytes, is out of range.
-    #[error("{0} bytes: expected {min} to {MAX_SNAPSHOT_BYTES}", min = HEADER_BYTES + TAG_BYTES)]
+    #[error("{0} bytes: expected {min} to {MAX_SNAPSHOT_BYTES}", min = HEADER_BYTES + STORED_STATE_TAG_BYTES)]
     Size(usize),
     /// The magic number is missing.
     #[error("byte 0: expected a snapshot of verdicts, which begins with 'dewpknow'")]
@@ -264,7 +264,9 @@
         if bytes.len() > MAX_SNAPSHOT_BYTES {
             return Err(size_error);
         }
-        let Some((content, tag)) = bytes.split_last_chunk::<TAG_BYTES>() else { return Err(size_error) };
+        let Some((content, tag)) = bytes.split_last_chunk::<STORED_STATE_TAG_BYTES>() else {
+            return Err(size_error);
+        };
         let Some((header, body)) = content.split_first_chunk::<HEADER_BYTES>() else {
             return Err(size_error);
         };
