--- a/crates/reuse/src/odds.rs
+++ b/crates/reuse/src/history.rs
@@ -1,7 +1,7 @@
 //! Estimates the probability that an idle connection is stale, by how long it has been idle.
 
-use crate::limit::IdleTimeoutEstimate;
-use crate::tally::DecayingCount;
+use crate::decaying_count::DecayingCount;
+use crate::idle_timeout::IdleTimeoutEstimate;
 use crate::{HandshakePrice, LossCost, Time};
 
 /// Upper bounds of the idle time buckets, in seconds. One more bucket holds all longer times.
@@ -15,7 +15,8 @@
 const PRIOR_WEIGHT_USES: f64 = 5.0;
 /// Weight of the history of all backends in the estimate for one backend, in uses.
 const SHARED_WEIGHT_USES: f64 = 10.0;
-/// Fraction of the idle timeout of the backend from which a request may cross the closing of the connection.
+/// Fraction of the idle timeout of the backend from which the backend may close the connection before a
+/// request arrives.
 const NEAR_TIMEOUT_FRACTION: f64 = 0.8;
 /// Stale probability assumed from that idle time on.
 const NEAR_TIMEOUT_STALE_PROBABILITY: f64 = 0.5;
@@ -32,7 +33,7 @@
 }
 
 impl SharedHistory {
-    /// Returns the stale probability of each bucket. The probability can't fall with the idle time, so that
+    /// Returns the stale probability of each bucket. The probability must not fall with the idle time:
     /// buckets that violate this are pooled (isotonic regression by pooling adjacent violators; Ayer, Brunk,
     /// Ewing, Reid and Silverman 1955).
     fn stale_probabilities(&self, now: Time) -> [f64; BUCKETS] {
--- a/crates/reuse/src/limit.rs
+++ b/crates/reuse/src/idle_timeout.rs
@@ -2,7 +2,7 @@
 
 use crate::Time;
 
-/// Shortest idle time that counts, in seconds: a connection closed earlier was closed along with its
+/// Shortest idle time that counts, in seconds: a backend that closes earlier does so together with its
 /// response.
 const MIN_IDLE_SECONDS: Time = 0.05;
 /// Number of closings that are remembered.
--- a/crates/reuse/src/lib.rs
+++ b/crates/reuse/src/lib.rs
@@ -9,12 +9,12 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod limit;
-mod odds;
-mod tally;
+mod decaying_count;
+mod history;
+mod idle_timeout;
 
-pub use limit::IdleTimeoutEstimate;
-pub use odds::{IDLE_TIME_BOUNDS_SECONDS, ReuseHistory, SharedHistory};
+pub use history::{IDLE_TIME_BOUNDS_SECONDS, ReuseHistory, SharedHistory};
+pub use idle_timeout::IdleTimeoutEstimate;
 
 /// A time or duration in seconds.
 pub type Time = f64;
