--- a/crates/dewpier/tests/proxy.rs
+++ b/crates/dewpier/tests/proxy.rs
@@ -6,7 +6,7 @@
 use dewpier_http::backend::{HttpUpstream, ResponsePolicy, ReusePolicy};
 use dewpier_http::limits::Budget;
 use dewpier_http::payload::{Payload, PayloadBody};
-use gannetproxy::engine::{Attempt, Clock, SendGate, Upstream};
+use gannetproxy::engine::{AttemptContext, Clock, SendGate, Upstream};
 use gannetproxy::{BackendId, Outcome};
 use serde_json::json;
 use std::io::Write;
@@ -208,13 +208,13 @@
         };
         let gate = std::rc::Rc::new(SendGate::default());
         gate.set_send_deadline(send_deadline);
-        let attempt = Attempt {
+        let attempt = AttemptContext {
             gate,
             backend: BackendId(1),
             clock: Clock::start(),
             deadline: 20.0,
             written: Default::default(),
-            request_open: std::rc::Rc::new(std::cell::Cell::new(true)),
+            is_request_open: std::rc::Rc::new(std::cell::Cell::new(true)),
             reply_sink: Default::default(),
             exclusive_claim: Default::default(),
         };
--- a/crates/dewpier/tests/streams.rs
+++ b/crates/dewpier/tests/streams.rs
@@ -7,7 +7,7 @@
 use dewpier_standins::message::read_head;
 use dewpier_standins::rng::Rng;
 use gannetproxy::engine::{
-    Answer, Attempt, BackendListUpdate, Engine, EngineLimits, ListedBackend, Upstream, UpstreamResult,
+    Answer, AttemptContext, BackendListUpdate, Engine, EngineLimits, ListedBackend, Upstream, UpstreamResult,
 };
 use gannetproxy::{BackendEntry, BackendId, Class, Effect, Outcome, Request, Settings};
 use serde_json::json;
@@ -303,7 +303,7 @@
         &self,
         _: Rc<()>,
         _: Rc<()>,
-        attempt: Attempt<()>,
+        attempt: AttemptContext<()>,
     ) -> impl Future<Output = UpstreamResult<()>> + 'static {
         let claims = self.0.clone();
         async move {
@@ -323,7 +323,7 @@
         }
     }
 
-    fn probe(&self, _: Rc<()>, _: Attempt<()>) -> impl Future<Output = UpstreamResult<()>> + 'static {
+    fn probe(&self, _: Rc<()>, _: AttemptContext<()>) -> impl Future<Output = UpstreamResult<()>> + 'static {
         std::future::ready(UpstreamResult::without_reply(Outcome::Served))
     }
 }
--- a/crates/http/src/backend.rs
+++ b/crates/http/src/backend.rs
@@ -7,7 +7,7 @@
 use crate::peer::{BackendReply, Connection, ExchangeError, LAST_BYTE_DELAY, connect};
 use dewpier_operate::metrics::AttemptCounter;
 use dewpier_reuse::{HandshakePrice, LossCost, ReuseHistory, SharedHistory};
-use gannetproxy::engine::{Attempt, Upstream, UpstreamResult};
+use gannetproxy::engine::{AttemptContext, Upstream, UpstreamResult};
 use gannetproxy::{Outcome, Report};
 use hyper::body::Body;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
@@ -250,7 +250,7 @@
         &self,
         endpoint: Rc<Endpoint>,
         payload: Rc<Payload>,
-        attempt: Attempt<BackendResponse>,
+        attempt: AttemptContext<BackendResponse>,
     ) -> impl Future<Output = UpstreamResult<BackendResponse>> + 'static {
         let (response_policy, attempt_counter) = (self.response_policy, self.attempt_counter.clone());
         async move {
@@ -282,7 +282,7 @@
     fn probe(
         &self,
         endpoint: Rc<Endpoint>,
-        attempt: Attempt<()>,
+        attempt: AttemptContext<()>,
     ) -> impl Future<Output = UpstreamResult<()>> + 'static {
         let path = self.probe_path;
         async move {
@@ -311,7 +311,7 @@
             UpstreamResult {
                 outcome: result.outcome,
                 reply: None,
-                fallback: None,
+                error_response: None,
                 report: result.report.or(body),
             }
         }
@@ -334,7 +334,7 @@
 
 async fn exchange<R>(
     endpoint: &Endpoint,
-    attempt: &Attempt<R>,
+    attempt: &AttemptContext<R>,
     options: ExchangeOptions<'_>,
     head_only: bool,
     request: impl Fn(Option<&UploadProgress>) -> Option<Request<RequestBody>>,
@@ -359,7 +359,7 @@
         };
         // The client may have disconnected during the connect. An expired lease says nothing about this
         // backend.
-        if !attempt.request_open.get() || !attempt.gate.is_lease_valid() {
+        if !attempt.is_request_open.get() || !attempt.gate.is_lease_valid() {
             return UpstreamResult::without_reply(Outcome::NeverSent);
         }
         // The backend may have started to drain during the connect.
@@ -457,7 +457,7 @@
     }
     if let Some((mut connection, permit, mut body, sender)) = streaming {
         let Some(response) = response.filter(|_| outcome == Outcome::Served) else {
-            return UpstreamResult { outcome, reply: None, fallback: None, report };
+            return UpstreamResult { outcome, reply: None, error_response: None, report };
         };
         if !start_stream(response) {
             return UpstreamResult::without_reply(Outcome::Cancelled);
@@ -481,10 +481,11 @@
         }
         sender.finish().await;
         keep_connection(connection, permit);
-        return UpstreamResult { outcome, reply: None, fallback: None, report };
+        return UpstreamResult { outcome, reply: None, error_response: None, report };
     }
-    let (reply, fallback) = if outcome == Outcome::Served { (response, None) } else { (None, response) };
-    UpstreamResult { outcome, reply, fallback, report }
+    let (reply, error_response) =
+        if outcome == Outcome::Served { (response, None) } else { (None, response) };
+    UpstreamResult { outcome, reply, error_response, report }
 }
 
 /// Parses a load report, ignoring unknown fields.
--- a/crates/http/tests/kept_connections.rs
+++ b/crates/http/tests/kept_connections.rs
@@ -8,7 +8,7 @@
 use dewpier_http::payload::{Payload, PayloadBody};
 use dewpier_standins::WAIT_TIMEOUT;
 use dewpier_standins::message::{format_response, read_message, reset_connection};
-use gannetproxy::engine::{Attempt, Clock, SendGate, Upstream, UpstreamResult};
+use gannetproxy::engine::{AttemptContext, Clock, SendGate, Upstream, UpstreamResult};
 use gannetproxy::{BackendId, Outcome};
 use std::cell::Cell;
 use std::io::{BufReader, Write};
@@ -89,13 +89,13 @@
     http: &HttpUpstream,
     endpoint: &Rc<<HttpUpstream as Upstream>::Endpoint>,
 ) -> (Outcome, Bytes) {
-    let context = Attempt {
+    let context = AttemptContext {
         gate: Rc::new(SendGate::default()),
         backend: BackendId(1),
         clock: Clock::start(),
         deadline: 20.0,
         written: Default::default(),
-        request_open: Rc::new(Cell::new(true)),
+        is_request_open: Rc::new(Cell::new(true)),
         reply_sink: Default::default(),
         exclusive_claim: Default::default(),
     };
--- a/crates/mysql/src/io/upstream.rs
+++ b/crates/mysql/src/io/upstream.rs
@@ -12,7 +12,7 @@
 use crate::reply::{ResponseEnd, ResponseKind, ResponseTracker};
 use crate::session::{COM_PING, Pinning};
 use bytes::Bytes;
-use gannetproxy::engine::{Attempt, Budget, Upstream, UpstreamResult};
+use gannetproxy::engine::{AttemptContext, Budget, Upstream, UpstreamResult};
 use gannetproxy::{BackendId, Outcome};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -197,7 +197,7 @@
         &self,
         endpoint: Rc<Endpoint>,
         payload: Rc<Payload>,
-        attempt: Attempt<ServerResponse>,
+        attempt: AttemptContext<ServerResponse>,
     ) -> impl Future<Output = UpstreamResult<ServerResponse>> + 'static {
         let (settings, role) = (self.exchange_settings(), self.role);
         async move { exchange(&endpoint, &payload, &attempt, &settings, role).await }
@@ -206,7 +206,7 @@
     fn probe(
         &self,
         endpoint: Rc<Endpoint>,
-        attempt: Attempt<()>,
+        attempt: AttemptContext<()>,
     ) -> impl Future<Output = UpstreamResult<()>> + 'static {
         let settings = self.exchange_settings();
         async move {
@@ -231,7 +231,7 @@
 }
 
 fn upstream_result(outcome: Outcome, reply: Option<ServerResponse>) -> UpstreamResult<ServerResponse> {
-    UpstreamResult { outcome, reply, fallback: None, report: None }
+    UpstreamResult { outcome, reply, error_response: None, report: None }
 }
 
 /// Stores a connection after an exchange: in the slot of its session if that is pinned, otherwise with the idle ones.
@@ -254,7 +254,7 @@
 async fn exchange(
     endpoint: &Endpoint,
     payload: &Payload,
-    attempt: &Attempt<ServerResponse>,
+    attempt: &AttemptContext<ServerResponse>,
     settings: &ExchangeSettings,
     role: Role,
 ) -> UpstreamResult<ServerResponse> {
@@ -283,7 +283,7 @@
         };
         // The client may have disconnected while the connection was opened. The expiry of the list's lease is not a
         // failure of this server.
-        if !attempt.request_open.get() || !attempt.gate.is_lease_valid() {
+        if !attempt.is_request_open.get() || !attempt.gate.is_lease_valid() {
             return upstream_result(Outcome::NeverSent, None);
         }
         // A drain notice may have arrived while the connection was opened.
@@ -308,7 +308,7 @@
             None => {}
         }
     };
-    if !attempt.request_open.get() {
+    if !attempt.is_request_open.get() {
         return upstream_result(Outcome::NeverSent, None);
     }
     if !attempt.gate.can_send(&attempt.clock) {
@@ -396,7 +396,7 @@
     });
     match is_unexecuted {
         // Another server may run the command; otherwise the client gets this server's response.
-        true => UpstreamResult { fallback: response, ..upstream_result(Outcome::Rejected, None) },
+        true => UpstreamResult { error_response: response, ..upstream_result(Outcome::Rejected, None) },
         false => upstream_result(Outcome::Served, response),
     }
 }
--- a/src/engine/affine.rs
+++ b/src/engine/affinity.rs
@@ -1,8 +1,8 @@
 //! Requests with backend affinity: only one backend can run them, since their state lives on a connection to
 //! it, such as a statement in a transaction.
 //!
-//! No backend is chosen and nothing is retried, so that the decision module doesn't know these requests. The
-//! send gate, the deadline, the limit on open requests and the single final answer apply as to any other
+//! The decision module doesn't know these requests: no backend is chosen and nothing is retried. The send
+//! gate, the deadline, the limit on open requests and the single final answer apply as to any other
 //! request.
 
 use super::{
@@ -27,12 +27,13 @@
         let mut state = self.state.borrow_mut();
         state.last_request_number += 1;
         let id = RequestId(state.last_request_number);
-        if state.open_requests.len() >= self.max_open_requests || !state.endpoints.contains_key(&backend) {
+        if state.open_requests.len() >= self.max_open_requests || !state.known_backends.contains_key(&backend)
+        {
             let _ = sender.send(Answer::Rejected(None, None)); // the receiver still exists
             return (id, receiver);
         }
         let now = self.clock.now();
-        let time_left = budget - self.lag.get();
+        let time_left = budget - self.timer_delay.get();
         let deadline = now + time_left - 0.5 * ANSWER_DELIVERY_SECONDS;
         let payload = Rc::new(payload);
         let open = OpenRequest {
@@ -41,11 +42,11 @@
             payload,
             deadline,
             attempts: 0,
-            affine: true,
+            has_affinity: true,
             class: 0,
             exclusive: None,
-            fallback: None,
-            request_open: Rc::new(Cell::new(true)),
+            error_response: None,
+            is_request_open: Rc::new(Cell::new(true)),
         };
         state.open_requests.insert(id, open);
         self.set_timer(&mut state, deadline, TimerKind::Request(id));
@@ -54,22 +55,20 @@
     }
 }
 
-/// Answers an affine request whose attempt ended without a reply.
+/// Answers a request whose only attempt ended without a reply.
 pub(super) fn end_request<U: Upstream>(
     state: &mut State<U>,
     id: RequestId,
     outcome: Outcome,
-    fallback: Option<U::Reply>,
+    error_response: Option<U::Reply>,
 ) {
     let unsent = matches!(outcome, Outcome::NoConnection | Outcome::NeverSent | Outcome::Rejected);
-    send_answer(
-        state,
-        id,
-        |_| if unsent { Answer::Rejected(None, fallback) } else { Answer::Failed(fallback) },
-    );
+    send_answer(state, id, |_| {
+        if unsent { Answer::Rejected(None, error_response) } else { Answer::Failed(error_response) }
+    });
 }
 
-/// Answers an affine request whose deadline has passed.
+/// Answers a request with backend affinity whose deadline has passed.
 pub(super) fn expire<U: Upstream>(state: &mut State<U>, id: RequestId) {
     let written = state.running_attempts.get(&(id, 0)).is_some_and(|running| running.written.get());
     abort_attempt(state, id, 0);
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -4,7 +4,7 @@
 //! decision module and its actions become I/O. Attempts are made by an [`Upstream`], and the backend list
 //! arrives as [`BackendListUpdate`] values from any source. Every request gets exactly one final answer.
 
-mod affine;
+mod affinity;
 mod budget;
 mod clock;
 mod list;
@@ -14,7 +14,7 @@
 pub use budget::{Budget, Permit};
 pub use clock::Clock;
 pub use list::{BackendListUpdate, ListRequest, ListedBackend};
-pub use upstream::{Attempt, ExclusiveClaim, Lease, ReplySink, SendGate, Upstream, UpstreamResult};
+pub use upstream::{AttemptContext, ExclusiveClaim, Lease, ReplySink, SendGate, Upstream, UpstreamResult};
 
 use crate::{
     Action, AttemptResult, BackendEntry, BackendId, Balancer, Event, ListUpdate, Outcome, Report, Request,
@@ -31,8 +31,8 @@
 /// Time in seconds reserved for delivering the answer before the client gives up. The decision module must
 /// answer by then; the engine answers after half of it.
 const ANSWER_DELIVERY_SECONDS: Time = 0.006;
-/// Largest compensation for delays within the process, in seconds.
-const MAX_LAG_SECONDS: Time = 0.1;
+/// Largest delay of timers that is compensated, in seconds.
+const MAX_TIMER_DELAY_SECONDS: Time = 0.1;
 /// Fraction of the drain grace period after which a send that was already decided is dropped.
 const DRAIN_GRACE_FRACTION: f64 = 0.5;
 /// Longest time in seconds that new requests are queued while the lease of the backend list is expired.
@@ -96,15 +96,15 @@
     deadline: Time,
     attempts: usize,
     /// Only one backend can run the request, and the decision module doesn't know it.
-    affine: bool,
+    has_affinity: bool,
     /// The index of the request class.
     class: usize,
     /// The attempt that became the only one and sets its own time limit.
     exclusive: Option<usize>,
     /// The last error response of a backend.
-    fallback: Option<U::Reply>,
+    error_response: Option<U::Reply>,
     /// False once the request is answered or its client has disconnected.
-    request_open: Rc<Cell<bool>>,
+    is_request_open: Rc<Cell<bool>>,
 }
 
 struct RunningAttempt {
@@ -113,7 +113,7 @@
     written: Rc<Cell<bool>>,
     task: AbortHandle,
     /// The request has backend affinity.
-    affine: bool,
+    has_affinity: bool,
     /// The reply is being streamed to the client, or the payload can't be sent twice: the engine sets no time
     /// limit.
     streaming: bool,
@@ -157,7 +157,7 @@
     running_attempts: HashMap<(RequestId, usize), RunningAttempt>,
     /// Requests that the decision module doesn't know yet, with their arrival times. They count as open.
     queued_requests: VecDeque<(Time, Request)>,
-    endpoints: HashMap<BackendId, KnownBackend<U>>,
+    known_backends: HashMap<BackendId, KnownBackend<U>>,
 }
 
 /// An event in the life of an attempt.
@@ -192,8 +192,8 @@
     lease: Rc<Lease>,
     clock: Clock,
     timer_set: Notify,
-    /// Recent delay of timers, which a request may have waited as well before it was read.
-    lag: Cell<Time>,
+    /// Recent delay of timers. A request may have waited as long before it was read.
+    timer_delay: Cell<Time>,
     has_list: Cell<bool>,
     /// Receives the requests of the decision module for the backend list.
     list_source: RefCell<Option<ListSource>>,
@@ -224,7 +224,7 @@
             lease,
             clock,
             timer_set: Notify::new(),
-            lag: Cell::new(0.0),
+            timer_delay: Cell::new(0.0),
             has_list: Cell::new(false),
             list_source: RefCell::default(),
             observer: RefCell::default(),
@@ -241,7 +241,7 @@
                 last_request_number: 0,
                 running_attempts: HashMap::new(),
                 queued_requests: VecDeque::new(),
-                endpoints: HashMap::new(),
+                known_backends: HashMap::new(),
             }),
         });
         tokio::task::spawn_local(engine.clone().run_timers());
@@ -288,14 +288,14 @@
 
     /// Returns whether a backend is listed, or has been gone for no longer than sends to it may take.
     pub fn has_backend(&self, backend: BackendId) -> bool {
-        self.state.borrow().endpoints.contains_key(&backend)
+        self.state.borrow().known_backends.contains_key(&backend)
     }
 
     /// Returns the counts of each backend since the last call, omitting those without any.
     pub fn take_counts(&self) -> Vec<(BackendId, BackendCounts)> {
         let mut state = self.state.borrow_mut();
         let nonempty =
-            state.endpoints.iter_mut().filter(|(_, known)| known.counts != BackendCounts::default());
+            state.known_backends.iter_mut().filter(|(_, known)| known.counts != BackendCounts::default());
         let take = |known: &mut KnownBackend<U>| {
             let in_flight = known.counts.in_flight;
             std::mem::replace(&mut known.counts, BackendCounts { in_flight, ..BackendCounts::default() })
@@ -306,7 +306,7 @@
     /// Returns the number of listed backends and how many of them are avoided now.
     pub fn count_backends(&self) -> (usize, usize) {
         let state = self.state.borrow();
-        let listed = state.endpoints.values().filter(|known| known.gate.is_listed()).count();
+        let listed = state.known_backends.values().filter(|known| known.gate.is_listed()).count();
         (listed, state.balancer.avoided_backends().min(listed))
     }
 
@@ -342,7 +342,7 @@
         state.client_request_ids.extend(client_request_id);
         let now = self.clock.now();
         // The request may have waited unread for as long as timers are delayed.
-        request.budget -= self.lag.get();
+        request.budget -= self.timer_delay.get();
         let deadline = now + request.budget - 0.5 * ANSWER_DELIVERY_SECONDS;
         request.budget -= ANSWER_DELIVERY_SECONDS;
         let payload = Rc::new(payload);
@@ -352,11 +352,11 @@
             payload,
             deadline,
             attempts: 0,
-            affine: false,
+            has_affinity: false,
             class: request.class,
             exclusive: None,
-            fallback: None,
-            request_open: Rc::new(Cell::new(true)),
+            error_response: None,
+            is_request_open: Rc::new(Cell::new(true)),
         };
         state.open_requests.insert(request.id, open);
         self.set_timer(&mut state, deadline, TimerKind::Request(request.id));
@@ -377,7 +377,7 @@
     pub fn client_disconnected(&self, id: RequestId) {
         let mut state = self.state.borrow_mut();
         let Some(open) = close_request(&mut state, id) else { return };
-        if open.affine {
+        if open.has_affinity {
             self.notify_observer(id, 0, AttemptEvent::Ended(Outcome::Cancelled));
             return abort_attempt(&mut state, id, 0);
         }
@@ -455,7 +455,7 @@
         let listed: &[ListedBackend] = match &update {
             BackendListUpdate::Full(list) | BackendListUpdate::Remembered(list) => {
                 let listed_ids: HashSet<BackendId> = list.iter().map(|l| l.entry.id).collect();
-                let gone = state.endpoints.iter().filter(|(id, _)| !listed_ids.contains(id));
+                let gone = state.known_backends.iter().filter(|(id, _)| !listed_ids.contains(id));
                 gone.for_each(|(_, known)| self.mark_backend_gone(known, send_deadline));
                 list
             }
@@ -465,14 +465,14 @@
         for ListedBackend { entry, address } in listed {
             if entry.status == Status::Gone {
                 state
-                    .endpoints
+                    .known_backends
                     .get(&entry.id)
                     .into_iter()
                     .for_each(|known| self.mark_backend_gone(known, send_deadline));
                 continue;
             }
             let drain_deadline = (entry.status != Status::InService).then_some(send_deadline);
-            let known = state.endpoints.entry(entry.id).or_insert_with(|| KnownBackend {
+            let known = state.known_backends.entry(entry.id).or_insert_with(|| KnownBackend {
                 gate: Rc::new(SendGate::with_lease(self.lease.clone())),
                 endpoint: Rc::new(self.upstream.create_endpoint(*address)),
                 counts: BackendCounts::default(),
@@ -515,7 +515,7 @@
         };
         running.task.abort();
         self.notify_observer(id, attempt, AttemptEvent::Ended(result.outcome));
-        if let Some(KnownBackend { counts, .. }) = state.endpoints.get_mut(&running.backend) {
+        if let Some(KnownBackend { counts, .. }) = state.known_backends.get_mut(&running.backend) {
             counts.in_flight = counts.in_flight.saturating_sub(1);
             match result.outcome {
                 Outcome::Served => {
@@ -533,13 +533,15 @@
             let _ = open.answer.send(Answer::Served(reply)); // fails if the client has disconnected
             attempts_made = open.attempts;
         }
-        if running.affine {
-            return affine::end_request(state, id, result.outcome, result.fallback);
+        if running.has_affinity {
+            return affinity::end_request(state, id, result.outcome, result.error_response);
         }
         if running.exclusive {
-            affine::end_request(state, id, result.outcome, result.fallback);
-        } else if let (Some(fallback), Some(open)) = (result.fallback, state.open_requests.get_mut(&id)) {
-            open.fallback = Some(fallback);
+            affinity::end_request(state, id, result.outcome, result.error_response);
+        } else if let (Some(error_response), Some(open)) =
+            (result.error_response, state.open_requests.get_mut(&id))
+        {
+            open.error_response = Some(error_response);
         }
         state.event_queue.push_back(QueuedEvent::Event(Event::Outcome(AttemptResult {
             id,
@@ -601,13 +603,15 @@
                 self.end_attempt(state, id, attempt, UpstreamResult::without_reply(Outcome::Cancelled));
             }
             Action::Reject { id, retry_after } => {
-                self.answer_request(state, id, |fallback| Answer::Rejected(retry_after, fallback));
+                self.answer_request(state, id, |error_response| {
+                    Answer::Rejected(retry_after, error_response)
+                });
             }
             Action::Fail { id } => self.answer_request(state, id, Answer::Failed),
             Action::Timer { at, token } => self.set_timer(state, at, TimerKind::Token(token)),
             Action::Probe(backend) => self.probe(state, backend),
             Action::CloseIdleConnections(backend) => {
-                let known = state.endpoints.get(&backend);
+                let known = state.known_backends.get(&backend);
                 known.into_iter().for_each(|known| self.upstream.release_connections(&known.endpoint));
             }
             Action::Watch(on) => self.send_list_request(ListRequest::Watch(on)),
@@ -621,7 +625,8 @@
     }
 
     fn send(&self, state: &mut State<U>, id: RequestId, backend: BackendId, timeout: Time, now: Time) {
-        let known = state.endpoints.get(&backend).map(|known| (known.gate.clone(), known.endpoint.clone()));
+        let known =
+            state.known_backends.get(&backend).map(|known| (known.gate.clone(), known.endpoint.clone()));
         let max_attempts = self.max_attempts;
         let open = state.open_requests.get_mut(&id).filter(|open| open.attempts < max_attempts);
         let (Some(open), Some((gate, endpoint)), Some(engine)) = (open, known, self.this.upgrade()) else {
@@ -641,24 +646,24 @@
             let idle = |known: &KnownBackend<U>| {
                 Some((self.upstream.oldest_idle_since(&known.endpoint)?, known.endpoint.clone()))
             };
-            let oldest = state.endpoints.values().filter_map(idle).min_by_key(|(since, _)| *since);
+            let oldest = state.known_backends.values().filter_map(idle).min_by_key(|(since, _)| *since);
             oldest.into_iter().for_each(|(_, endpoint)| self.upstream.close_oldest_idle(&endpoint));
         }
         let attempt = open.attempts;
         open.attempts += 1;
         let deadline = if timeout == 0.0 { open.deadline } else { (now + timeout).min(open.deadline) };
         let written = Rc::new(Cell::new(false));
-        let (affine, request_open) = (open.affine, open.request_open.clone());
+        let (has_affinity, is_request_open) = (open.has_affinity, open.is_request_open.clone());
         self.notify_observer(id, attempt, AttemptEvent::Started(backend, open.class));
         let (reply_sink, exclusive_claim) = (self.reply_sink(id, attempt), self.exclusive_claim(id, attempt));
         let clock = self.clock;
-        let attempt_context = Attempt {
+        let attempt_context = AttemptContext {
             gate,
             backend,
             clock,
             deadline,
             written: written.clone(),
-            request_open,
+            is_request_open,
             reply_sink,
             exclusive_claim,
         };
@@ -668,7 +673,7 @@
             engine.handle_attempt_result(id, attempt, result);
         });
         let task = task.abort_handle();
-        if let Some(KnownBackend { counts, .. }) = state.endpoints.get_mut(&backend) {
+        if let Some(KnownBackend { counts, .. }) = state.known_backends.get_mut(&backend) {
             counts.in_flight += 1;
             counts.sent += 1;
         }
@@ -679,7 +684,7 @@
                 sent_at: now,
                 written,
                 task,
-                affine,
+                has_affinity,
                 streaming: false,
                 exclusive: false,
             },
@@ -688,15 +693,15 @@
     }
 
     fn probe(&self, state: &State<U>, backend: BackendId) {
-        if let (Some(known), Some(engine)) = (state.endpoints.get(&backend), self.this.upgrade()) {
+        if let (Some(known), Some(engine)) = (state.known_backends.get(&backend), self.this.upgrade()) {
             let (gate, written) = (known.gate.clone(), Rc::default());
-            let attempt_context = Attempt {
+            let attempt_context = AttemptContext {
                 gate,
                 backend,
                 clock: self.clock,
                 deadline: Time::INFINITY,
                 written,
-                request_open: Rc::new(Cell::new(true)),
+                is_request_open: Rc::new(Cell::new(true)),
                 reply_sink: ReplySink::default(),
                 exclusive_claim: ExclusiveClaim::default(),
             };
@@ -770,21 +775,23 @@
                 }
                 // The request is still queued at its deadline.
                 TimerKind::Request(id) if remove_queued(&mut state, id) => {
-                    self.answer_request(&mut state, id, |fallback| Answer::Rejected(None, fallback));
+                    self.answer_request(&mut state, id, |error_response| {
+                        Answer::Rejected(None, error_response)
+                    });
                 }
                 TimerKind::QueuedRequests => self.release_queued(&mut state, now),
                 // The attempt enforces its own time limit, counted from the last byte of the request body.
                 TimerKind::Request(id)
                     if state.open_requests.get(&id).is_some_and(|open| open.exclusive.is_some()) => {}
                 TimerKind::Request(id) => {
-                    if state.open_requests.get(&id).is_some_and(|open| open.affine) {
+                    if state.open_requests.get(&id).is_some_and(|open| open.has_affinity) {
                         self.notify_observer(id, 0, AttemptEvent::Ended(Outcome::Timeout));
-                        affine::expire(&mut state, id);
+                        affinity::expire(&mut state, id);
                     } else if state.open_requests.contains_key(&id) {
                         let unsent = state.open_requests.get(&id).is_some_and(|open| open.attempts == 0);
-                        let answer = |fallback| match unsent {
-                            true => Answer::Rejected(None, fallback),
-                            false => Answer::Failed(fallback),
+                        let answer = |error_response| match unsent {
+                            true => Answer::Rejected(None, error_response),
+                            false => Answer::Failed(error_response),
                         };
                         self.answer_request(&mut state, id, answer);
                         state.event_queue.push_back(QueuedEvent::Event(Event::ClientDisconnected(id)));
@@ -793,7 +800,7 @@
             }
             self.decide(state);
         }
-        self.lag.set(max_delay.max(0.8 * self.lag.get()).min(MAX_LAG_SECONDS));
+        self.timer_delay.set(max_delay.max(0.8 * self.timer_delay.get()).min(MAX_TIMER_DELAY_SECONDS));
     }
 
     async fn run_sweeps(self: Rc<Self>) {
@@ -808,9 +815,9 @@
                 Rc::strong_count(&known.endpoint) == 1 && known.gate.can_be_removed(&self.clock)
             };
             if sweeps.is_multiple_of(SWEEPS_PER_CLEANUP) {
-                state.endpoints.retain(|_, known| !can_be_removed(known));
+                state.known_backends.retain(|_, known| !can_be_removed(known));
             }
-            state.endpoints.values().for_each(|known| self.upstream.close_expired(&known.endpoint));
+            state.known_backends.values().for_each(|known| self.upstream.close_expired(&known.endpoint));
         }
     }
 }
@@ -818,7 +825,7 @@
 /// Removes a request that is answered or whose client has disconnected.
 fn close_request<U: Upstream>(state: &mut State<U>, id: RequestId) -> Option<OpenRequest<U>> {
     let open = state.open_requests.remove(&id)?;
-    open.request_open.set(false);
+    open.is_request_open.set(false);
     if let Some(client_request_id) = open.client_request_id {
         state.client_request_ids.remove(&client_request_id);
     }
@@ -829,7 +836,7 @@
 fn abort_attempt<U: Upstream>(state: &mut State<U>, id: RequestId, attempt: usize) {
     if let Some(running) = state.running_attempts.remove(&(id, attempt)) {
         running.task.abort();
-        if let Some(known) = state.endpoints.get_mut(&running.backend) {
+        if let Some(known) = state.known_backends.get_mut(&running.backend) {
             known.counts.in_flight = known.counts.in_flight.saturating_sub(1);
         }
     }
@@ -848,7 +855,7 @@
     answer: impl FnOnce(Option<U::Reply>) -> Answer<U::Reply>,
 ) {
     if let Some(mut open) = close_request(state, id) {
-        let fallback = open.fallback.take();
-        let _ = open.answer.send(answer(fallback)); // fails if the client has disconnected
+        let error_response = open.error_response.take();
+        let _ = open.answer.send(answer(error_response)); // fails if the client has disconnected
     }
 }
--- a/src/engine/streamed.rs
+++ b/src/engine/streamed.rs
@@ -41,7 +41,7 @@
         open.exclusive = Some(attempt);
         running.streaming = true;
         running.exclusive = true;
-        if !open.affine {
+        if !open.has_affinity {
             state.event_queue.push_back(QueuedEvent::Event(Event::StreamStarted { id, attempt }));
             self.decide(state);
         }
@@ -59,7 +59,7 @@
             running.streaming = true;
         }
         let _ = open.answer.send(Answer::Served(reply)); // fails if the client has disconnected
-        if !open.affine && open.exclusive.is_none() {
+        if !open.has_affinity && open.exclusive.is_none() {
             state.event_queue.push_back(QueuedEvent::Event(Event::StreamStarted { id, attempt }));
             self.cancel_unsent_attempts(&mut state, id, open.attempts);
             self.decide(state);
--- a/src/engine/upstream.rs
+++ b/src/engine/upstream.rs
@@ -93,7 +93,7 @@
 
 /// The context of an attempt besides its payload. Replies are of type `R`.
 #[derive(Clone, Debug)]
-pub struct Attempt<R> {
+pub struct AttemptContext<R> {
     /// Checked right before the first byte is sent. If it rejects the send, the attempt ends with
     /// [`Outcome::NoConnection`], or with [`Outcome::NeverSent`] if the lease has expired.
     pub gate: Rc<SendGate>,
@@ -108,7 +108,7 @@
     pub written: Rc<Cell<bool>>,
     /// Whether the request still needs an answer; checked along with the gate. If its client has disconnected
     /// or another attempt has answered, the attempt ends with [`Outcome::NeverSent`].
-    pub request_open: Rc<Cell<bool>>,
+    pub is_request_open: Rc<Cell<bool>>,
     /// Receives a reply that is streamed.
     pub reply_sink: ReplySink<R>,
     /// Makes the attempt the only one of its request, if the payload can't be sent twice.
@@ -132,7 +132,7 @@
 
 impl std::fmt::Debug for ExclusiveClaim {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("Keep")
+        f.write_str("ExclusiveClaim")
     }
 }
 
@@ -164,7 +164,7 @@
 
 impl<R> std::fmt::Debug for ReplySink<R> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("Begin")
+        f.write_str("ReplySink")
     }
 }
 
@@ -177,7 +177,7 @@
     pub reply: Option<R>,
     /// The reply for the client if the request ends without being served: an error response of the backend
     /// that clients may see.
-    pub fallback: Option<R>,
+    pub error_response: Option<R>,
     /// The load report of the backend.
     pub report: Option<Report>,
 }
@@ -185,7 +185,7 @@
 impl<R> UpstreamResult<R> {
     /// Creates a result without reply and load report.
     pub fn without_reply(outcome: Outcome) -> Self {
-        Self { outcome, reply: None, fallback: None, report: None }
+        Self { outcome, reply: None, error_response: None, report: None }
     }
 }
 
@@ -226,13 +226,13 @@
         &self,
         endpoint: Rc<Self::Endpoint>,
         payload: Rc<Self::Payload>,
-        attempt: Attempt<Self::Reply>,
+        attempt: AttemptContext<Self::Reply>,
     ) -> impl Future<Output = UpstreamResult<Self::Reply>> + 'static;
 
     /// Checks whether a backend answers, within a time limit of its own.
     fn probe(
         &self,
         endpoint: Rc<Self::Endpoint>,
-        attempt: Attempt<()>,
+        attempt: AttemptContext<()>,
     ) -> impl Future<Output = UpstreamResult<()>> + 'static;
 }
--- a/tests/interleavings.rs
+++ b/tests/interleavings.rs
@@ -2,7 +2,7 @@
 //! checks each request for one answer, no second effect and no send after its end. A failure names its seed.
 
 use gannetproxy::engine::{
-    Answer, Attempt, BackendListUpdate, Engine, EngineLimits, ListedBackend, Upstream, UpstreamResult,
+    Answer, AttemptContext, BackendListUpdate, Engine, EngineLimits, ListedBackend, Upstream, UpstreamResult,
 };
 use gannetproxy::{
     BackendEntry, BackendId, Class, DedupGroup, Effect, Outcome, Request, RequestId, Settings,
@@ -111,7 +111,7 @@
         &self,
         _: Rc<()>,
         payload: Rc<Rc<RequestRecord>>,
-        attempt: Attempt<()>,
+        attempt: AttemptContext<()>,
     ) -> impl Future<Output = UpstreamResult<()>> + 'static {
         let connect_time = self.draw(|rng| match rng.random_range(0..3) {
             0 => rng.random_range(CONNECT_TIME[0]..CONNECT_TIME[1]),
@@ -141,11 +141,11 @@
                 _ => std::future::pending().await,
             };
             payload.sent.borrow_mut()[index].2 = Some(outcome);
-            UpstreamResult { outcome, reply: served, fallback: None, report: None }
+            UpstreamResult { outcome, reply: served, error_response: None, report: None }
         }
     }
 
-    fn probe(&self, _: Rc<()>, _: Attempt<()>) -> impl Future<Output = UpstreamResult<()>> + 'static {
+    fn probe(&self, _: Rc<()>, _: AttemptContext<()>) -> impl Future<Output = UpstreamResult<()>> + 'static {
         std::future::ready(UpstreamResult::without_reply(Outcome::Served))
     }
 }
