--- a/crates/http/src/backend.rs
+++ b/crates/http/src/backend.rs
@@ -1,10 +1,10 @@
 //! HTTP backends: their idle connections, attempts and probes, and the exact outcome of each.
 
 use crate::body::{RequestBody, ResponseBody, ResponseSender, UploadProgress};
+use crate::connection::{BackendReply, Connection, ExchangeError, LAST_BYTE_DELAY, connect};
 use crate::headers::forward_response_headers;
 use crate::limits::{Budget, Permit};
 use crate::payload::Payload;
-use crate::peer::{BackendReply, Connection, ExchangeError, LAST_BYTE_DELAY, connect};
 use dewpier_operate::metrics::AttemptCounter;
 use dewpier_reuse::{HandshakePrice, LossCost, ReuseHistory, SharedHistory};
 use gannetproxy::engine::{AttemptContext, Upstream, UpstreamResult};
@@ -20,11 +20,11 @@
 use tokio::time::Instant;
 
 /// Fraction of the idle timeout of backends within which a connection is reused. A request sent closer to the
-/// timeout may cross the closing of the connection and be lost.
+/// timeout may arrive after the backend has closed the connection.
 const REUSE_IDLE_FRACTION: f64 = 0.7;
 
 /// Time after a response before its connection is reused. Stray bytes that a backend sends behind a response
-/// arrive within this time and invalidate the connection, instead of being taken for the next response.
+/// arrive within this time and invalidate the connection, and can't be read as the next response.
 const SETTLE_TIME: Duration = Duration::from_millis(25);
 /// A connection that closes without a response within this time after the last byte, plus two connect
 /// times, counts as stale before the request.
--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -1,6 +1,6 @@
 //! Tracks client connections: their states, which are overdue, and which are closed to make room.
 
-use crate::headscan::HeadScanner;
+use crate::head_scanner::HeadScanner;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,10 +18,10 @@
 const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
 /// Age from which a connection that has never sent a request may be closed to make room, if no idle one can
 /// be.
-const EVICT_SILENT_AFTER: Duration = Duration::from_millis(100);
+const EVICT_WITHOUT_REQUEST_AFTER: Duration = Duration::from_millis(100);
 /// Idle time between two requests from which a connection may be closed to make room, if no other can be. Its
 /// client can reconnect, while a new client already has a request to send.
-const EVICT_RESTING_AFTER: Duration = Duration::from_millis(100);
+const EVICT_BETWEEN_REQUESTS_AFTER: Duration = Duration::from_millis(100);
 /// One part in this many of the capacity is for connections that only get a rejection because all others are
 /// busy.
 const OVERFLOW_DIVISOR: usize = 8;
@@ -297,25 +297,33 @@
             candidates.min_by_key(|c| c.idle_since.get()).cloned()
         };
         let idle = longest(&|c| c.idle_since.get().elapsed() >= EVICT_IDLE_AFTER);
-        let silent =
-            || longest(&|c| !c.has_sent_request.get() && c.idle_since.get().elapsed() >= EVICT_SILENT_AFTER);
-        let at_rest = |c: &ClientConnection| c.has_sent_request.get() && c.read_started.get().is_none();
-        let resting = || longest(&|c| at_rest(c) && c.idle_since.get().elapsed() >= EVICT_RESTING_AFTER);
-        idle.or_else(silent).or_else(resting).inspect(|c| c.evict()).is_some()
+        let without_request = || {
+            longest(&|c| {
+                !c.has_sent_request.get() && c.idle_since.get().elapsed() >= EVICT_WITHOUT_REQUEST_AFTER
+            })
+        };
+        let is_between_requests =
+            |c: &ClientConnection| c.has_sent_request.get() && c.read_started.get().is_none();
+        let between_requests = || {
+            longest(&|c| {
+                is_between_requests(c) && c.idle_since.get().elapsed() >= EVICT_BETWEEN_REQUESTS_AFTER
+            })
+        };
+        idle.or_else(without_request).or_else(between_requests).inspect(|c| c.evict()).is_some()
     }
 
-    /// Closes overdue connections and, if `max_rest` is given, those that have been idle between two requests
+    /// Closes overdue connections and, if `max_idle_time` is given, those that have been idle between two requests
     /// for that long.
-    pub fn close_overdue(&self, max_rest: Option<Duration>) {
+    pub fn close_overdue(&self, max_idle_time: Option<Duration>) {
         let all = self.connections.borrow();
-        let is_resting_too_long = |c: &ClientConnection| {
+        let is_idle_too_long = |c: &ClientConnection| {
             !c.request_open.get()
                 && !c.reading_body.get()
                 && c.read_started_at().is_none()
-                && max_rest.is_some_and(|max_rest| c.idle_since.get().elapsed() >= max_rest)
+                && max_idle_time.is_some_and(|max_idle_time| c.idle_since.get().elapsed() >= max_idle_time)
         };
         all.iter()
-            .filter(|c| !c.closing.get() && (c.is_overdue() || is_resting_too_long(c)))
+            .filter(|c| !c.closing.get() && (c.is_overdue() || is_idle_too_long(c)))
             .for_each(|c| c.request_close());
         for client in all.iter().filter(|c| !c.cut_off.get() && c.is_stalled()) {
             client.cut_off.set(true);
--- a/crates/http/src/peer.rs
+++ b/crates/http/src/connection.rs
@@ -96,7 +96,7 @@
 
     fn mark_sent(&self) {
         self.sent.store(true, Ordering::Relaxed);
-        // Taken, because a request may be flushed repeatedly.
+        // The counter is removed, because a request may be flushed repeatedly.
         if let Some(attempts) = self.attempt_counter.lock().ok().and_then(|mut counter| counter.take()) {
             attempts.increment();
         }
@@ -355,7 +355,7 @@
 
 impl ConnectionDriver {
     fn poll(&mut self, cx: &mut Context<'_>) {
-        // Kept, because the sender still reports that it is ready after the connection has ended.
+        // The end is recorded, because the sender still reports that it is ready afterwards.
         self.ended = self.ended || self.connection.as_mut().poll(cx).is_ready();
     }
 
--- a/crates/http/src/discovery/mod.rs
+++ b/crates/http/src/discovery/mod.rs
@@ -8,8 +8,8 @@
 use crate::backend::HttpUpstream;
 use crate::body::RequestBody;
 use crate::config::WireSettings;
+use crate::connection::{self, Connection};
 use crate::listing::{BackendIds, RawList};
-use crate::peer::{self, Connection};
 use gannetproxy::Settings;
 use gannetproxy::engine::{BackendListUpdate, Engine, ListRequest};
 use http_body_util::{BodyExt, Limited};
@@ -250,7 +250,7 @@
 ) -> Result<RawList, CallError> {
     let mut connected = match connection.take().and_then(Connection::into_reusable) {
         Some(connection) => connection,
-        None => peer::connect(address, connect_timeout).await.map_err(CallError::Connect)?,
+        None => connection::connect(address, connect_timeout).await.map_err(CallError::Connect)?,
     };
     let request = Request::get(path).header("host", address.to_string());
     let Ok(request) = request.body(RequestBody::default()) else {
--- a/crates/http/src/discovery/schedule.rs
+++ b/crates/http/src/discovery/schedule.rs
@@ -1,14 +1,14 @@
 //! Schedules the calls to the discovery service. No I/O and no clock.
 //!
-//! A change must be applied within [`STALENESS_BOUND`] of the moment at which the service had it and was
-//! reachable, whatever failed before. [`CallTiming::max_staleness`] is the sum of all intervals in the worst
+//! A change must be applied within [`STALENESS_BOUND`] after the service has it and is reachable, also if
+//! earlier calls failed. [`CallTiming::max_staleness`] is the sum of all intervals in the worst
 //! case.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// Largest age of a change when it is applied, counted from when the service had it and was reachable.
+/// Largest age of a change when it is applied, counted from the time at which the service had it and was reachable.
 pub const STALENESS_BOUND: Duration = Duration::from_secs(6);
 
 /// Delay before the call that follows a failed one. It doubles with each further failure.
--- a/crates/http/src/payload.rs
+++ b/crates/http/src/payload.rs
@@ -69,7 +69,7 @@
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
         if request.body().size_hint().exact().is_none() {
-            // Set explicitly, because hyper takes a GET of unknown length for one without a body.
+            // The header is set because hyper treats a GET of unknown length as one without a body.
             request.headers_mut().insert(TRANSFER_ENCODING, HeaderValue::from_static("chunked"));
         }
         let remaining_ms = HeaderValue::from((remaining_time.max(0.0) * 1000.0) as u64);
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -273,8 +273,8 @@
     async fn close_overdue_clients(&self) {
         loop {
             tokio::time::sleep(clients::SWEEP_INTERVAL).await;
-            let max_rest = self.lifecycle.borrow().idle_close_threshold(self.now());
-            self.clients.close_overdue(max_rest);
+            let max_idle_time = self.lifecycle.borrow().idle_close_threshold(self.now());
+            self.clients.close_overdue(max_idle_time);
         }
     }
 
