--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -131,7 +131,7 @@
         assert!(!output.status.success(), "{input}");
         assert_eq!(message.lines().count(), 1, "{message}");
         assert!(message.contains(expected), "{message} lacks {expected}");
-        assert!(output.stdout.is_empty(), "no half-written reply: {input}");
+        assert!(output.stdout.is_empty(), "unexpected reply to invalid input: {input}");
     }
     assert!(run("").status.success());
 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -114,7 +114,7 @@
 
 #[test]
 fn call_is_not_repeated_while_its_backend_answers_others() {
-    // The call takes long, but its backend is alive.
+    // The call takes long, but its backend answers other calls.
     let mut harness = Harness::new(safe_settings(), &[entry(1)]);
     harness.request(1);
     harness.now = 0.1;
@@ -522,7 +522,7 @@
 
 #[test]
 fn fast_failing_backend_is_avoided() {
-    // By its calls in flight alone, such a backend looks idle.
+    // Such a backend has few calls in flight and would appear idle.
     let mut settings = safe_settings();
     settings.max_attempts = 1;
     let mut harness = Harness::new(settings, &fleet(2));
@@ -808,7 +808,7 @@
 
 #[test]
 fn lasting_overload_is_not_learned_as_normal() {
-    // When an inner tier loses capacity, fewer calls must be in flight to restore the answer time.
+    // After an inner tier has lost capacity, the answer time recovers only with fewer calls in flight.
     // Answers leave one after another at a fixed rate, each after at least 0.2 s.
     let settings = Settings { tier: 0, max_attempts: 1, ..settings_with_effect(Effect::Unsafe) };
     let mut harness = Harness::new(settings, &fleet(8));
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -193,8 +193,8 @@
 
 #[test]
 fn cold_members_do_not_hide_an_overload() {
-    // Cold members get few calls and look fast. Beside them, overloaded warm members must not count as
-    // outliers, whose calls are no sign of an overload.
+    // Cold members get few calls and have short answer times. Overloaded warm members must not count as
+    // outliers next to them, because the calls of outliers don't indicate an overload.
     let queue_length = |cold_backends: u32| {
         let settings = Settings {
             cold_duration: 1000.0,
