--- a/crates/mysql/src/io/front.rs
+++ b/crates/mysql/src/io/front.rs
@@ -185,7 +185,7 @@
                     return Some(client);
                 }
                 ClientLoginStep::Rejected(error) => {
-                    let _ = stream.send_packet(&error.encode()).await; // the connection is closed either way
+                    let _ = stream.send_packet(&error.encode()).await; // closed either way
                     return None;
                 }
             }
@@ -242,7 +242,7 @@
                                     send_to_client(stream, &error.encode()).await
                                 }
                                 Some(FailureAction::ReportAndClose(error)) => {
-                                    let _ = send_to_client(stream, &error.encode()).await; // the connection is closed either way
+                                    let _ = send_to_client(stream, &error.encode()).await; // closed either way
                                     return;
                                 }
                                 Some(FailureAction::RetryElsewhere(_)) => Some(()),
@@ -251,7 +251,7 @@
                         }
                         Some(CommandResult::Error(error)) => send_to_client(stream, &error.encode()).await,
                         Some(CommandResult::ErrorAndClose(error)) => {
-                            let _ = send_to_client(stream, &error.encode()).await; // the connection is closed either way
+                            let _ = send_to_client(stream, &error.encode()).await; // closed either way
                             return;
                         }
                         None => return,
@@ -447,5 +447,5 @@
             ErrPacket::new(ER_NET_PACKET_TOO_LARGE, b"08S01", reason.to_string())
         }
     };
-    let _ = timeout(LOGIN_TIMEOUT, stream.send_packet(&error.encode())).await; // the connection is closed either way
+    let _ = timeout(LOGIN_TIMEOUT, stream.send_packet(&error.encode())).await; // closed either way
 }
--- a/crates/mysql/src/prepared.rs
+++ b/crates/mysql/src/prepared.rs
@@ -121,7 +121,7 @@
     /// Stores a COM_STMT_SEND_LONG_DATA, up to `max_bytes` for the session. Returns false and removes the statement if that
     /// is exceeded.
     pub fn add_long_data(&mut self, command: Bytes, max_bytes: usize) -> bool {
-        let Ok(statement_id) = parse_statement_id(&command) else { return true }; // the command has no response, not even an error
+        let Ok(statement_id) = parse_statement_id(&command) else { return true }; // the command has no response
         let Some(prepared) = self.by_id.get_mut(&statement_id) else { return true };
         if self.long_data_bytes + command.len() > max_bytes {
             self.remove(statement_id);
--- a/crates/mysql/tests/faults.rs
+++ b/crates/mysql/tests/faults.rs
@@ -25,7 +25,7 @@
     closed: usize,
 }
 
-/// Counts an error by its SQLSTATE. Returns true.
+/// Counts an error by its SQLSTATE. Always returns true: the statement has failed.
 fn count_error(error: &mysql::Error, outcomes: &mut Outcomes) -> bool {
     match error {
         mysql::Error::MySqlError(e) => match e.state.as_str() {
