--- a/crates/dewpier/src/lists/watched.rs
+++ b/crates/dewpier/src/lists/watched.rs
@@ -24,7 +24,7 @@
 /// An inventory file under watch.
 pub struct WatchedInventory {
     events: mpsc::Receiver<WatchEvent>,
-    source: InventoryWatcher,
+    watcher: InventoryWatcher,
     last_check: Option<Instant>,
     file_name: String,
 }
@@ -36,7 +36,7 @@
         let Inventory { file, options, rules, poll_interval, resolve_names } = inventory;
         // Lookups block only the reading thread.
         let resolver = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let source = InventoryWatcher::start(&file, options, rules, poll_interval, move |update| {
+        let watcher = InventoryWatcher::start(&file, options, rules, poll_interval, move |update| {
             let event = match update {
                 Update::Accepted(list) => {
                     let resolved = resolver.block_on(resolve_backends(&list.backends, resolve_names));
@@ -52,7 +52,7 @@
             let _ = sender.blocking_send(event); // fails only while the process exits
             Ok(())
         })?;
-        Ok(Self { events, source, last_check: None, file_name: file.display().to_string() })
+        Ok(Self { events, watcher, last_check: None, file_name: file.display().to_string() })
     }
 
     /// The file's path as text.
@@ -62,12 +62,12 @@
 
     /// Requests an immediate read of the file.
     pub fn reload(&self) {
-        self.source.reload();
+        self.watcher.reload();
     }
 
     /// Requests a check whether the file has changed.
     pub fn request_check(&self) {
-        self.source.request_check();
+        self.watcher.request_check();
     }
 
     /// When the last check began that found nothing newer than the list that [`WatchedInventory::next_list`]
