--- a/crates/http/src/clients.rs
+++ b/crates/http/src/clients.rs
@@ -16,11 +16,11 @@
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
 /// Idle time from which a connection may be closed to make room.
 const EVICT_IDLE_AFTER: Duration = Duration::from_secs(2);
-/// Age from which a connection that has never sent a request may be closed to make room, if no idle one can
-/// be.
+/// Age from which a connection that has never sent a request may be closed to make room, if no idle
+/// connection can be closed.
 const EVICT_WITHOUT_REQUEST_AFTER: Duration = Duration::from_millis(100);
-/// Idle time between two requests from which a connection may be closed to make room, if no other can be. Its
-/// client can reconnect, while a new client already has a request to send.
+/// Idle time between two requests from which a connection may be closed to make room, if no other connection
+/// can be closed. Its client can reconnect, while a new client already has a request to send.
 const EVICT_BETWEEN_REQUESTS_AFTER: Duration = Duration::from_millis(100);
 /// One part in this many of the capacity is for connections that only get a rejection because all others are
 /// busy.
@@ -138,7 +138,7 @@
             self.head_scanner.set(head_scanner);
         }
         if self.streaming.get() && self.request_open.get() {
-            // Counts as part of the body, because the start of the next head is unknown.
+            // All bytes count as part of the body, because the start of the next head is unknown.
         } else if self.request_open.get() || self.reading_body.get() {
             self.received_early.set(self.request_open.get());
         } else if self.read_started.get().is_none() {
@@ -312,8 +312,8 @@
         idle.or_else(without_request).or_else(between_requests).inspect(|c| c.evict()).is_some()
     }
 
-    /// Closes overdue connections and, if `max_idle_time` is given, those that have been idle between two requests
-    /// for that long.
+    /// Closes overdue connections and, if `max_idle_time` is given, those that have been idle between two
+    /// requests for that long.
     pub fn close_overdue(&self, max_idle_time: Option<Duration>) {
         let all = self.connections.borrow();
         let is_idle_too_long = |c: &ClientConnection| {
--- a/crates/http/src/discovery/mod.rs
+++ b/crates/http/src/discovery/mod.rs
@@ -220,7 +220,7 @@
                 }
                 let mut schedule = self.schedule.borrow_mut();
                 schedule.record_failure();
-                // Logged at growing intervals, because an outage may last long.
+                // Failures are logged at growing intervals, because an outage may last long.
                 let failures = schedule.failures();
                 if failures.is_power_of_two() {
                     tracing::warn!(%error, failures, "discovery call failed; the last list stays in use");
--- a/crates/http/src/discovery/schedule.rs
+++ b/crates/http/src/discovery/schedule.rs
@@ -8,7 +8,8 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// Largest age of a change when it is applied, counted from the time at which the service had it and was reachable.
+/// Largest age of a change when it is applied, counted from the time at which the service had it and was
+/// reachable.
 pub const STALENESS_BOUND: Duration = Duration::from_secs(6);
 
 /// Delay before the call that follows a failed one. It doubles with each further failure.
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -93,7 +93,7 @@
 fn backend_reply(response: BackendResponse) -> Reply {
     let body = match response.body {
         ResponseBody::Buffered(body) => body,
-        // Not reached, as error responses are never streamed.
+        // This is not reached, as error responses are never streamed.
         ResponseBody::Streamed(_) => return plain_reply(StatusCode::BAD_GATEWAY, "failed\n"),
     };
     let mut reply = Response::new(ClientBody::Buffered(Full::new(body)));
@@ -293,7 +293,7 @@
             let stream = match accepted {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    // Logged once per failure period, so that clients can't fill the log.
+                    // The failure is logged once per failure period, so that clients can't fill the log.
                     if !std::mem::replace(&mut failing, true) {
                         tracing::warn!(%error, "cannot accept client connections");
                     }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -830,7 +830,7 @@
     }
 
     /// Load of a backend: its calls in flight, including the next one, times its relative service time and
-    /// its slowness, divided by its weight. Without slowness, a fast-failing or hung backend would appear idle.
+    /// its slowness, divided by its weight. Without slowness, a fast-failing or hung backend would seem idle.
     fn load(&self, backend: usize) -> f64 {
         let b = &self.backends[backend];
         let zone_load =
