--- a/crates/verdicts/src/judge.rs
+++ b/crates/verdicts/src/judge.rs
@@ -1,8 +1,9 @@
 //! Judges one node from the attempt counts of many proxies.
 //!
-//! A sequential test (Wald 1945) compares the hypothesis "the node fails as rarely as the other nodes" with "half of
-//! its attempts fail" and with "one in ten fails", and goes by the clearer of the two results. The contribution of each
-//! proxy is limited in both directions, so that no single proxy can supply the required log odds.
+//! A sequential test (Wald 1945) compares the hypothesis "attempts at the node go wrong as rarely as at the
+//! other nodes" with "half of them go wrong" and with "one in ten goes wrong", and uses the clearer of the two results.
+//! The contribution of each proxy is limited in both directions, so that no single proxy can supply the required log
+//! odds.
 //!
 //! Attempts that went well before a node turned bad say nothing about its present state. The test therefore runs over
 //! each interval from some point in the window up to now, and the clearest interval decides: change point detection as
@@ -11,18 +12,18 @@
 use crate::{AttemptCounts, Settings, WINDOW_PARTS, WindowPart};
 use serde::Serialize;
 
-/// The fraction of attempts that fail at a severely bad node.
-const SEVERE_FAILURE_FRACTION: f64 = 0.5;
-/// The fraction of attempts that fail at a mildly bad node.
-const MILD_FAILURE_FRACTION: f64 = 0.1;
-/// The lowest fraction of failed attempts assumed for a healthy node.
+/// The fraction of attempts that go wrong at a severely bad node.
+const SEVERE_BAD_FRACTION: f64 = 0.5;
+/// The fraction of attempts that go wrong at a mildly bad node.
+const MILD_BAD_FRACTION: f64 = 0.1;
+/// The lowest fraction of bad attempts assumed for a healthy node.
 const MIN_BASELINE_FRACTION: f64 = 0.01;
-/// A node can be bad only if it fails at least this many times more often than the other nodes.
-const MIN_FAILURE_RATIO: f64 = 2.5;
-/// The evidence of a proxy is ignored if a larger fraction of its attempts at other nodes fails.
-const MAX_TRUSTED_FRACTION_ELSEWHERE: f64 = 0.5;
-/// An active verdict ends below this fraction of the required log odds: one failed trial anywhere in the fleet confirms
-/// it, and two successful ones end it.
+/// A node can be bad only if its attempts go wrong at least this many times more often than at the other nodes.
+const MIN_BAD_RATIO: f64 = 2.5;
+/// The evidence of a proxy is ignored if a larger fraction of its attempts at other nodes went wrong.
+const MAX_BAD_FRACTION_ELSEWHERE: f64 = 0.5;
+/// An active verdict ends below this fraction of the required log odds: one bad trial anywhere in the fleet confirms
+/// it, and two good ones end it.
 const RETAINING_FRACTION: f64 = 0.25;
 /// The log odds against a verdict at which the proxies inside or outside this zone consider a node healthy.
 const CLEARING_LOG_ODDS: f64 = 2.0;
@@ -78,40 +79,40 @@
     pub severe: bool,
     /// The natural logarithm of the odds that the node is bad.
     pub log_odds: f64,
-    /// The number of trusted proxies with evidence against the node.
+    /// The number of credible proxies with evidence against the node.
     pub observers: usize,
 }
 
 /// Judges a node by the evidence of all proxies. `is_active` says whether a verdict on it is already active, which then
 /// requires less evidence.
 pub fn judge_node(settings: &Settings, evidence: &[ProxyEvidence], is_active: bool) -> Judgement {
-    let trusted: Vec<&ProxyEvidence> = evidence
+    let credible: Vec<&ProxyEvidence> = evidence
         .iter()
         .filter(|e| {
-            e.bad_fraction_elsewhere <= MAX_TRUSTED_FRACTION_ELSEWHERE
+            e.bad_fraction_elsewhere <= MAX_BAD_FRACTION_ELSEWHERE
                 && (e.counts.total() > 0 || e.claim.is_some())
         })
         .collect();
     let baseline =
-        median(trusted.iter().map(|e| e.bad_fraction_elsewhere).collect()).max(MIN_BASELINE_FRACTION);
+        median(credible.iter().map(|e| e.bad_fraction_elsewhere).collect()).max(MIN_BASELINE_FRACTION);
     let required = settings.required_log_odds() * if is_active { RETAINING_FRACTION } else { 1.0 };
-    let observers = trusted.iter().filter(|e| e.counts.bad() > 0 || e.claim.is_some()).count();
+    let observers = credible.iter().filter(|e| e.counts.bad() > 0 || e.claim.is_some()).count();
     let max_per_proxy = settings.max_log_odds_per_proxy();
     let mut best = Judgement { kind: None, severe: false, log_odds: f64::NEG_INFINITY, observers };
-    for (severe, failure_fraction) in [(true, SEVERE_FAILURE_FRACTION), (false, MILD_FAILURE_FRACTION)] {
-        if failure_fraction < MIN_FAILURE_RATIO * baseline {
+    for (severe, assumed_bad_fraction) in [(true, SEVERE_BAD_FRACTION), (false, MILD_BAD_FRACTION)] {
+        if assumed_bad_fraction < MIN_BAD_RATIO * baseline {
             continue;
         }
-        let (per_failure, per_success) =
-            ((failure_fraction / baseline).ln(), ((1.0 - failure_fraction) / (1.0 - baseline)).ln());
+        let (per_bad_attempt, per_good_attempt) =
+            ((assumed_bad_fraction / baseline).ln(), ((1.0 - assumed_bad_fraction) / (1.0 - baseline)).ln());
         // Limited in both directions, so that no proxy outweighs the others.
         let proxy_log_odds = |e: &ProxyEvidence, counts: WindowPart| match e.claim {
             Some(claim) if !severe || claim.severe => max_per_proxy,
-            _ => (f64::from(counts.bad) * per_failure + f64::from(counts.good) * per_success)
+            _ => (f64::from(counts.bad) * per_bad_attempt + f64::from(counts.good) * per_good_attempt)
                 .clamp(-max_per_proxy, max_per_proxy),
         };
         let zone_log_odds = |same_zone: bool, oldest_part: Option<usize>| {
-            let of_zone = trusted.iter().filter(|e| e.same_zone == same_zone);
+            let of_zone = credible.iter().filter(|e| e.same_zone == same_zone);
             of_zone.map(|e| proxy_log_odds(e, e.counts_since(oldest_part))).sum::<f64>()
         };
         let whole_window = (zone_log_odds(true, None), zone_log_odds(false, None));
@@ -136,10 +137,10 @@
             }
             let log_odds = same_zone + other_zones;
             if log_odds > best.log_odds
-                && (oldest_part.is_none() || trusted.iter().any(|e| e.counts_since(oldest_part).bad > 0))
+                && (oldest_part.is_none() || credible.iter().any(|e| e.counts_since(oldest_part).bad > 0))
             {
                 best = Judgement {
-                    kind: (log_odds >= required).then(|| predominant_kind(&trusted)),
+                    kind: (log_odds >= required).then(|| predominant_kind(&credible)),
                     severe,
                     log_odds,
                     observers,
@@ -163,17 +164,17 @@
     }
 }
 
-/// The most frequent kind of failure in the attempts, or in the claims if the attempts are tied.
-fn predominant_kind(trusted: &[&ProxyEvidence]) -> Kind {
+/// The most frequent kind among the bad attempts, or among the claims if the attempts are tied.
+fn predominant_kind(credible: &[&ProxyEvidence]) -> Kind {
     let mut sum = AttemptCounts::default();
-    trusted.iter().for_each(|e| sum.add(&e.counts));
+    credible.iter().for_each(|e| sum.add(&e.counts));
     let counts_by_kind = [
         (sum.unreached, Kind::Gone),
         (sum.failed, Kind::Failing),
         (sum.silent, Kind::Silent),
         (sum.slow, Kind::Slow),
     ];
-    let count_claims = |kind| trusted.iter().filter(|e| e.claim.is_some_and(|c| c.kind == kind)).count();
+    let count_claims = |kind| credible.iter().filter(|e| e.claim.is_some_and(|c| c.kind == kind)).count();
     let predominant = counts_by_kind.into_iter().max_by_key(|(count, kind)| (*count, count_claims(*kind)));
     predominant.map_or(Kind::Failing, |(_, kind)| kind)
 }
@@ -255,15 +256,15 @@
     }
 
     #[test]
-    fn failures_at_all_nodes_alike_are_not_held_against_one() {
+    fn failures_at_all_nodes_make_no_node_bad() {
         let equal_everywhere: Vec<ProxyEvidence> =
             (0..12).map(|_| ProxyEvidence { bad_fraction_elsewhere: 0.4, ..evidence(6, 4) }).collect();
         assert_eq!(judged_kind(&equal_everywhere), None);
-        let untrusted: Vec<ProxyEvidence> =
+        let ignored: Vec<ProxyEvidence> =
             (0..12).map(|_| ProxyEvidence { bad_fraction_elsewhere: 0.9, ..evidence(0, 9) }).collect();
-        assert_eq!(judged_kind(&untrusted), None);
-        // Three trusted proxies decide among them.
-        let mut mixed = untrusted;
+        assert_eq!(judged_kind(&ignored), None);
+        // Three credible proxies decide among them.
+        let mut mixed = ignored;
         mixed.extend([evidence(9, 0), evidence(9, 0), evidence(9, 0)]);
         assert!(judge_node(&Settings::default(), &mixed, false).log_odds < 0.0);
     }
--- a/crates/verdicts/src/overrides.rs
+++ b/crates/verdicts/src/overrides.rs
@@ -1,5 +1,5 @@
-//! Distributes operators' overrides on nodes: set on one proxy, forwarded by all, and limited in time. Every holder of
-//! the fleet's key is trusted.
+//! Distributes operators' overrides on nodes: set on one proxy, forwarded by all, and limited in time. Any process
+//! that holds the fleet's key may set one.
 //!
 //! Invariants, whatever the network does:
 //!
--- a/crates/verdicts/src/pool.rs
+++ b/crates/verdicts/src/pool.rs
@@ -229,9 +229,9 @@
     }
 
     /// The fraction of this proxy's attempts at all other nodes that went wrong, without nodes that have an active
-    /// verdict, as these say nothing about healthy ones. It is the largest fraction over all intervals up to now, since
-    /// failures at all nodes in recent moments are not the fault of one. The number of attempts is raised by one, so
-    /// that a proxy with few attempts stays trusted after a single failure.
+    /// verdict, as these say nothing about healthy ones. It is the largest fraction over all intervals up to now, as
+    /// recent failures at all nodes do not show that this node is bad. The number of attempts is raised by one, so that
+    /// the evidence of a proxy with few attempts still counts after a single failure.
     fn bad_fraction_elsewhere(&self, node: NodeId) -> f64 {
         let at_node = match self.active.contains_key(&node) {
             true => Default::default(),
@@ -405,7 +405,7 @@
         let fleet_rate = (1.0 + verdict.senders.len() as f64 * peers_per_partner * answering_fraction)
             * self.attempts_per_second_per_node();
         verdict.sent_from_here
-            && trial::is_drawn_for_trials(
+            && trial::is_selected_for_trials(
                 &self.settings,
                 self.own_id,
                 node,
--- a/crates/verdicts/src/snapshot.rs
+++ b/crates/verdicts/src/snapshot.rs
@@ -5,9 +5,9 @@
 //!
 //! - *Age.* Everything is stored with its largest age, which continues by the host's clock while no process runs and
 //!   while the host sleeps ([`BootTime`]). So nothing seems younger to the successor than it is, and the limits on the
-//!   age of evidence and on the duration of overrides hold across a restart. A snapshot of an earlier boot is refused,
+//!   age of evidence and on the duration of overrides hold across a restart. A snapshot of an earlier boot is rejected,
 //!   as no clock tells its age.
-//! - *Integrity.* A snapshot carries an authentication tag made with the fleet's key for one proxy. It is refused as a
+//! - *Integrity.* A snapshot carries an authentication tag made with the fleet's key for one proxy. It is rejected as a
 //!   whole if a byte of it was changed, or if its version or its time is invalid.
 //! - *Size.* A snapshot has at most [`MAX_SNAPSHOT_BYTES`]. What does not fit is left out, first the reports of other
 //!   proxies, as these send them again.
@@ -38,7 +38,7 @@
     pub since_boot: Duration,
 }
 
-/// Why a snapshot was refused.
+/// Why a snapshot was rejected.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SnapshotError {
     /// The length, given in bytes, is out of range.
@@ -56,7 +56,7 @@
     /// The host was booted since, or the snapshot is of another host.
     #[error("byte 10: stored in another boot of the host, so that its age is not known: expected this boot")]
     OtherBoot,
-    /// The snapshot is of the future or too old.
+    /// The time of the snapshot is in the future, or the snapshot is too old.
     #[error("byte 26: stored {stored_ms} ms after boot, read {now_ms} ms after boot: expected an age of 0 s to {max} s", max = MAX_SNAPSHOT_AGE.as_secs())]
     Time {
         /// When the snapshot was stored, in milliseconds since boot.
--- a/crates/verdicts/src/trial.rs
+++ b/crates/verdicts/src/trial.rs
@@ -1,4 +1,4 @@
-//! Selects the proxies that send trial attempts to an ejected node: a few in each turn, drawn without coordination.
+//! Selects the proxies that send trial attempts to an ejected node: a few in each turn, without coordination.
 
 use crate::{NodeId, ProcessId, Settings};
 use std::time::Duration;
@@ -7,11 +7,11 @@
 /// trials confirm does not lapse between them.
 const TURNS: u32 = 4;
 
-/// Whether this process is drawn to send requests to an ejected node now. `fleet_rate` is the number of attempts a
-/// second that all proxies together would make at the node if it were healthy. The draw is a hash that changes each
-/// turn, so that a proxy which cannot reach the node does not occupy a place for long; turns of different proxies need
-/// not start together.
-pub fn is_drawn_for_trials(
+/// Whether this process is selected to send requests to an ejected node now. `fleet_rate` is the number of attempts a
+/// second that all proxies together would make at the node if it were healthy. The selection uses a hash that changes
+/// each turn, so that a proxy which cannot reach the node is replaced soon; turns of different proxies need not start
+/// together.
+pub fn is_selected_for_trials(
     settings: &Settings,
     own_id: ProcessId,
     node: NodeId,
@@ -49,14 +49,20 @@
                     let ejected_for = settings.max_evidence_age / 4 * turn;
                     (0..proxies)
                         .filter(|id| {
-                            is_drawn_for_trials(&settings, ProcessId(*id as u32), NodeId(5), ejected_for, 5.0)
+                            is_selected_for_trials(
+                                &settings,
+                                ProcessId(*id as u32),
+                                NodeId(5),
+                                ejected_for,
+                                5.0,
+                            )
                         })
                         .count()
                 })
                 .sum();
             let attempts = drawn as f64 * rate_per_proxy * turn_seconds / f64::from(turns);
             assert!((2.3..3.7).contains(&attempts), "{proxies}: {attempts} a turn");
-            assert!(!is_drawn_for_trials(
+            assert!(!is_selected_for_trials(
                 &settings,
                 ProcessId(0),
                 NodeId(5),
@@ -69,7 +75,7 @@
     #[test]
     fn all_proxies_send_trials_where_traffic_is_low() {
         let settings = Settings::default();
-        assert!((0..3).all(|id| is_drawn_for_trials(
+        assert!((0..3).all(|id| is_selected_for_trials(
             &settings,
             ProcessId(id),
             NodeId(1),
--- a/crates/verdicts/tests/fleet.rs
+++ b/crates/verdicts/tests/fleet.rs
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn failures_at_all_nodes_alike_eject_none() {
+fn failures_at_all_nodes_eject_no_node() {
     let mut simulation =
         Simulation::new(SimulationConfig { request_rate: 60.0, ..SimulationConfig::default() });
     simulation.run(seconds(20));
--- a/crates/verdicts/tests/kept.rs
+++ b/crates/verdicts/tests/kept.rs
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn invalid_snapshots_are_refused_as_a_whole_with_the_position() {
+fn invalid_snapshots_are_rejected_as_a_whole_with_the_position() {
     let (bytes, stored_at) = snapshot_of_busy_fleet();
     let decode_elapsed =
         |bytes: &[u8], now| Snapshot::decode(bytes, &key(), proxy_id(3), now).map(|(_, elapsed)| elapsed);
@@ -170,7 +170,7 @@
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_are_refused_or_decoded_without_a_panic(body in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_rejected_or_decoded_without_a_panic(body in proptest::collection::vec(any::<u8>(), 0..200)) {
         let stored_at = BootTime { boot_id: BOOT_ID, since_boot: seconds(5) };
         prop_assert!(Snapshot::decode(&body, &key(), proxy_id(3), stored_at).is_err());
         // With a valid tag, so that the body is decoded, which may succeed.
