--- a/crates/operate/src/lifecycle.rs
+++ b/crates/operate/src/lifecycle.rs
@@ -6,10 +6,10 @@
 use gannetproxy::Time;
 use std::time::Duration;
 
-/// How long after the start of a drain the front still assigns new connections to this process. Clients whose
-/// connections were closed within this time would come back.
-const FRONT_REACTION_TIME: Duration = Duration::from_millis(500);
-/// After [`FRONT_REACTION_TIME`], a drain closes connections that have been idle for this long.
+/// How long after the start of a drain the load balancer in front of the proxies still assigns new connections to this
+/// process. Clients whose connections were closed within this time would return to it.
+const LOAD_BALANCER_REACTION_TIME: Duration = Duration::from_millis(500);
+/// After [`LOAD_BALANCER_REACTION_TIME`], a drain closes connections that have been idle for this long.
 const DRAIN_IDLE_TIME: Duration = Duration::from_millis(100);
 /// How long after the start of a drain every connection without a request in progress is closed.
 const CLOSE_ALL_IDLE_AFTER: Duration = Duration::from_secs(2);
@@ -29,7 +29,7 @@
 }
 
 impl Lifecycle {
-    /// A serving process whose classes have deadlines up to `longest_deadline`, in seconds.
+    /// Creates the state of a serving process whose classes have deadlines up to `longest_deadline`, in seconds.
     pub fn new(longest_deadline: Time) -> Self {
         Self {
             draining: None,
@@ -79,13 +79,14 @@
         self.draining.is_none() && self.handed_over.is_none() && self.stopping.is_none()
     }
 
-    /// The process accepts connections. A draining one does, because the front still assigns some to it.
+    /// The process accepts connections. A draining one does, because the load balancer still assigns some
+    /// to it.
     pub fn is_accepting(&self) -> bool {
         self.handed_over.is_none()
     }
 
-    /// Whether `/-/ready` answers yes, given a backend list. The answer is for the address: a process that has handed
-    /// it over answers yes on behalf of its successor, even while it stops.
+    /// Whether `/-/ready` answers yes once the process has a backend list. The answer is for the address: a process that
+    /// has handed the address over answers yes on behalf of its successor, even while it stops.
     pub fn is_ready(&self) -> bool {
         self.draining.is_none() && (self.handed_over.is_some() || self.stopping.is_none())
     }
@@ -114,7 +115,7 @@
         let draining_for = now.saturating_sub(self.draining?);
         match draining_for {
             draining_for if draining_for >= CLOSE_ALL_IDLE_AFTER => Some(Duration::ZERO),
-            draining_for if draining_for >= FRONT_REACTION_TIME => Some(DRAIN_IDLE_TIME),
+            draining_for if draining_for >= LOAD_BALANCER_REACTION_TIME => Some(DRAIN_IDLE_TIME),
             _ => None,
         }
     }
--- a/crates/operate/src/metrics.rs
+++ b/crates/operate/src/metrics.rs
@@ -86,7 +86,7 @@
 }
 
 impl Metrics {
-    /// Zeroed counters for classes with these names.
+    /// Creates zeroed counters for classes with these names.
     pub fn new(class_names: Vec<String>) -> Rc<Self> {
         let ended = RefCell::new(vec![ClassCounters::default(); class_names.len()]);
         let (received, pending) = (Cell::new(0), Cell::new(0));
--- a/crates/operate/src/stopping.rs
+++ b/crates/operate/src/stopping.rs
@@ -14,7 +14,7 @@
 /// Time before SIGKILL by which the process has exited.
 const EXIT_MARGIN: Duration = Duration::from_millis(100);
 /// Minimum fraction of the time to SIGKILL in which clients are served as before the stop: in a rolling restart the
-/// front may not use the replacement yet.
+/// load balancer may not use the replacement yet.
 const MIN_SERVING_FRACTION: f64 = 0.5;
 /// Maximum fraction of the time to SIGKILL in which clients are served as before the stop. Requests that are received
 /// late are lost if SIGKILL comes earlier than expected.
@@ -42,7 +42,7 @@
 }
 
 impl StopTiming {
-    /// For a proxy whose classes have deadlines up to `longest_deadline`, in seconds.
+    /// Creates the timing of a proxy whose classes have deadlines up to `longest_deadline`, in seconds.
     pub fn new(longest_deadline: Time) -> Self {
         let longest_deadline = Duration::try_from_secs_f64(longest_deadline)
             .map_or(MAX_COUNTED_DEADLINE, |longest_deadline| longest_deadline.min(MAX_COUNTED_DEADLINE));
--- a/crates/operate/tests/life.rs
+++ b/crates/operate/tests/life.rs
@@ -20,7 +20,11 @@
             && lifecycle.is_accepting()
             && lifecycle.is_announcing_close(ms(1000))
     );
-    assert_eq!(lifecycle.idle_close_threshold(ms(1100)), None, "the front may still assign connections");
+    assert_eq!(
+        lifecycle.idle_close_threshold(ms(1100)),
+        None,
+        "the load balancer may still assign connections"
+    );
     assert_eq!(lifecycle.idle_close_threshold(ms(1500)), Some(ms(100)));
     assert_eq!(lifecycle.idle_close_threshold(ms(3000)), Some(ms(0)));
     lifecycle.cancel_drain();
