--- a/crates/cluster/src/cluster.rs
+++ b/crates/cluster/src/cluster.rs
@@ -1,14 +1,14 @@
 //! Runs one planner of a cluster over TCP.
 
-use crate::fleet::{Command, Fleet};
+use crate::fleet::{AgreedState, Command};
 use crate::join::{GroupMembership, GroupState, Step, member_id, planner_number};
 use crate::lease_grantor::LeaseGrantor;
 use crate::link::{
-    Link, MAX_MESSAGE_BYTES, PlannerReply, PlannerRequest, PlannerStatus, RaftMessage, RaftReply,
-    RaftRequest, read, write,
+    MAX_MESSAGE_BYTES, PlannerConnection, PlannerReply, PlannerRequest, PlannerStatus, RaftMessage,
+    RaftReply, RaftRequest, read, write,
 };
 use crate::missing_nodes::drain_missing_nodes;
-use crate::raft::{self, Applied, FleetStateMachine, LogStore, Network, Raft};
+use crate::raft::{self, AgreedStateMachine, Applied, LogStore, Network, Raft};
 use dewpier_plan::io::{Planner, Role, Security, frame};
 use dewpier_plan::{AnnouncementVersion, Announcer, Node, PlannerMessage, lease_check_interval};
 use openraft::{EmptyNode, ServerState};
@@ -81,7 +81,7 @@
     start: Instant,
     local_state: Mutex<LocalState>,
     member: tokio::sync::Mutex<LocalMember>,
-    fleet: watch::Sender<Arc<Fleet>>,
+    fleet: watch::Sender<Arc<AgreedState>>,
     /// Time of the last contact with the leader, in milliseconds since the start, plus one; 0 for none.
     leader_contact_ms: AtomicU64,
     membership_changing: AtomicBool,
@@ -145,7 +145,7 @@
     }
 
     /// The agreed state; notifies of each change.
-    pub fn fleet(&self) -> watch::Receiver<Arc<Fleet>> {
+    pub fn fleet(&self) -> watch::Receiver<Arc<AgreedState>> {
         self.fleet.subscribe()
     }
 
@@ -174,10 +174,10 @@
         self.step_due.notify_one();
     }
 
-    /// Records a membership read, started at `began`, that found nothing newer than the last call of
+    /// Records a membership read, started at `started_at`, that found nothing newer than the last call of
     /// [`Cluster::observe`].
-    pub fn record_membership_read(&self, began: Instant) {
-        self.local_state().grantor.record_membership_read(began.saturating_duration_since(self.start));
+    pub fn record_membership_read(&self, started_at: Instant) {
+        self.local_state().grantor.record_membership_read(started_at.saturating_duration_since(self.start));
     }
 
     /// Whether membership must be read now, because another planner is silent and may know of drains that
@@ -220,7 +220,7 @@
 
     /// Announces the drain of nodes that other planners list and this one does not, until its own view is
     /// part of the agreed state.
-    fn announce_missing_nodes(&self, fleet: &Fleet) {
+    fn announce_missing_nodes(&self, fleet: &AgreedState) {
         let (drains, suspension_change) = {
             let mut state = self.local_state();
             let LocalState { announcer, grantor, .. } = &mut *state;
@@ -313,7 +313,7 @@
             addresses: self.settings.planners.clone(),
             security: self.settings.security.clone(),
         };
-        let state_machine = FleetStateMachine::new(self.fleet.clone());
+        let state_machine = AgreedStateMachine::new(self.fleet.clone());
         let started = Raft::new(member.member_id, config, network, LogStore::default(), state_machine).await;
         let raft = started.map_err(|error| error.to_string())?;
         member.group = Some((group, raft.clone()));
@@ -360,7 +360,7 @@
             }
         };
         if let Err(reason) = self.propose(raft, leader, command).await {
-            eprintln!("planner {own_number}: its view is not agreed yet: {reason}");
+            eprintln!("planner {own_number}: own view not agreed yet: {reason}");
         }
     }
 
@@ -379,7 +379,7 @@
         else {
             return Err("there is no leader".into());
         };
-        match Link::new(*address, self.settings.security.clone())
+        match PlannerConnection::new(*address, self.settings.security.clone())
             .request(&PlannerRequest::Propose(command), AGREEMENT_TIMEOUT)
             .await
         {
@@ -421,7 +421,9 @@
         let silent_planners: Vec<u32> =
             others.filter(|n| fleet.expelled_epoch(*n).is_none() && is_silent(n)).collect();
         for planner in silent_planners {
-            eprintln!("planner {own_number}: planner {planner} is silent: proposes to remove its view");
+            eprintln!(
+                "planner {own_number}: planner {planner} is silent, proposing to remove the view of that planner"
+            );
             let epoch = unix_millis.max(fleet.announcement_version(planner).map_or(0, |v| v.epoch));
             if let Err(reason) = self.propose(raft, None, Command::Expel { planner, epoch }).await {
                 eprintln!(
@@ -482,7 +484,7 @@
 
     /// Polls the status of another planner; never returns.
     async fn poll_planner(self: Arc<Self>, other: u32, address: SocketAddr) {
-        let mut link = Link::new(address, self.settings.security.clone());
+        let mut connection = PlannerConnection::new(address, self.settings.security.clone());
         let mut ticks = tokio::time::interval(lease_check_interval(self.settings.lease));
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -493,7 +495,7 @@
                 self.local_state().acknowledged.get(&other).copied().unwrap_or_default().max(agreed);
             let request = PlannerRequest::Status { from: self.settings.number, acknowledged };
             // A failed request shows as a missing answer.
-            if let Ok(PlannerReply::Status(status)) = link.request(&request, STATUS_TIMEOUT).await
+            if let Ok(PlannerReply::Status(status)) = connection.request(&request, STATUS_TIMEOUT).await
                 && status.number == other
             {
                 self.process_status(other, status, sent_at);
--- a/crates/cluster/src/fleet.rs
+++ b/crates/cluster/src/fleet.rs
@@ -91,14 +91,14 @@
 
 /// The agreed state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Fleet {
+pub struct AgreedState {
     base: u64,
     views: BTreeMap<u32, View>,
     term: u64,
     generation: u64,
 }
 
-impl Fleet {
+impl AgreedState {
     /// The base of the terms of plans.
     pub fn base(&self) -> u64 {
         self.base
--- a/crates/cluster/src/lease_grantor.rs
+++ b/crates/cluster/src/lease_grantor.rs
@@ -54,7 +54,7 @@
         self.suspended
     }
 
-    /// Records a peer's answer to a request sent at `asked`. Everything that the peer knew at that time is
+    /// Records a peer's answer to a request sent at `sent_at`. Everything that the peer knew at that time is
     /// known here. `epoch` identifies the run of the peer.
     pub fn record_answer(&mut self, number: u32, epoch: u64, sent_at: Duration, now: Duration) {
         let Some(peer) = self.peers.get_mut(&number) else { return };
@@ -66,11 +66,11 @@
         }
     }
 
-    /// Records a membership read, started at `began`, whose drains were all announced.
-    pub fn record_membership_read(&mut self, began: Duration) {
-        self.last_read = self.last_read.max(Some(began));
+    /// Records a membership read, started at `started_at`, whose drains were all announced.
+    pub fn record_membership_read(&mut self, started_at: Duration) {
+        self.last_read = self.last_read.max(Some(started_at));
         for peer in self.peers.values_mut() {
-            if peer.restarted_at.is_some_and(|since| began >= since) {
+            if peer.restarted_at.is_some_and(|since| started_at >= since) {
                 peer.restarted_at = None;
             }
         }
--- a/crates/cluster/src/link.rs
+++ b/crates/cluster/src/link.rs
@@ -127,14 +127,14 @@
 }
 
 /// A connection to another planner, opened on demand.
-pub struct Link {
+pub struct PlannerConnection {
     address: SocketAddr,
     security: Security,
     stream: Option<Stream>,
 }
 
-impl Link {
-    /// Creates a link to the planner at `address`.
+impl PlannerConnection {
+    /// Creates a connection to the planner at `address`.
     pub fn new(address: SocketAddr, security: Security) -> Self {
         Self { address, security, stream: None }
     }
--- a/crates/cluster/src/missing_nodes.rs
+++ b/crates/cluster/src/missing_nodes.rs
@@ -7,14 +7,14 @@
 //! nodes has probably read an incomplete inventory: it announces nothing, proposes no view and grants no
 //! leases until the nodes are back.
 
-use crate::fleet::Fleet;
+use crate::fleet::AgreedState;
 use crate::lease_grantor::LeaseGrantor;
 use dewpier_plan::{Announcer, PlannerMessage};
 
 /// Returns the drains to announce for an agreed state, and suspends or resumes grants. To be called before
 /// the plan of that state is published.
 pub fn drain_missing_nodes(
-    fleet: &Fleet,
+    fleet: &AgreedState,
     planner: u32,
     announcer: &mut Announcer,
     grantor: &mut LeaseGrantor,
@@ -54,8 +54,8 @@
         ids.iter().map(node).collect()
     }
 
-    fn new_planner(view: &[&str]) -> (Fleet, Announcer, LeaseGrantor) {
-        let mut fleet = Fleet::default();
+    fn new_planner(view: &[&str]) -> (AgreedState, Announcer, LeaseGrantor) {
+        let mut fleet = AgreedState::default();
         let version = AnnouncementVersion { epoch: 1, sequence: 1 };
         fleet
             .apply(
@@ -71,7 +71,7 @@
         (fleet, announcer, grantor)
     }
 
-    fn draining(fleet: &Fleet) -> Vec<String> {
+    fn draining(fleet: &AgreedState) -> Vec<String> {
         fleet.plan().nodes.into_iter().filter(|n| n.draining).map(|n| n.id).collect()
     }
 
--- a/crates/cluster/src/raft/mod.rs
+++ b/crates/cluster/src/raft/mod.rs
@@ -4,7 +4,7 @@
 mod store;
 
 pub use network::Network;
-pub use store::{FleetStateMachine, LogStore};
+pub use store::{AgreedStateMachine, LogStore};
 
 use crate::fleet::{Command, CommandRejection};
 use serde::{Deserialize, Serialize};
--- a/crates/cluster/src/raft/network.rs
+++ b/crates/cluster/src/raft/network.rs
@@ -2,7 +2,7 @@
 
 use super::Types;
 use crate::join::planner_number;
-use crate::link::{Link, PlannerReply, PlannerRequest, RaftMessage, RaftReply, RaftRequest};
+use crate::link::{PlannerConnection, PlannerReply, PlannerRequest, RaftMessage, RaftReply, RaftRequest};
 use dewpier_plan::io::Security;
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::{RPCOption, RaftNetwork, RaftNetworkFactory};
@@ -30,18 +30,18 @@
 pub struct Connection {
     group: u64,
     member: u64,
-    link: Option<Link>,
+    connection: Option<PlannerConnection>,
 }
 
 impl RaftNetworkFactory<Types> for Network {
     type Network = Connection;
 
     async fn new_client(&mut self, member: u64, _: &EmptyNode) -> Connection {
-        let link = self
+        let connection = self
             .addresses
             .get(&planner_number(member))
-            .map(|address| Link::new(*address, self.security.clone()));
-        Connection { group: self.group, member, link }
+            .map(|address| PlannerConnection::new(*address, self.security.clone()));
+        Connection { group: self.group, member, connection }
     }
 }
 
@@ -53,12 +53,12 @@
         message: RaftMessage,
         option: RPCOption,
     ) -> Result<RaftReply, Failure<E>> {
-        let Some(link) = &mut self.link else {
+        let Some(connection) = &mut self.connection else {
             let error = io::Error::other("no planner has the number of this member");
             return Err(RPCError::Unreachable(Unreachable::new(&error)));
         };
         let message = RaftRequest { group: self.group, member: self.member, message };
-        match link.request(&PlannerRequest::Member(Box::new(message)), option.hard_ttl()).await {
+        match connection.request(&PlannerRequest::Member(Box::new(message)), option.hard_ttl()).await {
             Ok(PlannerReply::Member(reply)) => Ok(*reply),
             // The planner is in another group or was restarted: retries can wait.
             Ok(PlannerReply::Rejected(reason)) => {
--- a/crates/cluster/src/raft/store.rs
+++ b/crates/cluster/src/raft/store.rs
@@ -2,7 +2,7 @@
 //! `join.rs`), so nothing needs to be persisted.
 
 use super::{Applied, Types};
-use crate::fleet::Fleet;
+use crate::fleet::AgreedState;
 use openraft::storage::{LogFlushed, LogState, RaftLogStorage, RaftStateMachine, Snapshot};
 use openraft::{
     Entry, EntryPayload, ErrorSubject, ErrorVerb, LogId, OptionalSend, RaftLogReader, RaftSnapshotBuilder,
@@ -90,24 +90,24 @@
 
 #[derive(Debug, Default)]
 struct AppliedState {
-    fleet: Arc<Fleet>,
+    fleet: Arc<AgreedState>,
     last_applied: Option<LogId<u64>>,
     membership: StoredMembership<u64, openraft::EmptyNode>,
     snapshot: Option<(SnapshotMeta<u64, openraft::EmptyNode>, Vec<u8>)>,
     snapshot_count: u64,
 }
 
-/// The Raft state machine around a [`Fleet`]. Publishes each new state to the watchers.
+/// The Raft state machine around an [`AgreedState`]. Publishes each new state to the watchers.
 #[derive(Clone, Debug)]
-pub struct FleetStateMachine {
+pub struct AgreedStateMachine {
     state: Arc<Mutex<AppliedState>>,
-    fleet_updates: watch::Sender<Arc<Fleet>>,
+    state_updates: watch::Sender<Arc<AgreedState>>,
 }
 
-impl FleetStateMachine {
-    /// Creates a state machine that publishes to `fleet_updates`.
-    pub fn new(fleet_updates: watch::Sender<Arc<Fleet>>) -> Self {
-        Self { state: Arc::default(), fleet_updates }
+impl AgreedStateMachine {
+    /// Creates a state machine that publishes to `state_updates`.
+    pub fn new(state_updates: watch::Sender<Arc<AgreedState>>) -> Self {
+        Self { state: Arc::default(), state_updates }
     }
 
     fn state(&self) -> MutexGuard<'_, AppliedState> {
@@ -115,7 +115,7 @@
     }
 }
 
-impl RaftSnapshotBuilder<Types> for FleetStateMachine {
+impl RaftSnapshotBuilder<Types> for AgreedStateMachine {
     async fn build_snapshot(&mut self) -> Result<Snapshot<Types>, Failure> {
         let mut state = self.state();
         let mut bytes = Vec::new();
@@ -133,7 +133,7 @@
     }
 }
 
-impl RaftStateMachine<Types> for FleetStateMachine {
+impl RaftStateMachine<Types> for AgreedStateMachine {
     type SnapshotBuilder = Self;
 
     async fn applied_state(
@@ -149,7 +149,7 @@
         I::IntoIter: OptionalSend,
     {
         let mut state = self.state();
-        let mut fleet = Fleet::clone(&state.fleet);
+        let mut fleet = AgreedState::clone(&state.fleet);
         let (mut applied, mut changed) = (Vec::new(), false);
         for entry in entries {
             state.last_applied = Some(entry.log_id);
@@ -168,7 +168,7 @@
         }
         if changed {
             state.fleet = Arc::new(fleet);
-            self.fleet_updates.send_replace(state.fleet.clone());
+            self.state_updates.send_replace(state.fleet.clone());
         }
         Ok(applied)
     }
@@ -187,7 +187,7 @@
         snapshot: Box<Cursor<Vec<u8>>>,
     ) -> Result<(), Failure> {
         let bytes = snapshot.into_inner();
-        let fleet: Fleet = ciborium::from_reader(bytes.as_slice()).map_err(|error| {
+        let fleet: AgreedState = ciborium::from_reader(bytes.as_slice()).map_err(|error| {
             let error = std::io::Error::other(error.to_string());
             StorageIOError::new(ErrorSubject::Snapshot(Some(meta.signature())), ErrorVerb::Read, &error)
         })?;
@@ -196,7 +196,7 @@
         state.last_applied = meta.last_log_id;
         state.membership = meta.last_membership.clone();
         state.snapshot = Some((meta.clone(), bytes));
-        self.fleet_updates.send_replace(state.fleet.clone());
+        self.state_updates.send_replace(state.fleet.clone());
         Ok(())
     }
 
--- a/crates/cluster/tests/fleet.rs
+++ b/crates/cluster/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! The agreed state, checked against a simple model with random commands. Seeded.
 
-use dewpier_cluster::fleet::{Command, CommandRejection, Fleet};
+use dewpier_cluster::fleet::{AgreedState, Command, CommandRejection};
 use dewpier_plan::{AnnouncementVersion, Node};
 use dewpier_standins::rng::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -38,7 +38,7 @@
     for _ in 0..seeds {
         let seed = rng.next_u64();
         let mut rng = Rng::new(seed);
-        let mut fleet = Fleet::default();
+        let mut fleet = AgreedState::default();
         let mut planners: Vec<PlannerModel> = (0..3).map(|_| PlannerModel::default()).collect();
         let mut last_version = fleet.plan().version;
         let ids: Vec<String> = (0..5).map(|i| format!("n{i}")).collect();
@@ -159,7 +159,7 @@
             // Encoding and decoding does not change the state.
             let mut bytes = Vec::new();
             ciborium::into_writer(&fleet, &mut bytes).unwrap();
-            assert_eq!(ciborium::from_reader::<Fleet, _>(bytes.as_slice()).unwrap(), fleet);
+            assert_eq!(ciborium::from_reader::<AgreedState, _>(bytes.as_slice()).unwrap(), fleet);
         }
     }
     assert!(applied > 5000 && draining > 5000 && outdated > 500, "{applied} {draining} {outdated}");
@@ -167,7 +167,7 @@
 
 #[test]
 fn higher_base_gives_newer_plans_and_invalid_views_are_rejected() {
-    let mut fleet = Fleet::default();
+    let mut fleet = AgreedState::default();
     assert_eq!(fleet.apply(3, 1, Command::Base(100)), Ok(true));
     assert_eq!(fleet.plan().version.generation, 0, "no planner has a view yet");
     let view = |epoch, count: usize| Command::View {
--- a/crates/dewpier/benches/day.rs
+++ b/crates/dewpier/benches/day.rs
@@ -439,7 +439,7 @@
             match action {
                 Action::Send { id, backend, timeout } => {
                     let forwarder = &mut self.forwarders[f];
-                    let node = forwarder.members.node_names().get(&backend).and_then(|n| n[1..].parse().ok());
+                    let node = forwarder.tracker.node_names().get(&backend).and_then(|n| n[1..].parse().ok());
                     let open = forwarder.open_requests.get_mut(&id.0).expect("the request is known");
                     let attempt = open.attempts.len();
                     open.attempts.push(Attempt {
--- a/crates/dewpier/src/config/fleet.rs
+++ b/crates/dewpier/src/config/fleet.rs
@@ -20,15 +20,15 @@
 /// Longest name of a proxy, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// The fleet that a proxy belongs to.
+/// The configuration of a proxy's fleet.
 #[derive(Clone, Debug)]
-pub struct Fleet {
+pub struct FleetConfig {
     /// The proxy's name, unique in the fleet.
     pub name: String,
     /// Names of the other proxies.
     pub peers: BTreeSet<String>,
     /// The transport of datagrams between the proxies.
-    pub carrier: Carrier,
+    pub carrier: TransportConfig,
     /// The key that all proxies of the fleet share.
     pub key: Key,
     /// Interval between datagrams to each partner.
@@ -39,9 +39,9 @@
     pub verdict_settings: dewpier_verdicts::Settings,
 }
 
-/// The transport of datagrams between proxies.
+/// The configured transport of datagrams between proxies.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Carrier {
+pub enum TransportConfig {
     /// UDP sockets.
     Datagrams {
         /// The address on which datagrams are received.
@@ -162,7 +162,7 @@
     raw: &RawFleet,
     follows_planners: bool,
     path: &Path,
-) -> Result<Fleet, InvalidValue> {
+) -> Result<FleetConfig, InvalidValue> {
     let uses_planners = uses_planners(raw, follows_planners)?;
     let own_name = check_name(&raw.name)?;
     let listed = raw.peers.get_ref();
@@ -218,11 +218,11 @@
         ..dewpier_verdicts::Settings::default()
     };
     let carrier = match check_address(&raw.listen, "listen", uses_planners, raw.name.span())? {
-        Some(listen) => Carrier::Datagrams { listen, peer_addresses: addresses },
-        None => Carrier::Planners,
+        Some(listen) => TransportConfig::Datagrams { listen, peer_addresses: addresses },
+        None => TransportConfig::Planners,
     };
     let snapshot_file = raw.snapshot_file.as_ref().map(|raw| check_snapshot_path(raw, path)).transpose()?;
-    Ok(Fleet {
+    Ok(FleetConfig {
         name: own_name,
         peers,
         carrier,
--- a/crates/dewpier/src/config/mod.rs
+++ b/crates/dewpier/src/config/mod.rs
@@ -13,7 +13,7 @@
 mod tests;
 
 pub use check::ConfigError;
-pub use fleet::{Carrier, Fleet};
+pub use fleet::{FleetConfig, TransportConfig};
 pub use inventory::Inventory;
 pub use mysql::{MySqlConfig, Secrets, hash_password};
 pub use planner::PlannerConfig;
@@ -63,7 +63,7 @@
     /// The zone that the proxy is in.
     pub zone: String,
     /// The fleet that the proxy belongs to, if any.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<FleetConfig>,
 }
 
 /// The source of a backend list.
--- a/crates/dewpier/src/config/tests.rs
+++ b/crates/dewpier/src/config/tests.rs
@@ -73,7 +73,9 @@
         (fleet.name.as_str(), fleet.verdict_settings.fleet_size, fleet.verdict_settings.quorum),
         ("proxy-1", 2, 2)
     );
-    let Carrier::Datagrams { listen, peer_addresses } = fleet.carrier else { panic!("{:?}", fleet.carrier) };
+    let TransportConfig::Datagrams { listen, peer_addresses } = fleet.carrier else {
+        panic!("{:?}", fleet.carrier)
+    };
     assert!(
         listen.ip().is_loopback() && peer_addresses.values().all(|address| address.ip().is_loopback()),
         "{listen} {peer_addresses:?}"
@@ -248,7 +250,7 @@
     };
     let names = "name = \"a\"\nkey_file = \"key\"\npeers = [{ name = \"a\" }, { name = \"b\" }]";
     let fleet = read_with_planners(names).unwrap().fleet.unwrap();
-    assert_eq!((fleet.peers.len(), fleet.carrier), (1, Carrier::Planners));
+    assert_eq!((fleet.peers.len(), fleet.carrier), (1, TransportConfig::Planners));
     for settings in [
         format!("{names}\nlisten = \"127.0.0.1:1\""),
         names.replace("\"b\"", "\"b\", address = \"1.1.1.1:1\""),
--- a/crates/dewpier/src/fleet.rs
+++ b/crates/dewpier/src/fleet.rs
@@ -1,7 +1,7 @@
 //! A proxy's part in its fleet: turns the outcomes of its attempts into evidence about nodes, exchanges evidence with
 //! the other proxies, and passes the resulting verdicts to the decision module as backend hints.
 
-use crate::config::Fleet as FleetConfig;
+use crate::config::FleetConfig;
 use crate::error::ServeError;
 use crate::fleet_transport::FleetTransport;
 use crate::snapshot_file;
@@ -45,7 +45,7 @@
     pub serving: bool,
 }
 
-/// The parts of a [`Fleet`] that change.
+/// The parts of a [`FleetParticipant`] that change.
 struct State {
     peers: Peers,
     verdicts: Verdicts,
@@ -72,7 +72,7 @@
 }
 
 /// A proxy's part in its fleet.
-pub(crate) struct Fleet {
+pub(crate) struct FleetParticipant {
     state: RefCell<State>,
     config: FleetConfig,
     start: Instant,
@@ -92,13 +92,13 @@
     summary: VerdictSummary,
 }
 
-impl Fleet {
+impl FleetParticipant {
     /// Starts with these request classes and no evidence, and reads the snapshot of a predecessor if there is one. No
     /// evidence is sent before the first list is set.
     pub fn start(config: FleetConfig, zone: &str, classes: Vec<String>) -> Rc<Self> {
         let start = Instant::now();
         let now = clock_offset(&config);
-        // Zero stands for no process.
+        // Zero is not a valid process.
         let incarnation = (crate::list_updater::random_seed() as u32).max(1);
         let own_process = Process { proxy: ProxyId::from_name(&config.name), incarnation };
         let others: Vec<ProxyId> = config.peers.iter().map(|name| ProxyId::from_name(name)).collect();
--- a/crates/dewpier/src/fleet_transport.rs
+++ b/crates/dewpier/src/fleet_transport.rs
@@ -1,6 +1,6 @@
 //! Transports of datagrams between the proxies of a fleet: a UDP socket, or relaying by the planners of a forwarder.
 
-use crate::config::Carrier;
+use crate::config::TransportConfig;
 use crate::error::ServeError;
 use dewpier_peers::io::{Transport, UdpTransport};
 use dewpier_peers::{OutgoingDatagram, ProxyId};
@@ -45,9 +45,9 @@
 
 impl FleetTransport {
     /// Starts the configured transport. Fails if the UDP socket cannot be bound.
-    pub async fn start(carrier: &Carrier, relay: Option<PlannerRelay>) -> Result<Self, ServeError> {
-        match (carrier, relay) {
-            (Carrier::Datagrams { listen, peer_addresses }, _) => {
+    pub async fn start(config: &TransportConfig, relay: Option<PlannerRelay>) -> Result<Self, ServeError> {
+        match (config, relay) {
+            (TransportConfig::Datagrams { listen, peer_addresses }, _) => {
                 let add_setting = |error: io::Error| {
                     io::Error::new(error.kind(), format!("fleet.listen {listen}: {error}"))
                 };
@@ -58,9 +58,9 @@
                     .collect();
                 Ok(Self::Udp(UdpTransport { socket, addresses }))
             }
-            (Carrier::Planners, Some(relay)) => Ok(Self::Planners(relay)),
+            (TransportConfig::Planners, Some(relay)) => Ok(Self::Planners(relay)),
             // Unreachable: the check of the configuration rejects it.
-            (Carrier::Planners, None) => Err(io::Error::new(
+            (TransportConfig::Planners, None) => Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
                 "fleet.carrier: expected a forwarder with [planners], found none",
             )
--- a/crates/dewpier/src/list_updater.rs
+++ b/crates/dewpier/src/list_updater.rs
@@ -1,10 +1,10 @@
 //! Applies the lists of a source to an engine of any protocol, and reports what the engine counts to planners.
 
 use crate::error::ServeError;
-use crate::fleet::Fleet;
+use crate::fleet::FleetParticipant;
 use crate::lists::ListSource;
 use crate::lists::resolve::ResolvedBackends;
-use crate::members::Members;
+use crate::members::NodeTracker;
 use dewpier_inventory::{Backend, State};
 use dewpier_plan::{Digest, MAX_DIGEST_NODES};
 use gannetproxy::BackendId;
@@ -24,17 +24,17 @@
 /// Keeps the backend list of an engine up to date.
 pub(crate) struct ListUpdater {
     source: ListSource,
-    members: Members,
+    tracker: NodeTracker,
     first_list: ResolvedBackends,
     /// The fleet that is notified of every list, if any.
-    fleet: Option<Rc<Fleet>>,
+    fleet: Option<Rc<FleetParticipant>>,
 }
 
 impl ListUpdater {
     /// Waits for the first list, without which nothing can be served. Fails if the source has none.
     pub async fn start(mut source: ListSource, zones: Vec<String>) -> Result<Self, ServeError> {
         let first_list = source.first_list().await?;
-        Ok(Self { source, members: Members::new(zones), first_list, fleet: None })
+        Ok(Self { source, tracker: NodeTracker::new(zones), first_list, fleet: None })
     }
 
     /// The lease that limits how long the lists may be used.
@@ -43,7 +43,7 @@
     }
 
     /// Notifies the fleet of every list from now on.
-    pub fn notify_fleet(&mut self, fleet: Rc<Fleet>) {
+    pub fn notify_fleet(&mut self, fleet: Rc<FleetParticipant>) {
         self.fleet = Some(fleet);
     }
 
@@ -51,8 +51,8 @@
     pub fn apply_first_list<U: Upstream>(&mut self, engine: &Engine<U>) {
         let first_list = std::mem::take(&mut self.first_list);
         let update =
-            self.members.update_nodes(&as_pairs(&first_list), &self.source.node_ages(), engine.clock().now());
-        self.fleet.iter().for_each(|fleet| fleet.set_nodes(self.members.nodes()));
+            self.tracker.update_nodes(&as_pairs(&first_list), &self.source.node_ages(), engine.clock().now());
+        self.fleet.iter().for_each(|fleet| fleet.set_nodes(self.tracker.nodes()));
         engine.update_list(match update {
             BackendListUpdate::Full(list) => BackendListUpdate::Remembered(list),
             other => other,
@@ -63,7 +63,7 @@
 
     /// Applies all further lists until it is dropped. `reload` makes the source read its files at once.
     pub async fn run<U: Upstream>(self, engine: Rc<Engine<U>>, reload: &Notify) {
-        let Self { mut source, mut members, fleet, .. } = self;
+        let Self { mut source, mut tracker, fleet, .. } = self;
         let (mut budgets, digests) = source.planner_channels().unzip();
         let mut digest_ticks = tokio::time::interval(DIGEST_INTERVAL);
         digest_ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -72,20 +72,20 @@
             tokio::select! {
                 result = source.next_list() => match result {
                     Ok(list) => {
-                        let update = members.update_nodes(&as_pairs(&list), &source.node_ages(), engine.clock().now());
-                        fleet.iter().for_each(|fleet| fleet.set_nodes(members.nodes()));
+                        let update = tracker.update_nodes(&as_pairs(&list), &source.node_ages(), engine.clock().now());
+                        fleet.iter().for_each(|fleet| fleet.set_nodes(tracker.nodes()));
                         engine.update_list(update);
                         source.mark_applied();
-                        members.forget_unknown_ids(|id| engine.has_backend(id));
+                        tracker.forget_unknown_ids(|id| engine.has_backend(id));
                         eprintln!("dewpier: {}", summarize(&list, source.source_name()));
                     }
                     Err(reason) => eprintln!("dewpier: the last good list serves on: {reason}"),
                 },
-                latest = ListSource::next_budgets(&mut budgets) => engine.update_list(members.update_budgets(latest)),
+                latest = ListSource::next_budgets(&mut budgets) => engine.update_list(tracker.update_budgets(latest)),
                 _ = digest_ticks.tick(), if digests.is_some() => {
                     let interval = last_digest.elapsed();
                     last_digest = Instant::now();
-                    let digest = build_digest(engine.take_counts(), &members.node_names(), interval);
+                    let digest = build_digest(engine.take_counts(), &tracker.node_names(), interval);
                     digests.iter().for_each(|sender| drop(sender.send_replace(digest.clone())));
                 }
                 () = reload.notified() => source.reload(),
@@ -112,14 +112,16 @@
     };
     for (id, counts) in counts_by_id {
         match names.get(&id) {
-            Some(name) if digest.nodes.len() < MAX_DIGEST_NODES => digest.nodes.push(dewpier_plan::Counts {
-                id: name.to_string(),
-                in_flight: counts.in_flight,
-                sent: counts.sent,
-                served: counts.served,
-                failed: counts.failed,
-                served_ms: (counts.served_time * 1000.0) as u64,
-            }),
+            Some(name) if digest.nodes.len() < MAX_DIGEST_NODES => {
+                digest.nodes.push(dewpier_plan::NodeCounts {
+                    id: name.to_string(),
+                    in_flight: counts.in_flight,
+                    sent: counts.sent,
+                    served: counts.served,
+                    failed: counts.failed,
+                    served_ms: (counts.served_time * 1000.0) as u64,
+                })
+            }
             _ => digest.other_served = digest.other_served.saturating_add(counts.served),
         }
     }
--- a/crates/dewpier/src/run.rs
+++ b/crates/dewpier/src/run.rs
@@ -1,9 +1,9 @@
 //! Runs a proxy or a forwarder from a checked configuration: connects its list source, engine, server, MySQL front,
 //! fleet and operator calls.
 
-use crate::config::{Carrier, Config, ListSourceConfig};
+use crate::config::{Config, ListSourceConfig, TransportConfig};
 use crate::error::ServeError;
-use crate::fleet::Fleet;
+use crate::fleet::FleetParticipant;
 use crate::fleet_transport::{self, FleetTransport};
 use crate::list_updater::{ListUpdater, random_seed};
 use crate::lists::ListSource;
@@ -63,7 +63,7 @@
         fleet,
     } = config;
     let (relay_transport, relay) = match &fleet {
-        Some(config) if config.carrier == Carrier::Planners => {
+        Some(config) if config.carrier == TransportConfig::Planners => {
             let (transport, relay) = fleet_transport::planner_relay(ProxyId::from_name(&config.name));
             (Some(transport), Some(relay))
         }
@@ -100,7 +100,7 @@
         list_updater.lease(),
     );
     let carrier = fleet.as_ref().map(|config| config.carrier.clone());
-    let fleet = fleet.map(|config| Fleet::start(config, &zone, wire.classes.clone()));
+    let fleet = fleet.map(|config| FleetParticipant::start(config, &zone, wire.classes.clone()));
     let transport = match carrier {
         Some(carrier) => Some(FleetTransport::start(&carrier, relay_transport).await?),
         None => None,
--- a/crates/dewpier/tests/levels/forwarder.rs
+++ b/crates/dewpier/tests/levels/forwarder.rs
@@ -2,8 +2,8 @@
 //! deadlines.
 
 use dewpier::lists::nodes::backend_from_node;
-use dewpier::members::Members;
-use dewpier_plan::{Counts, Digest, DrainBound, Follower, Node, Slice, Standby, StandbySettings};
+use dewpier::members::NodeTracker;
+use dewpier_plan::{Digest, DrainBound, Follower, Node, NodeCounts, Slice, Standby, StandbySettings};
 use gannetproxy::engine::{BackendListUpdate, ListedBackend};
 use gannetproxy::{Action, BackendEntry, BackendId, Balancer, Event, ListUpdate, Settings, Status};
 use std::collections::HashMap;
@@ -28,7 +28,7 @@
 pub struct Forwarder {
     pub follower: Follower,
     pub standby: Standby,
-    pub members: Members,
+    pub tracker: NodeTracker,
     pub balancer: Balancer,
     /// When the lease on the backend list ends, in microseconds; `None` for a lease without an end.
     pub lease_end: Option<u64>,
@@ -36,7 +36,7 @@
     pub send_deadlines: HashMap<BackendId, Option<u64>>,
     pub open_requests: HashMap<u64, OpenRequest>,
     pub request_count: u64,
-    pub counts: HashMap<BackendId, Counts>,
+    pub counts: HashMap<BackendId, NodeCounts>,
     pub has_list: bool,
     pub is_watching: bool,
     /// Index of the latest membership state that its own watch has read.
@@ -58,7 +58,7 @@
             // Half of the maximum grace period.
             grace: drains.max_grace().as_micros() as u64 / 2,
             standby: Standby::new(standby_settings),
-            members: Members::new(Vec::new()),
+            tracker: NodeTracker::new(Vec::new()),
             balancer: Balancer::new(now as f64 / 1e6, seed, settings),
             lease_end: Some(now),
             send_deadlines: HashMap::new(),
@@ -108,7 +108,7 @@
         let age = |n: &Node| Some((n.id.clone(), n.age_ms? as f64 / 1000.0));
         let ages = nodes.iter().filter_map(age).collect();
         let grace = if self.has_lease(now) { self.grace } else { 0 };
-        let update = self.members.update_nodes(&addressed, &ages, now as f64 / 1e6);
+        let update = self.tracker.update_nodes(&addressed, &ages, now as f64 / 1e6);
         let BackendListUpdate::Full(list) = update else { panic!("{update:?}") };
         for (id, deadline) in &mut self.send_deadlines {
             if list.iter().all(|l| l.entry.id != *id) {
@@ -130,7 +130,7 @@
     }
 
     pub fn apply_budgets(&mut self, now: u64, actions: &mut Vec<Action>) {
-        if let BackendListUpdate::Changes(list) = self.members.update_budgets(self.follower.budgets()) {
+        if let BackendListUpdate::Changes(list) = self.tracker.update_budgets(self.follower.budgets()) {
             let entries: Vec<BackendEntry> = list.into_iter().map(|l| l.entry).collect();
             self.handle_event(now, Event::List(ListUpdate::Changes(&entries)), actions);
         }
@@ -142,9 +142,10 @@
 
     /// Builds the digest of an interval in microseconds and resets the counts.
     pub fn take_digest(&mut self, interval: u64) -> Digest {
-        let names = self.members.node_names();
-        let with_name =
-            |(id, counts): (BackendId, Counts)| Some(Counts { id: names.get(&id)?.to_string(), ..counts });
+        let names = self.tracker.node_names();
+        let with_name = |(id, counts): (BackendId, NodeCounts)| {
+            Some(NodeCounts { id: names.get(&id)?.to_string(), ..counts })
+        };
         let nodes = self.counts.drain().filter_map(with_name).collect();
         Digest { interval_ms: (interval / 1000) as u32, nodes, other_served: 0 }
     }
--- a/crates/dewpier/tests/levels/planner.rs
+++ b/crates/dewpier/tests/levels/planner.rs
@@ -1,6 +1,6 @@
 //! A simulated planner: the planner's own modules and a replica of the agreed fleet state.
 
-use dewpier_cluster::fleet::{Command, Fleet};
+use dewpier_cluster::fleet::{AgreedState, Command};
 use dewpier_cluster::lease_grantor::LeaseGrantor;
 use dewpier_plan::{AnnouncementVersion, Announcer, Loads, Node, PlannerMessage, Publisher, SentPlan};
 use std::collections::{BTreeSet, HashMap};
@@ -11,7 +11,7 @@
     pub announcer: Announcer,
     pub publisher: Publisher,
     pub lease_grantor: LeaseGrantor,
-    pub fleet: Fleet,
+    pub fleet: AgreedState,
     pub loads: Loads,
     /// The number of the consensus group that it belongs to; `u64::MAX` for none.
     pub group: u64,
@@ -36,7 +36,7 @@
             announcer: Announcer::new(number, epoch),
             publisher: Publisher::with_max_lease(lease),
             lease_grantor: LeaseGrantor::new((0..3).filter(|n| *n != number), lease),
-            fleet: Fleet::default(),
+            fleet: AgreedState::default(),
             loads: Loads::default(),
             group: u64::MAX,
             applied: 0,
--- a/crates/dewpier/tests/levels/world.rs
+++ b/crates/dewpier/tests/levels/world.rs
@@ -1139,7 +1139,7 @@
             return self.schedule(process_id, 0, SimulationEvent::EndAttempt { request, attempt, outcome });
         }
         attempt_state.is_written = true;
-        let names = forwarder.members.node_names();
+        let names = forwarder.tracker.node_names();
         // A node that has left the list keeps its id until its send deadline.
         let node = names.get(&backend).and_then(|name| name[1..].parse::<usize>().ok());
         if let Some(node) = node {
--- a/crates/plan/benches/growth.rs
+++ b/crates/plan/benches/growth.rs
@@ -15,7 +15,7 @@
 use dewpier_plan::io::{FollowEvent, FollowSettings, Planner, RelayChannel, Security, follow};
 use dewpier_plan::wire::{write_forwarder_message, write_planner_message};
 use dewpier_plan::{
-    AnnouncementVersion, Counts, Digest, Follower, ForwarderMessage, MAX_DIGEST_NODES, Node, Plan,
+    AnnouncementVersion, Digest, Follower, ForwarderMessage, MAX_DIGEST_NODES, Node, NodeCounts, Plan,
     PlannerMessage, RelayedMessage, Slice, Version,
 };
 use std::cell::RefCell;
@@ -63,7 +63,7 @@
 
 /// The digest of a forwarder for one second.
 fn digest(nodes: usize, forwarder: usize) -> Digest {
-    let counts = |i: usize| Counts {
+    let counts = |i: usize| NodeCounts {
         id: name((forwarder * 7 + i) % nodes),
         in_flight: 1,
         sent: 12,
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -107,7 +107,7 @@
 
 /// What a forwarder counted for one node since its last digest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct NodeCounts {
     /// Name of the node.
     pub id: String,
     /// Attempts that are open now.
@@ -128,7 +128,7 @@
     /// Length of the interval in milliseconds; at least 1.
     pub interval_ms: u32,
     /// Counts of the nodes that were sent the most attempts.
-    pub nodes: Vec<Counts>,
+    pub nodes: Vec<NodeCounts>,
     /// Attempts served by all other nodes together.
     pub other_served: u32,
 }
--- a/crates/plan/src/loads.rs
+++ b/crates/plan/src/loads.rs
@@ -123,11 +123,15 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::Counts;
+    use crate::NodeCounts;
 
     fn digest(nodes: &[(&str, u32)]) -> Digest {
-        let counts =
-            |(id, n): &(&str, u32)| Counts { id: id.to_string(), sent: *n, served: *n, ..Counts::default() };
+        let counts = |(id, n): &(&str, u32)| NodeCounts {
+            id: id.to_string(),
+            sent: *n,
+            served: *n,
+            ..NodeCounts::default()
+        };
         Digest { interval_ms: 500, nodes: nodes.iter().map(counts).collect(), other_served: 0 }
     }
 
--- a/crates/plan/src/standby.rs
+++ b/crates/plan/src/standby.rs
@@ -42,10 +42,10 @@
 enum Phase {
     /// Uses the plan.
     Plan,
-    /// Silence was detected at `from`; the own watch begins at `at`.
-    Waiting { from: Duration, at: Duration },
+    /// Silence was detected at `silent_since`; the own watch begins at `watch_at`.
+    Waiting { silent_since: Duration, watch_at: Duration },
     /// The own watch has begun, and has delivered no list yet.
-    AwaitingList { from: Duration },
+    AwaitingList { silent_since: Duration },
     /// Uses the list of the own watch.
     OwnList,
 }
@@ -97,14 +97,14 @@
             Phase::Plan if follower.is_silent() && self.settings.own_watch => {
                 self.own_list_failed = false;
                 Phase::Waiting {
-                    from: now,
-                    at: now + self.settings.spread.mul_f64(random_fraction.clamp(0.0, 1.0)),
+                    silent_since: now,
+                    watch_at: now + self.settings.spread.mul_f64(random_fraction.clamp(0.0, 1.0)),
                 }
             }
             Phase::Waiting { .. } | Phase::AwaitingList { .. } if !follower.is_silent() => Phase::Plan,
-            Phase::Waiting { from, at } if now >= at => {
+            Phase::Waiting { silent_since, watch_at } if now >= watch_at => {
                 (self.last_read, self.unanswered_reads) = (now, 0);
-                Phase::AwaitingList { from }
+                Phase::AwaitingList { silent_since }
             }
             Phase::OwnList
                 if follower.answered_rounds() >= RETURN_AFTER_ROUNDS && now < follower.lease_end() =>
@@ -166,11 +166,11 @@
         self.unanswered_reads = self.unanswered_reads.saturating_add(1);
     }
 
-    /// Records a membership read of the own watch, started at `began`, that found nothing newer than the last
+    /// Records a membership read of the own watch, started at `started_at`, that found nothing newer than the last
     /// list passed to [`Standby::receive_own_list`].
-    pub fn record_read(&mut self, began: Duration) {
-        if began > self.last_read {
-            (self.last_read, self.unanswered_reads) = (began, 0);
+    pub fn record_read(&mut self, started_at: Duration) {
+        if started_at > self.last_read {
+            (self.last_read, self.unanswered_reads) = (started_at, 0);
         }
     }
 
@@ -207,15 +207,20 @@
     /// The time until which new requests may be sent to the current nodes. None: without limit, or until some
     /// source answers again.
     pub fn send_deadline(&self, follower: &Follower, now: Duration) -> Option<Duration> {
-        let awaits_list =
-            |from: Duration| !self.own_list_failed && now < from + self.settings.spread + FIRST_LIST_TIMEOUT;
+        let awaits_list = |silent_since: Duration| {
+            !self.own_list_failed && now < silent_since + self.settings.spread + FIRST_LIST_TIMEOUT
+        };
         match self.phase {
             // The own watch does not answer repeated reads; its last list stays in use.
             Phase::OwnList if self.unanswered_reads >= SILENT_AFTER_ROUNDS => None,
             Phase::OwnList => Some(self.last_read + self.settings.lease),
             _ if follower.version().is_none() => Some(Duration::ZERO),
             Phase::Plan if follower.is_silent() && !self.settings.own_watch => None,
-            Phase::Waiting { from, .. } | Phase::AwaitingList { from } if !awaits_list(from) => None,
+            Phase::Waiting { silent_since, .. } | Phase::AwaitingList { silent_since }
+                if !awaits_list(silent_since) =>
+            {
+                None
+            }
             _ => Some(follower.lease_end()),
         }
     }
--- a/crates/plan/src/wire.rs
+++ b/crates/plan/src/wire.rs
@@ -6,9 +6,9 @@
 //! an invalid value is rejected as a whole.
 
 use crate::{
-    AnnouncementVersion, Counts, Delta, Digest, ForwarderMessage, MAX_DIGEST_NODES, MAX_MESSAGES_PER_RELAY,
-    MAX_NAME_BYTES, MAX_NODES, MAX_PLANNERS, MAX_RELAYED_MESSAGE_BYTES, Node, Plan, PlannerMessage,
-    RelayedMessage, Version,
+    AnnouncementVersion, Delta, Digest, ForwarderMessage, MAX_DIGEST_NODES, MAX_MESSAGES_PER_RELAY,
+    MAX_NAME_BYTES, MAX_NODES, MAX_PLANNERS, MAX_RELAYED_MESSAGE_BYTES, Node, NodeCounts, Plan,
+    PlannerMessage, RelayedMessage, Version,
 };
 use prost::Message;
 use std::net::SocketAddr;
@@ -359,7 +359,7 @@
     }
     let decode_counts = |raw: RawCounts| {
         let RawCounts { id, in_flight, sent, served, failed, took_ms } = raw;
-        Ok(Counts { id: check_name("id", id, 1)?, in_flight, sent, served, failed, served_ms: took_ms })
+        Ok(NodeCounts { id: check_name("id", id, 1)?, in_flight, sent, served, failed, served_ms: took_ms })
     };
     let nodes = raw.nodes.into_iter().map(decode_counts).collect::<Result<_, _>>()?;
     Ok(Digest { interval_ms: raw.span_ms, nodes, other_served: raw.rest })
@@ -474,7 +474,7 @@
         ForwarderMessage::Heartbeat { number } => raw.beat = Some(*number),
         ForwarderMessage::Resend => raw.resend = true,
         ForwarderMessage::Digest(digest) => {
-            let encode_counts = |c: &Counts| RawCounts {
+            let encode_counts = |c: &NodeCounts| RawCounts {
                 id: c.id.clone(),
                 in_flight: c.in_flight,
                 sent: c.sent,
--- a/crates/plan/tests/hostile.rs
+++ b/crates/plan/tests/hostile.rs
@@ -7,8 +7,8 @@
 use dewpier_plan::io::{FollowEvent, FollowSettings, Planner, Security, follow};
 use dewpier_plan::wire::{read_forwarder_message, write_forwarder_message, write_planner_message};
 use dewpier_plan::{
-    AnnouncementVersion, Counts, Delta, Digest, Follower, ForwarderMessage, LeaseState, MAX_DIGEST_NODES,
-    MessageRejection, Node, Plan, PlannerMessage, Version,
+    AnnouncementVersion, Delta, Digest, Follower, ForwarderMessage, LeaseState, MAX_DIGEST_NODES,
+    MessageRejection, Node, NodeCounts, Plan, PlannerMessage, Version,
 };
 use dewpier_standins::{WAIT_TIMEOUT, wait_for};
 use std::cell::RefCell;
@@ -37,7 +37,7 @@
 }
 
 fn digest(nodes: usize, served: u32) -> Digest {
-    let counts = |i: usize| Counts { id: format!("n{i}"), sent: served, served, ..Counts::default() };
+    let counts = |i: usize| NodeCounts { id: format!("n{i}"), sent: served, served, ..NodeCounts::default() };
     Digest { interval_ms: 1000, nodes: (0..nodes).map(counts).collect(), other_served: 0 }
 }
 
--- a/crates/plan/tests/letters.rs
+++ b/crates/plan/tests/letters.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn one_that_writes_without_end_and_one_that_never_reads_keep_no_drain_from_others() {
+fn flooding_and_non_reading_forwarders_delay_no_drain() {
     let (planner, address) = planner();
     let (mut first, mut second) = (Forwarder::start(address, 1), Forwarder::start(address, 2));
     let _never_reads = Forwarder::start(address, 3);
--- a/crates/plan/tests/slices.rs
+++ b/crates/plan/tests/slices.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use dewpier_plan::{
-    AnnouncementVersion, CellIndex, Counts, Digest, Follower, ForwarderMessage, MessageEffect, Node, Plan,
-    PlannerMessage, Publisher, Slice, Standby, StandbySettings, Version, wire,
+    AnnouncementVersion, CellIndex, Digest, Follower, ForwarderMessage, MessageEffect, Node, NodeCounts,
+    Plan, PlannerMessage, Publisher, Slice, Standby, StandbySettings, Version, wire,
 };
 use dewpier_standins::rng::Rng;
 use std::time::Duration;
@@ -247,7 +247,7 @@
     }
     let huge = Slice::new("f", usize::MAX);
     assert_eq!(huge.size(), dewpier_plan::MAX_NODES);
-    let digest = Digest { interval_ms: 1, nodes: vec![Counts::default()], other_served: 0 };
+    let digest = Digest { interval_ms: 1, nodes: vec![NodeCounts::default()], other_served: 0 };
     assert!(
         wire::read_forwarder_message(&wire::write_forwarder_message(&ForwarderMessage::Digest(digest))[4..])
             .is_err(),
