--- a/crates/dewpier/src/lists/from_planners.rs
+++ b/crates/dewpier/src/lists/from_planners.rs
@@ -1,4 +1,4 @@
-//! The lists of a forwarder: those of its planners, or those of its own watch while all planners are silent.
+//! Provides the lists of a forwarder: from its planners, or from its own watch while all planners are silent.
 
 use super::gated_lease::GatedLease;
 use super::nodes::node_from_backend;
--- a/crates/dewpier/src/lists/gated_lease.rs
+++ b/crates/dewpier/src/lists/gated_lease.rs
@@ -16,7 +16,7 @@
 }
 
 impl GatedLease {
-    /// A lease that has expired until a planner grants one.
+    /// Creates a lease that counts as expired until a planner grants one.
     pub(super) fn new(start: Instant) -> Rc<Self> {
         let lease = Rc::new(Lease::default());
         lease.set_expiry(Some(start));
--- a/crates/dewpier/src/lists/mod.rs
+++ b/crates/dewpier/src/lists/mod.rs
@@ -56,13 +56,13 @@
 }
 
 impl ListSource {
-    /// The lists of an inventory file. Fails if its watch cannot start.
+    /// Creates the source of the lists of an inventory file. Fails if its watch cannot start.
     pub fn from_inventory(inventory: Inventory) -> io::Result<Self> {
         Ok(Self(SourceKind::Inventory(WatchedInventory::start(inventory)?)))
     }
 
-    /// The lists of planners, which also relay the messages of `relay`, if any. Fails if the TLS files or the status
-    /// socket cannot be used. Runs on a [`tokio::task::LocalSet`].
+    /// Creates the source of the lists of planners, which also relay the messages of `relay`, if any. Fails if the TLS
+    /// files or the status socket cannot be used. Runs on a [`tokio::task::LocalSet`].
     pub fn from_planners(planners: Planners, relay: Option<RelayChannel>) -> Result<Self, ServeError> {
         let source_name = format!("{} planners", planners.addresses.len());
         let (node_sender, nodes) = watch::channel(Vec::new());
--- a/crates/dewpier/src/tls.rs
+++ b/crates/dewpier/src/tls.rs
@@ -11,7 +11,7 @@
     }
 }
 
-/// Reads the files again. CertificateFiles that cannot be used leave the loaded ones in place.
+/// Reads the files again. Files that cannot be used leave the loaded ones in place.
 pub fn reload_security(security: &Security) {
     if let Err(error) = security.reload() {
         eprintln!("dewpier: reloading the TLS files failed, the previous ones stay in use: {error}");
--- a/crates/dewpier/tests/bad_backends.rs
+++ b/crates/dewpier/tests/bad_backends.rs
@@ -152,8 +152,8 @@
 }
 
 #[test]
-fn calls_do_not_queue_at_a_hanging_backend() {
-    // The other backend goes on answering and may have more calls in flight.
+fn requests_do_not_queue_at_a_hanging_backend() {
+    // The other backend goes on answering and may have more requests in flight.
     let stuck = Arc::new(AtomicBool::new(false));
     let [hanging] = start_backends(&stuck, Duration::from_millis(50));
     let [working] = start_backends(&Arc::default(), Duration::from_millis(50));
@@ -173,8 +173,8 @@
         }
         std::thread::sleep(Duration::from_secs(1));
         for _ in 0..5 {
-            let calls = [(); 3].map(|()| scope.spawn(ask));
-            assert!(calls.into_iter().all(|call| call.join().unwrap() == 200));
+            let requests = [(); 3].map(|()| scope.spawn(ask));
+            assert!(requests.into_iter().all(|request| request.join().unwrap() == 200));
         }
         assert_eq!(hanging.request_count(), before + 1);
         stuck.store(false, Ordering::SeqCst);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn few_calls_per_backend_are_never_an_overload() {
+fn few_requests_per_backend_are_never_an_overload() {
     let stuck = Arc::new(AtomicBool::new(false));
     let backends: [ScriptedServer; 4] = start_backends(&stuck, Duration::ZERO);
     let mut settings = first_tier_settings(6.0);
@@ -192,11 +192,11 @@
     (0..30).for_each(|_| assert_eq!(ask(), 200));
     stuck.store(true, Ordering::SeqCst);
     std::thread::scope(|scope| {
-        for stuck_calls in 1..=4 {
+        for stuck_requests in 1..=4 {
             scope.spawn(ask);
-            wait_for("request", || count_requests(&backends) == 30 + stuck_calls);
+            wait_for("request", || count_requests(&backends) == 30 + stuck_requests);
         }
-        // Long enough to count as a lasting excess of calls in flight.
+        // Long enough to count as a lasting excess of requests in flight.
         std::thread::sleep(Duration::from_secs(3));
         let fifth = scope.spawn(ask);
         let start = Instant::now();
@@ -218,14 +218,14 @@
     (0..30).for_each(|_| assert_eq!(ask(), 200));
     stuck.store(true, Ordering::SeqCst);
     std::thread::scope(|scope| {
-        let calls: Vec<_> = (0..30).map(|_| scope.spawn(ask)).collect();
+        let requests: Vec<_> = (0..30).map(|_| scope.spawn(ask)).collect();
         wait_for("requests", || count_requests(&backends) > 32);
         // Time for all requests to arrive, far below their deadline.
         std::thread::sleep(Duration::from_millis(500));
         // The stalled backend receives only some of the requests.
         assert!(count_requests(&backends) < 55, "{}", count_requests(&backends));
         stuck.store(false, Ordering::SeqCst);
-        assert!(calls.into_iter().all(|call| call.join().unwrap() == 200));
+        assert!(requests.into_iter().all(|request| request.join().unwrap() == 200));
     });
 }
 
@@ -243,8 +243,8 @@
     (0..30).for_each(|_| assert_eq!(ask().0, 200));
     stuck.store(true, Ordering::SeqCst);
     std::thread::scope(|scope| {
-        let calls: Vec<_> = (0..30).map(|_| scope.spawn(ask)).collect();
-        let replies = calls.into_iter().map(|call| call.join().unwrap());
+        let requests: Vec<_> = (0..30).map(|_| scope.spawn(ask)).collect();
+        let replies = requests.into_iter().map(|request| request.join().unwrap());
         let rejected: Vec<_> = replies.filter(|(status, ..)| [429, 503].contains(status)).collect();
         stuck.store(false, Ordering::SeqCst);
         assert!(rejected.len() > 10, "{rejected:?}");
--- a/crates/dewpier/tests/fleet.rs
+++ b/crates/dewpier/tests/fleet.rs
@@ -47,16 +47,16 @@
     }
 
     /// Returns the verdicts of a proxy and checks the age of their evidence.
-    fn held(&self, proxy: usize) -> Vec<HeldVerdict> {
-        let held = self.0.read_verdicts(proxy).expect("an answer in time");
+    fn verdicts_of(&self, proxy: usize) -> Vec<HeldVerdict> {
+        let verdicts = self.0.read_verdicts(proxy).expect("an answer in time");
         let max_age = Duration::from_millis(STALE_MS / 2 + SEND_INTERVAL_MS + 1000);
-        let old = held.iter().find(|h| h.oldest_report_age > max_age);
+        let old = verdicts.iter().find(|v| v.oldest_report_age > max_age);
         assert!(old.is_none(), "proxy {proxy}: verdict with expired evidence: {old:?}");
-        held
+        verdicts
     }
 
     fn ejects(&self, proxy: usize, node: usize) -> bool {
-        self.held(proxy).iter().any(|h| h.node == node && h.is_ejected)
+        self.verdicts_of(proxy).iter().any(|v| v.node == node && v.is_ejected)
     }
 
     fn count_ejecting(&self, node: usize) -> usize {
@@ -108,7 +108,7 @@
         is_avoided_in_time(&fleet, 2, 0.0, |b| b.set_response_time(Duration::from_secs(60))),
         "a hanging node"
     );
-    assert!(fleet.held(0).iter().any(|h| h.node == 2 && h.kind == "silent"));
+    assert!(fleet.verdicts_of(0).iter().any(|v| v.node == 2 && v.kind == "silent"));
     // Half of all datagrams are lost, some are duplicated, and some are reordered.
     let delay = Duration::from_millis(50);
     fleet.0.datagram_network.set_faults(
--- a/crates/dewpier/tests/generated_settings.rs
+++ b/crates/dewpier/tests/generated_settings.rs
@@ -1,5 +1,5 @@
 //! Runs the program with settings drawn from a seed: unusual names, effects, limits, windows and deadlines. The four
-//! invariants hold, and contradictory settings are rejected with their place.
+//! invariants hold, and contradictory settings are rejected with their position.
 
 mod common;
 
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn contradictory_settings_are_rejected_with_their_place() {
+fn contradictory_settings_are_rejected_with_their_position() {
     type Change = fn(&mut Value);
     let cases: [(&str, Change); 10] = [
         ("classes: expected one class at least", |s| s["classes"] = json!([])),
@@ -242,19 +242,19 @@
             s["projects"].as_array_mut().unwrap().push(one);
         }),
     ];
-    for (place, change) in cases {
+    for (position, change) in cases {
         let mut settings = settings();
         change(&mut settings);
         let config = build_config(&settings, &discovery_list(1, true, &[]));
         let output = command(&config.to_string(), idle_discovery().address).0.output().unwrap();
         let message = String::from_utf8(output.stderr).unwrap();
-        assert!(!output.status.success(), "{place}");
-        assert!(message.contains(place), "{place}: {message}");
+        assert!(!output.status.success(), "{position}");
+        assert!(message.contains(position), "{position}: {message}");
         // On SIGHUP the proxy rejects the new settings and keeps the previous ones.
         let backend = ScriptedServer::always_ok("hello");
         let proxy = Proxy::for_backends(&[&backend]);
         proxy.write_config(&config);
         proxy.signal("-HUP");
-        assert_eq!(proxy.exchange(&request_text("look", 9000)).body, b"hello", "{place}");
+        assert_eq!(proxy.exchange(&request_text("look", 9000)).body, b"hello", "{position}");
     }
 }
--- a/crates/dewpier/tests/kept.rs
+++ b/crates/dewpier/tests/kept.rs
@@ -1,4 +1,4 @@
-//! Backends that close, reset or forget idle connections between two requests: no order runs more than once, every
+//! Backends that close, reset or silently drop idle connections between two requests: no order runs more than once, every
 //! request is answered, safe requests are served while one backend works, and orders fail only until the proxy has
 //! learnt the idle timeout.
 
--- a/crates/dewpier/tests/mysql.rs
+++ b/crates/dewpier/tests/mysql.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn example_configuration_is_valid_and_errors_are_reported_with_their_place() {
+fn example_configuration_is_valid_and_errors_are_reported_with_their_position() {
     let deploy = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy"));
     let check = |path: &Path| {
         let output = Command::new(env!("CARGO_BIN_EXE_dewpier"))
@@ -110,7 +110,7 @@
     {
         std::fs::copy(deploy.join(name), folder.join(name)).unwrap();
     }
-    for (from, to, place, words) in [
+    for (from, to, position, words) in [
         ("127.0.0.1:3307", "0.0.0.0:3307", "mysql.toml:10:10", "a loopback address"),
         ("read_aim_ms = 1000", "read_aim_ms = 20000", "mysql.toml:14:15", "1 to 10000"),
         ("hold_kb = 1024 ", "hold_kb = 999999 ", "mysql.toml:18:11", "0 to 131072"),
@@ -122,6 +122,6 @@
         let path = folder.join("mysql.toml");
         std::fs::write(&path, good.replace(from, to)).unwrap();
         let (code, _, message) = check(&path);
-        assert!(code == Some(2) && message.contains(place) && message.contains(words), "{to}: {message}");
+        assert!(code == Some(2) && message.contains(position) && message.contains(words), "{to}: {message}");
     }
 }
--- a/crates/dewpier/tests/rulings.rs
+++ b/crates/dewpier/tests/rulings.rs
@@ -12,8 +12,8 @@
 const SLACK: Duration = Duration::from_secs(2);
 
 fn is_ejected(harness: &FleetHarness, proxy: usize, node: usize) -> bool {
-    let held = harness.read_verdicts(proxy).expect("an answer in time");
-    held.iter().any(|h| h.node == node && h.is_ejected)
+    let verdicts = harness.read_verdicts(proxy).expect("an answer in time");
+    verdicts.iter().any(|v| v.node == node && v.is_ejected)
 }
 
 fn call(harness: &FleetHarness, proxy: usize, call: &str) -> String {
--- a/crates/dewpier/tests/serve.rs
+++ b/crates/dewpier/tests/serve.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn invalid_input_ends_the_start_with_its_place_and_status_2() {
+fn invalid_input_ends_the_start_with_its_position_and_status_2() {
     let folder = create_test_folder("bad");
     let run = |args: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_dewpier")).args(args).output().unwrap();
